--- a/internal/steering/token/answered.go
+++ b/internal/steering/token/answered.go
@@ -5,22 +5,23 @@
 )
 
 const (
-	// mostAnswered bounds the answers that wait to be taken, and the memory for them.
+	// mostAnswered is the maximum number of samples kept between two calls of TakeAnswered.
 	mostAnswered = 4096
-	// promptLearnedAfter is how many answers a route's usual latency is learned from. What
-	// is wrong with it then is wrong for all targets alike.
+	// promptLearnedAfter is the minimum number of samples for a route's usual service time. An
+	// error in it affects all targets alike.
 	promptLearnedAfter = 8
-	// leastAtTarget is what an answer takes at its target at least, in nanoseconds.
+	// leastAtTarget is the minimum service time at a target, in nanoseconds.
 	leastAtTarget = float64(time.Millisecond)
-	// pathRise is by what part the least span of an opening rises with each that is seen:
-	// paths change.
+	// pathRise is the fraction by which the minimum round trip grows with each sample, so that it
+	// adapts to path changes.
 	pathRise = 0.005
-	// openingLost is from when on an opening that is awaited is given up.
+	// openingLost is how long to wait for the reply to a first packet before it counts as lost.
 	openingLost = time.Second
 )
 
-// promptLatency follows the median of how long answers of a route stay at their targets, in
-// nanoseconds, by steps that become smaller: a starting daemon knows it soon.
+// promptLatency is a running estimate of the median service time of a route's responses, in
+// nanoseconds. Its steps shrink with the number of samples, so that it converges soon after a
+// start.
 type promptLatency struct {
 	count  int
 	median float64
@@ -40,9 +41,9 @@
 	}
 }
 
-// pathSpan is how long packets take from here by way of a target to the caller and back
-// here: the least time in which a flow was opened, which needs no work of the target. It
-// follows one flow at a time.
+// pathSpan estimates the round trip from this daemon by way of a target and the caller back to
+// this daemon: the minimum time to open a flow, which takes no work of the target. It samples one
+// flow at a time.
 type pathSpan struct {
 	least  time.Duration
 	flow   uint64
@@ -55,7 +56,7 @@
 	}
 }
 
-// noteOpen takes in a packet on an open flow.
+// noteOpen records a packet on an open flow.
 func (p *pathSpan) noteOpen(now time.Time, flow uint64) {
 	if p.sentAt.IsZero() || p.flow != flow {
 		return
@@ -72,20 +73,19 @@
 	p.least += time.Duration(float64(p.least) * pathRise)
 }
 
-// Answered is an answer of a target that tells how fast it works.
+// Answered is a response latency sample of a target.
 type Answered struct {
-	// Token is the target's, Times how many times as long as is usual for the route the
-	// answer took to begin.
+	// Token is the target's. Times is the ratio of the service time to the usual one of the route.
 	Token uint32
 	Times float64
 }
 
-// promptAnswers are the latencies of answers that their callers acknowledged at once. An end
-// acknowledges every second packet, so that an answer of one packet is acknowledged with the
-// caller's next request, after its pause: that would count as the target's slowness. One
-// goroutine at a time may use it.
+// promptAnswers collects latencies of responses that were acknowledged at once. With delayed
+// acknowledgements (every second packet), a response of one packet is acknowledged with the
+// caller's next request, and the caller's pause would count as the target's latency. It is not
+// safe for concurrent use.
 type promptAnswers struct {
-	// capacity bounds the routes whose usual latency is remembered.
+	// capacity is the maximum number of routes with a usual service time.
 	capacity int
 	usual    map[uint32]*promptLatency
 	path     pathSpan
@@ -96,8 +96,9 @@
 	return &promptAnswers{capacity: capacity, usual: map[uint32]*promptLatency{}}
 }
 
-// note takes in an answer that began, by the packet that says so. What was sent again tells
-// of the path, and a cold target is not as fast as it will be: both are passed over.
+// note records a response, given the packet that acknowledges its beginning. Retransmitted
+// requests are skipped since they also reflect the path, and targets in slow start since they
+// aren't at their usual speed yet.
 func (p *promptAnswers) note(now time.Time, answered *request, decision *Decision, packet *Packet, latency time.Duration) {
 	if answered.isRepeated || packet.PayloadLength > 0 || now.Before(decision.Target.WarmAt) {
 		return
@@ -117,7 +118,7 @@
 	usual.note(atTarget)
 }
 
-// TakeAnswered returns the answers since the last call that tell how fast targets work.
+// TakeAnswered returns the response latency samples since the last call.
 func (r *Requests) TakeAnswered() []Answered {
 	taken := r.prompt.taken
 	r.prompt.taken = nil
--- a/internal/steering/token/answered_test.go
+++ b/internal/steering/token/answered_test.go
@@ -10,7 +10,8 @@
 	"github.com/passtray/passtray/internal/loadshare"
 )
 
-// answered lets a request wait for a span and be acknowledged with a payload.
+// answered sends a request and, after a wait, its acknowledgement in a packet with the given
+// payload.
 func (e *exchange) answered(waits time.Duration, payload int) {
 	e.send(1, 500, 100)
 	e.now = e.now.Add(waits)
@@ -39,31 +40,31 @@
 			assert.Assert(t, math.Abs(answered.Times/times[index]-1) < 0.15, "%.2f", answered.Times)
 		}
 	}
-	t.Run("are those that callers acknowledge at once", func(t *testing.T) {
+	t.Run("prompt acknowledgement is a sample", func(t *testing.T) {
 		flow := learned(t)
 		flow.answered(60*time.Millisecond, 0)
 		assertTold(t, flow, 3)
 		assertTold(t, flow)
 	})
-	t.Run("not those that are acknowledged with the next request", func(t *testing.T) {
+	t.Run("delayed acknowledgement with the next request is not", func(t *testing.T) {
 		flow := learned(t)
 		flow.answered(60*time.Millisecond, 100)
-		assertTold(t, flow, 0.05) // the next request, which was acknowledged at once
+		assertTold(t, flow, 0.05) // the next request, acknowledged at once
 	})
-	t.Run("not those whose request was sent again", func(t *testing.T) {
+	t.Run("retransmitted request is not", func(t *testing.T) {
 		flow := learned(t)
 		flow.send(1, 500, 100)
 		flow.now = flow.now.Add(200 * time.Millisecond)
 		flow.answered(60*time.Millisecond, 0)
 		assertTold(t, flow)
 	})
-	t.Run("not those of a cold target", func(t *testing.T) {
+	t.Run("target in slow start is not", func(t *testing.T) {
 		flow := learned(t)
 		flow.decision().Target.WarmAt = flow.now.Add(time.Second)
 		flow.answered(60*time.Millisecond, 0)
 		assertTold(t, flow)
 	})
-	t.Run("are counted without the path, which openings show", func(t *testing.T) {
+	t.Run("path round trip seen at flow setup is subtracted", func(t *testing.T) {
 		flow := newExchange(t)
 		flow.now = flow.now.Add(time.Minute)
 		flow.open(7)
@@ -75,7 +76,7 @@
 		flow.answered(40*time.Millisecond, 0)
 		assertTold(t, flow, 3)
 	})
-	t.Run("wait to be taken in bounded number", func(t *testing.T) {
+	t.Run("samples are bounded", func(t *testing.T) {
 		flow := learned(t)
 		for range mostAnswered + 10 {
 			flow.answered(20*time.Millisecond, 0)
@@ -94,7 +95,7 @@
 		found := made.table.targetOf(identifier).Signal.Speed(made.now)
 		assert.Assert(t, math.Abs(found-wanted) < 1e-9, "%d: %f", identifier, found)
 	}
-	t.Run("one of which nothing is told any more is as fast as the mean", func(t *testing.T) {
+	t.Run("target without reports falls back to the mean", func(t *testing.T) {
 		made.table.SetSpeeds(made.now, told, map[loadshare.Mark]float64{markOf(101): 1.8, markOf(200): 3})
 		for _, identifier := range []uint64{100, 101} {
 			assert.Equal(t, made.table.targetOf(identifier).Signal.Speed(made.now), 1.0)
--- a/internal/steering/token/answerhistory.go
+++ b/internal/steering/token/answerhistory.go
@@ -6,15 +6,15 @@
 	"github.com/passtray/passtray/internal/outlier"
 )
 
-// answerHistory is what is known of the answers to callers of this daemon: their lengths
-// and latencies by route, and their rate by service.
+// answerHistory holds statistics on the responses to callers of this daemon: lengths and latencies
+// by route, and rates by service.
 type answerHistory struct {
-	// capacity bounds the routes that are remembered.
+	// capacity is the maximum number of routes with statistics.
 	capacity  int
 	shapes    map[uint32]*answerShape
 	latencies map[uint32]*usualLatency
 	rates     map[string]*answerRate
-	// short are targets whose answers were conspicuously short.
+	// short are targets whose responses were unusually short.
 	short []Unanswered
 }
 
@@ -26,8 +26,8 @@
 	}
 }
 
-// note takes in the beginning of a target's answer, as far as the caller has
-// acknowledged it, in bytes.
+// note records the beginning of a target's response, up to the caller's first acknowledgement;
+// length is in bytes.
 func (h *answerHistory) note(now time.Time, target uint64, decision *Decision, length uint32) {
 	rate := h.rates[decision.Target.Service]
 	if rate == nil {
@@ -38,7 +38,7 @@
 	shape := h.shapes[decision.Route.Number]
 	if shape == nil {
 		if len(h.shapes) >= h.capacity {
-			clear(h.shapes) // routes come and go; what still answers is learned again
+			clear(h.shapes) // drops statistics of removed routes; active ones are soon relearned
 		}
 		shape = &answerShape{}
 		h.shapes[decision.Route.Number] = shape
@@ -48,8 +48,8 @@
 	}
 }
 
-// noteLatency takes in how long a route's answer took to begin, and returns how many times
-// as long as usual that is; it reports false while too few answers were seen.
+// noteLatency records the time to first byte of a response on a route and returns its ratio to the
+// usual latency, or false while there are too few samples.
 func (h *answerHistory) noteLatency(route uint32, latency time.Duration) (times float64, known bool) {
 	usual := h.latencies[route]
 	if usual == nil {
@@ -64,15 +64,15 @@
 	return times, known
 }
 
-// takeShort returns the targets whose answers were much shorter than is usual for their
-// route since the last call.
+// takeShort returns the targets whose responses were much shorter than is usual for their route
+// since the last call.
 func (h *answerHistory) takeShort() []Unanswered {
 	short := h.short
 	h.short = nil
 	return short
 }
 
-// perSecond returns the rate of a service's answers.
+// perSecond returns the response rate of a service.
 func (h *answerHistory) perSecond(now time.Time, service string) float64 {
 	if rate := h.rates[service]; rate != nil {
 		return rate.of(now)
--- a/internal/steering/token/binding.go
+++ b/internal/steering/token/binding.go
@@ -7,20 +7,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// binding ties words to an address: a target's token stands in packets only in the form
-// that it has at the address where its flow was opened. A word that names a known target
-// under an address's binding therefore says by itself that some daemon opened a flow to
-// that target there, under a configuration that allowed it, and no daemon needs to
-// remember which services a route led to. Without the binding a daemon would have to
-// choose between words of other routes that it follows and open flows that it drops once
-// it was restarted after a change of routes.
+// binding masks tokens per destination address. A token that resolves to a known target under an
+// address's binding shows that some daemon opened a flow to that target at that address, under a
+// configuration that allowed it, so daemons need not remember which services a route once led to.
+// Without it, a restarted daemon couldn't tell tokens of other routes from those of flows opened
+// before a route changed.
 //
-// It is a fingerprint without a key: it tells mistaken words from good ones. Against a
-// caller who computes words stands what stood there before, that no word opens a flow.
+// It is an unkeyed hash that catches mistakes, not a defence against callers that compute tokens.
 type binding uint32
 
-// bindingOf returns the binding of the address and port that callers send to, the same on
-// every daemon, never 0.
+// bindingOf returns the binding of the address and port that callers send to, the same on every
+// daemon and never 0.
 func bindingOf(address netip.AddrPort) binding {
 	var bytes [18]byte
 	ip := address.Addr().As16()
@@ -29,8 +26,8 @@
 	return binding(max(1, uint32(xxhash.Sum64(bytes[:]))))
 }
 
-// word returns what stands in packets for a target's token, which is not 0. Nor is the
-// word: 0 stands for none. The token that would become 0 has the word that no token has.
+// word returns the bound form of a nonzero token, as packets carry it. It is never 0, which means
+// no token: the token that would map to 0 maps to itself, a value no other token maps to.
 func (b binding) word(token uint32) uint32 {
 	if token == uint32(b) {
 		return token
@@ -38,13 +35,13 @@
 	return token ^ uint32(b)
 }
 
-// WordAt returns what stands in packets of a flow that was opened at an address to the
-// target with an identifier.
+// WordAt returns the bound token that packets carry in a flow opened at address to the target with
+// the given identifier.
 func WordAt(address netip.AddrPort, identifier uint64) uint32 {
 	return bindingOf(address).word(Of(identifier))
 }
 
-// token returns the token that a word stands for, 0 if the word is none's.
+// token returns the token of a bound token, 0 if there is none.
 func (b binding) token(word uint32) uint32 {
 	switch word {
 	case 0:
--- a/internal/steering/token/binding_test.go
+++ b/internal/steering/token/binding_test.go
@@ -17,21 +17,22 @@
 		bound := binding(max(1, random.Uint32()))
 		for _, token := range []uint32{1, uint32(bound), ^uint32(bound), max(1, random.Uint32())} {
 			word := bound.word(token)
-			assert.Assert(t, word != 0, "0 stands for no word")
+			assert.Assert(t, word != 0, "0 means no token")
 			assert.Equal(t, bound.token(word), token)
 		}
 		assert.Equal(t, bound.token(0), uint32(0))
 	}
 }
 
-// TestBindingsAreTheSameInEveryVersion: daemons of two builds follow each other's flows.
+// TestBindingsAreTheSameInEveryVersion guards compatibility: daemons of different builds must
+// steer each other's flows.
 func TestBindingsAreTheSameInEveryVersion(t *testing.T) {
 	assert.Equal(t, bindingOf(rosterAddress), binding(0x019a134a))
 	assert.Equal(t, bindingOf(netip.AddrPortFrom(netip.AddrFrom16(rosterAddress.Addr().As16()), 443)), bindingOf(rosterAddress))
 }
 
-// TestADaemonWithoutMemoryFollowsWhatWasOpenedBefore: the route led to another service
-// when the flow was opened, and this daemon was started after that.
+// TestADaemonWithoutMemoryFollowsWhatWasOpenedBefore guards against losing flows in a daemon that
+// was started after the route changed to another service.
 func TestADaemonWithoutMemoryFollowsWhatWasOpenedBefore(t *testing.T) {
 	before, restarted := newSite(t), newSite(t)
 	opened := before.open(rosterAddress, 1)
@@ -44,8 +45,8 @@
 	assert.Equal(t, decision.Target.Identifier, opened.Target.Identifier)
 }
 
-// TestAWordOfAnotherAddressNamesNobody, even where the same service stands behind both
-// routes, and neither does a bare token.
+// TestAWordOfAnotherAddressNamesNobody checks that a token bound to another address, or not bound
+// at all, is unknown, even if the same service is behind both routes.
 func TestAWordOfAnotherAddressNamesNobody(t *testing.T) {
 	site := newSite(t)
 	for _, word := range []uint32{WordAt(rosterAddress, 100), WordAt(rosterAddress, 200), Of(100), Of(200)} {
@@ -55,14 +56,14 @@
 	}
 }
 
-// BenchmarkFollow decides for a packet of an open flow.
+// BenchmarkFollow steers a packet of an established flow.
 func BenchmarkFollow(b *testing.B) {
 	site := newLargeSite(1000, 1000)
 	packet := &Packet{Source: caller(1), Destination: rosterAddress, Token: WordAt(rosterAddress, 1000)}
 	b.ReportAllocs()
 	for b.Loop() {
 		if site.table.Follow(site.now, packet).Action != Forward {
-			b.Fatal("a known word")
+			b.Fatal("packet with a known token was not forwarded")
 		}
 	}
 }
--- a/internal/steering/token/builder.go
+++ b/internal/steering/token/builder.go
@@ -10,24 +10,24 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// Builder makes tables and keeps what must outlive one: the targets with their signals,
-// numbers of routes, and the routes that were.
+// Builder builds tables and keeps the state that outlives them: targets with their signals, route
+// numbers and removed routes.
 type Builder struct {
 	routes routeBuilder
 	index  *index
-	// configuration, services and evacuated are what the index was made for, if isMade.
+	// configuration, services and evacuated are the inputs of the current index, valid if isMade.
 	isMade        bool
 	configuration *storeview.Configuration
 	services      map[string]*Service
 	evacuated     map[string]bool
-	// overload is how the work of services is bounded, loads what each has in progress, and
-	// undeclared what those have that no configuration declares.
+	// overload configures the controllers of new services. loads holds the controller of each
+	// service, undeclared the one shared by services that no configuration declares.
 	overload   overload.Config
 	loads      map[string]*overload.Controller
 	undeclared *overload.Controller
 }
 
-// NewBuilder makes a builder that remembers for retention what went.
+// NewBuilder returns a builder that retains removed routes for the given time.
 func NewBuilder(retention time.Duration) *Builder {
 	return &Builder{
 		routes: newRouteBuilder(retention),
@@ -36,12 +36,11 @@
 	}
 }
 
-// SetOverload says how the work of services is bounded that are not known yet. Without it
-// nothing is.
+// SetOverload sets the overload limits of services added later. Without it, work is not limited.
 func (b *Builder) SetOverload(config overload.Config) { b.overload = config }
 
-// Build makes the table of a view, all anew. Without a configuration it is one of targets
-// alone, nil if none is known. What tables before it hold stays as it is.
+// Build builds the table of a view from scratch. Without a configuration the table has targets
+// only; it is nil if the view has no targets either. Earlier tables stay valid.
 func (b *Builder) Build(now time.Time, view *storeview.View) *Table {
 	configuration := view.Configuration()
 	if configuration == nil && view.Present() == 0 {
@@ -62,9 +61,8 @@
 	return b.table(now)
 }
 
-// Update makes the table of a view that differs from the one before by a change, at a cost that
-// depends on the change alone. The targets of the table before change, too: nobody may decide by
-// it meanwhile.
+// Update applies a change to the view incrementally, at a cost that depends on the size of the
+// change only. It modifies the targets of the previous table, which must not be used concurrently.
 func (b *Builder) Update(now time.Time, view *storeview.View, change *storeview.Change) *Table {
 	if !b.isMadeFor(view, change) {
 		return b.Build(now, view)
@@ -76,7 +74,8 @@
 	return b.table(now)
 }
 
-// isMadeFor reports whether the index fits a view but for its targets.
+// isMadeFor reports whether the index can be updated to the view target by target, which requires
+// unchanged services and evacuated zones.
 func (b *Builder) isMadeFor(view *storeview.View, change *storeview.Change) bool {
 	isConfigured := view.Configuration() != nil
 	if !b.isMade || isConfigured != (b.configuration != nil) || !maps.Equal(evacuatedZones(view), b.evacuated) {
@@ -85,7 +84,7 @@
 	return !change.Configuration || !isConfigured || slices.Equal(b.configuration.Services, view.Configuration().Services)
 }
 
-// update brings one target up to date.
+// update replaces one target in the index by its state in the view.
 func (b *Builder) update(view *storeview.View, altered *storeview.KnownTarget) {
 	before := b.index.held(altered.Identifier, altered.Key)
 	if before != nil {
@@ -96,7 +95,7 @@
 		return
 	}
 	if current.Identifier != altered.Identifier {
-		// The entry names another target now, which may be in the index already.
+		// The entry now describes another target, which may be indexed already.
 		if before = b.index.held(current.Identifier, current.Key); before != nil {
 			b.index.remove(before)
 		}
@@ -104,7 +103,7 @@
 	b.add(current, before)
 }
 
-// add enters a target; before is what was known of it, nil if it was not.
+// add adds a target to the index. before is its previous state, nil if it was unknown.
 func (b *Builder) add(described *storeview.KnownTarget, before *Target) {
 	service := b.services[described.Service]
 	isEvacuated := b.evacuated[described.Zone]
@@ -123,8 +122,9 @@
 	b.index.add(target)
 }
 
-// carryOn takes over what is known of the target by an earlier entry. What was seen of an
-// earlier run says nothing of a later one: that it started is its first sign of life.
+// carryOn takes over the signal of the target's previous state. A new incarnation starts with a
+// fresh signal, since observations of the earlier one don't apply to it, and its start counts as
+// activity.
 func (t *Target) carryOn(before *Target) {
 	t.Run = t.Incarnation
 	switch {
@@ -139,7 +139,7 @@
 	}
 }
 
-// table makes a table of the index as it is.
+// table returns a table of the current index.
 func (b *Builder) table(now time.Time) *Table {
 	table := &Table{index: b.index}
 	if b.configuration == nil {
@@ -151,7 +151,7 @@
 	return table
 }
 
-// declaredServices makes the services that the configuration declares.
+// declaredServices returns the services that the configuration declares.
 func (b *Builder) declaredServices() map[string]*Service {
 	services := map[string]*Service{}
 	if b.configuration == nil {
@@ -166,7 +166,7 @@
 	return services
 }
 
-// loadOf returns what is known of a service's work, which outlives tables.
+// loadOf returns the overload controller of a service, which is kept across tables.
 func (b *Builder) loadOf(service string) *overload.Controller {
 	load := b.loads[service]
 	if load == nil {
@@ -176,7 +176,7 @@
 	return load
 }
 
-// forgetLoads forgets the work of services that neither are declared nor have targets.
+// forgetLoads removes the controllers of services that are neither declared nor have targets.
 func (b *Builder) forgetLoads() {
 	if len(b.loads) == len(b.services) {
 		return
@@ -188,7 +188,7 @@
 	})
 }
 
-// evacuatedZones returns the zones whose targets get no new flows.
+// evacuatedZones returns the zones whose targets must not receive new flows.
 func evacuatedZones(view *storeview.View) map[string]bool {
 	zones := map[string]bool{}
 	for _, order := range view.Orders() {
--- a/internal/steering/token/builder_test.go
+++ b/internal/steering/token/builder_test.go
@@ -17,7 +17,7 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// openTargets returns the targets of a service that may get new flows.
+// openTargets returns the targets of a service that accept new flows.
 func (s *site) openTargets(service string) []*Target {
 	return valuesOf(&s.table.services[service].open)
 }
@@ -31,7 +31,7 @@
 	return targets
 }
 
-// describe is all that decisions read of a table's targets.
+// describe returns everything that decisions read from a table's targets.
 func describe(table *Table) []string {
 	var lines []string
 	names := func(targets []*Target) (keys []string) {
@@ -57,7 +57,8 @@
 	return lines
 }
 
-// TestAnUpdatedTableIsThatOfAFullBuild, after whatever changes, in whatever order.
+// TestAnUpdatedTableIsThatOfAFullBuild checks that incremental updates give the same table as a
+// full build, for any sequence of changes.
 func TestAnUpdatedTableIsThatOfAFullBuild(t *testing.T) {
 	configurations := []*storeview.Configuration{
 		{Services: []storeview.Service{{Name: "roster"}, {Name: "ledger", ColdRate: 5}}},
@@ -107,7 +108,7 @@
 				assert.Equal(t, table.OpenTargets(), 0)
 				continue
 			}
-			whole.index.all(func(target *Target) { // what earlier runs were is known to the other alone
+			whole.index.all(func(target *Target) { // only the updated table knows earlier incarnations
 				if held := table.index.held(target.Identifier, target.Key); held != nil {
 					assert.Assert(t, held.Run >= target.Run)
 					target.Run = held.Run
@@ -118,7 +119,7 @@
 	})
 }
 
-// collidingIdentifiers are some of which two have one token, and two one mark.
+// collidingIdentifiers include two identifiers with the same token and two with the same mark.
 var collidingIdentifiers = func() []uint64 {
 	tokens, marks := map[uint32]uint64{}, map[uint16]uint64{}
 	found := []uint64{1, 2, 3}
@@ -136,7 +137,8 @@
 	}
 }()
 
-// TestALaterRunOfATargetBeginsAnew: what was seen of the earlier one does not count against it.
+// TestALaterRunOfATargetBeginsAnew guards against blaming a restarted target for failures of its
+// previous incarnation.
 func TestALaterRunOfATargetBeginsAnew(t *testing.T) {
 	run := func(incarnation uint64) func(*storeview.Target) {
 		return func(target *storeview.Target) { target.Incarnation = incarnation }
@@ -153,7 +155,7 @@
 		site.now = site.now.Add(time.Second)
 		return site, held
 	}
-	t.Run("ejection, death and what is in progress are forgotten, and the start is a sign of life", func(t *testing.T) {
+	t.Run("resets ejection, death and work in progress, and counts the start as activity", func(t *testing.T) {
 		site, _ := judged(t)
 		site.target("roster-0", 100, "roster", run(2000))
 		started := site.table.targetOf(100)
@@ -162,7 +164,7 @@
 		assert.Assert(t, started.Signal.LastLife().Equal(site.now))
 		assert.Equal(t, site.table.Incarnation(100), uint64(2000))
 	})
-	t.Run("the same run says nothing new, nor does an earlier one that comes late", func(t *testing.T) {
+	t.Run("same or earlier incarnation changes nothing", func(t *testing.T) {
 		for _, incarnation := range []uint64{1000, 500} {
 			site, held := judged(t)
 			site.target("roster-0", 100, "roster", run(incarnation))
@@ -171,13 +173,13 @@
 			assert.Assert(t, site.table.IsDead(site.now, 100))
 		}
 	})
-	t.Run("where runs are not told apart all goes on", func(t *testing.T) {
+	t.Run("without incarnations the state is kept", func(t *testing.T) {
 		site := newSite(t)
 		held := site.table.targetOf(101)
 		site.target("roster-1", 101, "roster", nil)
 		assert.Equal(t, site.table.targetOf(101).Signal, held.Signal)
 	})
-	t.Run("one that had left is there again", func(t *testing.T) {
+	t.Run("target that had left is eligible again", func(t *testing.T) {
 		site, _ := judged(t)
 		site.remove("roster-0")
 		assert.Assert(t, !site.table.targetOf(100).MayOpen)
@@ -185,7 +187,7 @@
 		assert.Assert(t, site.table.targetOf(100).MayOpen)
 		assert.Equal(t, len(site.openTargets("roster")), 6)
 	})
-	t.Run("a full build knows it, too", func(t *testing.T) {
+	t.Run("full build keeps the state", func(t *testing.T) {
 		site, _ := judged(t)
 		site.target("roster-0", 100, "roster", run(2000))
 		signal := site.table.targetOf(100).Signal
@@ -194,8 +196,8 @@
 	})
 }
 
-// TestAnEntryOfNoServiceSupersedesNobody: it may be none that a target wrote, under the address of a
-// target that lives.
+// TestAnEntryOfNoServiceSupersedesNobody guards a running target against an entry for its address
+// that no target wrote.
 func TestAnEntryOfNoServiceSupersedesNobody(t *testing.T) {
 	site := newSite(t)
 	site.target("stranger", 900, "nobody's", func(target *storeview.Target) {
@@ -219,7 +221,7 @@
 	return &changing{site: newLargeSite(targets, targets), targets: targets}
 }
 
-// change lets a target drain, or be as it was, and returns the change.
+// change toggles draining on the next count targets and returns the change.
 func (c *changing) change(count int) storeview.Change {
 	var entries []storeview.Entry
 	for range count {
@@ -234,9 +236,7 @@
 	return c.view.Merge(c.now, entries)
 }
 
-// BenchmarkUpdate brings a table up to date with one changed target, and with 1,000 together.
-// When all targets were put together anew, one took 0.26, 1.8, 14.5 and 39.9 ms and 0.09, 0.6, 7.4
-// and 15.8 MB among 150, 1,000, 10,000 and 20,000 (one core of the test machine).
+// BenchmarkUpdate updates a table with one changed target, and with 1,000 at once.
 func BenchmarkUpdate(b *testing.B) {
 	for _, targets := range []int{150, 1000, 10_000, 20_000} {
 		for _, together := range []int{1, 1000} {
@@ -252,8 +252,8 @@
 	}
 }
 
-// TestAnUpdateCostsByTheChange: what a changed target takes of memory does not depend on how many
-// others there are.
+// TestAnUpdateCostsByTheChange checks that the memory to update one target doesn't depend on the
+// number of other targets.
 func TestAnUpdateCostsByTheChange(t *testing.T) {
 	const bound = 20 << 10 // bytes
 	for _, targets := range []int{1000, 20_000} {
@@ -271,7 +271,7 @@
 	}
 }
 
-// BenchmarkBuild makes a table of a view all anew, as at a start.
+// BenchmarkBuild builds a table from scratch, as at startup.
 func BenchmarkBuild(b *testing.B) {
 	for _, targets := range []int{150, 1000, 10_000, 20_000} {
 		b.Run(fmt.Sprint(targets, " targets"), func(b *testing.B) {
--- a/internal/steering/token/cold_test.go
+++ b/internal/steering/token/cold_test.go
@@ -10,8 +10,8 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// newColdSite has a service whose targets bear a rate of flows while they are cold; half of
-// them are.
+// newColdSite has a service with limited rates of new flows in slow start, which half of its
+// targets are in.
 func newColdSite(t *testing.T) *site {
 	t.Helper()
 	made := newSite(t)
@@ -43,7 +43,7 @@
 	}
 	site.now = site.now.Add(5 * time.Second)
 	site.table.SetColdShares(site.now, func(uint64, float64) int {
-		t.Error("a warm target has no share")
+		t.Error("share requested for a target past slow start")
 		return 0
 	})
 	clear(counts)
--- a/internal/steering/token/dead_test.go
+++ b/internal/steering/token/dead_test.go
@@ -22,12 +22,12 @@
 	assert.Equal(t, refused.Action, Refuse)
 	assert.Equal(t, refused.Reason, ReasonDeadTarget)
 	for number := range 200 {
-		assert.Assert(t, site.open(rosterAddress, 10+number).Target != target, "no new flow goes there")
+		assert.Assert(t, site.open(rosterAddress, 10+number).Target != target, "new flow sent to a dead target")
 	}
-	assert.Assert(t, site.open(rosterAddress, 1).Target != target, "nor a copy of an opening packet")
+	assert.Assert(t, site.open(rosterAddress, 1).Target != target, "retransmitted first packet sent to a dead target")
 
 	site.now = site.now.Add(time.Second)
-	assert.Equal(t, site.follow(rosterAddress, 1, target.Token).Action, Forward, "the verdict ran out")
+	assert.Equal(t, site.follow(rosterAddress, 1, target.Token).Action, Forward, "after the dead state has expired")
 }
 
 func TestAVerdictIsTakenBack(t *testing.T) {
@@ -38,7 +38,6 @@
 	assert.Equal(t, site.follow(rosterAddress, 1, opened.Target.Token).Action, Forward)
 }
 
-// TestACallersOwnResetIsNotAnswered: its flow is over.
 func TestACallersOwnResetIsNotAnswered(t *testing.T) {
 	site := newSite(t)
 	opened := site.open(rosterAddress, 1)
@@ -47,12 +46,13 @@
 	assert.Equal(t, site.table.Follow(site.now, packet).Action, Drop)
 }
 
-// TestWhoeverRunsAtATargetsAddressHasSupersededIt, whether its entry is there still or not.
+// TestWhoeverRunsAtATargetsAddressHasSupersededIt checks that a target is superseded by a later
+// one at its address, whether or not its entry is still there.
 func TestWhoeverRunsAtATargetsAddressHasSupersededIt(t *testing.T) {
 	for name, leave := range map[string]func(site *site){
-		"both are in the store":     func(*site) {},
-		"the earlier one's is gone": func(site *site) { site.remove("roster-0") },
-		"the later one drains":      func(site *site) { site.target("new", 300, "ledger", drainingAtFirst) },
+		"both in the store":     func(*site) {},
+		"earlier entry removed": func(site *site) { site.remove("roster-0") },
+		"later target drains":   func(site *site) { site.target("new", 300, "ledger", drainingAtFirst) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			site := newSite(t)
@@ -69,7 +69,8 @@
 	}
 }
 
-// TestATargetThatWentIsNotSupersededByAnEarlierOne, whose removal did not come here yet.
+// TestATargetThatWentIsNotSupersededByAnEarlierOne covers an earlier target whose removal is not
+// known here yet.
 func TestATargetThatWentIsNotSupersededByAnEarlierOne(t *testing.T) {
 	site := newSite(t)
 	site.target("new", 300, "roster", atFirst)
@@ -77,12 +78,12 @@
 	assert.Equal(t, site.follow(rosterAddress, 1, Of(300)).Action, Forward)
 }
 
-// A restored store has an entry, under a later revision, of a target that ended long ago. The one that
-// runs at its address since was started later, and keeps its flows.
+// TestATargetIsNotSupersededByOneThatARestoredStoreBringsBack guards a running target against the
+// entry of an ended one that a restored store lists under a later revision.
 func TestATargetIsNotSupersededByOneThatARestoredStoreBringsBack(t *testing.T) {
 	for name, leave := range map[string]func(site *site){
-		"the later one is in the store": func(*site) {},
-		"its entry went":                func(site *site) { site.remove("new") },
+		"later target in the store": func(*site) {},
+		"later entry removed":       func(site *site) { site.remove("new") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			site := newSite(t)
@@ -98,7 +99,7 @@
 	}
 }
 
-// atFirst puts a target at the address of roster-0.
+// atFirst moves a target to the address of roster-0.
 func atFirst(target *storeview.Target) {
 	target.Address = netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), 100)
 }
@@ -120,7 +121,7 @@
 	sentAt := flow.now
 	flow.now = flow.now.Add(repeatedAfter - time.Millisecond)
 	flow.send(1, 500, 100)
-	assert.Equal(t, len(flow.requests.TakeUnacknowledged()), 0, "the network's copy")
+	assert.Equal(t, len(flow.requests.TakeUnacknowledged()), 0, "duplicate made by the network")
 	first := flow.now
 	flow.now = flow.now.Add(200 * time.Millisecond)
 	flow.send(1, 500, 100)
@@ -128,12 +129,12 @@
 	assert.Equal(t, len(unacknowledged), 1)
 	assert.Equal(t, unacknowledged[0].Target, uint64(100))
 	assert.Assert(t, unacknowledged[0].Since.Equal(first) && first.After(sentAt))
-	assert.Equal(t, len(flow.requests.TakeUnacknowledged()), 0, "taken once")
+	assert.Equal(t, len(flow.requests.TakeUnacknowledged()), 0, "returned twice")
 }
 
 func TestSignsOfLife(t *testing.T) {
 	lifeOf := func(flow *exchange) time.Time { return flow.site.table.LastLife(liveness.Subject{Target: 100}) }
-	t.Run("an answer is one", func(t *testing.T) {
+	t.Run("response", func(t *testing.T) {
 		flow := newExchange(t)
 		flow.send(1, 500, 100)
 		assert.Assert(t, lifeOf(flow).IsZero())
@@ -141,31 +142,31 @@
 		flow.send(101, 900, 0)
 		assert.Assert(t, lifeOf(flow).Equal(flow.now))
 	})
-	t.Run("an answer that is acknowledged with the next request is one of when it was asked", func(t *testing.T) {
+	t.Run("response acknowledged with the next request counts from the request", func(t *testing.T) {
 		flow := newExchange(t)
 		asked := flow.now
 		flow.send(1, 500, 100)
-		flow.now = flow.now.Add(3 * time.Second) // the caller rests, and the target may die
+		flow.now = flow.now.Add(3 * time.Second) // the target may die while the caller is idle
 		flow.send(101, 900, 100)
 		assert.Assert(t, lifeOf(flow).Equal(asked))
 	})
-	t.Run("an opening packet's answer is one", func(t *testing.T) {
+	t.Run("reply to a first packet", func(t *testing.T) {
 		site := newSite(t)
 		opened := site.open(rosterAddress, 1)
 		site.now = site.now.Add(5 * time.Millisecond)
 		site.follow(rosterAddress, 1, opened.Target.Token)
 		assert.Assert(t, site.table.LastLife(liveness.Subject{Target: opened.Target.Identifier}).Equal(site.now))
 	})
-	t.Run("new data a while after the first is one", func(t *testing.T) {
+	t.Run("new data some time after the first", func(t *testing.T) {
 		flow := newExchange(t)
 		flow.send(1, 500, 1200)
 		flow.send(1201, 500, 1200)
-		assert.Assert(t, lifeOf(flow).IsZero(), "a window of data goes at once")
+		assert.Assert(t, lifeOf(flow).IsZero(), "initial window needs no acknowledgement")
 		flow.now = flow.now.Add(repeatedAfter)
 		flow.send(2401, 500, 1200)
 		assert.Assert(t, lifeOf(flow).Equal(flow.now))
 	})
-	t.Run("data that comes again is none", func(t *testing.T) {
+	t.Run("retransmission is not activity", func(t *testing.T) {
 		flow := newExchange(t)
 		flow.send(1, 500, 100)
 		flow.now = flow.now.Add(time.Second)
@@ -198,7 +199,7 @@
 	assert.DeepEqual(t, site.table.TargetsToProbe(zone, 2), []uint64{104, 101})
 }
 
-// BenchmarkLastLifeOfAZone is what a report on a zone costs of 15,000 targets in 23.
+// BenchmarkLastLifeOfAZone reports on one zone among 15,000 targets in 23 zones.
 func BenchmarkLastLifeOfAZone(b *testing.B) {
 	table := &Table{index: newIndex(0)}
 	for number := range 15_000 {
--- a/internal/steering/token/early.go
+++ b/internal/steering/token/early.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// HasRoutes reports whether the table was made of a configuration. One without knows
-// targets only: it is for open flows, and what it lacks says nothing.
+// HasRoutes reports whether the table was built from a configuration. Without one it knows targets
+// only and serves open flows; a missing route then means nothing.
 func (t *Table) HasRoutes() bool { return t.routes != nil }
 
-// FollowEarly decides for a packet that is not an opening one while no configuration is
-// known. The word in it alone names its target. What is not known, or would be refused, is
-// held until there is a configuration.
+// FollowEarly steers a packet other than the first of a flow, by its token alone, while no
+// configuration is known. Packets with unknown tokens or for dead targets are held until there is
+// one.
 func (t *Table) FollowEarly(now time.Time, packet *Packet) Decision {
 	target := t.index.find(bindingOf(packet.Destination).token(packet.Token))
 	if target == nil || target.isDead(now) {
--- a/internal/steering/token/early_test.go
+++ b/internal/steering/token/early_test.go
@@ -9,7 +9,7 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// newEarlyTable is that of a daemon that knows targets and no routes.
+// newEarlyTable is the table of a daemon that knows targets but no routes.
 func newEarlyTable(t *testing.T, entries ...storeview.Entry) *Table {
 	t.Helper()
 	view := storeview.New(time.Minute)
@@ -25,17 +25,17 @@
 	assert.Equal(t, followedOn.Target.Identifier, uint64(100))
 	assert.Equal(t, followedOn.Word(), WordAt(rosterAddress, 100))
 	elsewhere := known.FollowEarly(testStart, &Packet{Destination: ledgerAddress, Token: WordAt(rosterAddress, 100)})
-	assert.Equal(t, elsewhere.Action, Hold, "a word of another address")
+	assert.Equal(t, elsewhere.Action, Hold, "token bound to another address")
 	unknown := known.FollowEarly(testStart, &Packet{Destination: rosterAddress, Token: WordAt(rosterAddress, 101)})
-	assert.Equal(t, unknown.Action, Hold, "the next that is known may name it")
+	assert.Equal(t, unknown.Action, Hold, "a target learned later may have the token")
 }
 
 func TestWithNeitherRoutesNorTargetsThereIsNoTable(t *testing.T) {
 	assert.Assert(t, newEarlyTable(t) == nil)
 }
 
-// TestFollowingBeforeRoutesCostsNoMemory: thousands of packets come in the moments after a
-// start of all.
+// TestFollowingBeforeRoutesCostsNoMemory guards against allocations for the burst of packets after
+// a restart of all daemons.
 func TestFollowingBeforeRoutesCostsNoMemory(t *testing.T) {
 	known := newEarlyTable(t, storeview.Entry{Key: "roster-0", Revision: 3, Target: &storeview.Target{Identifier: 100, Service: "roster"}})
 	packet := &Packet{Destination: rosterAddress, Token: WordAt(rosterAddress, 100)}
--- a/internal/steering/token/evacuation_test.go
+++ b/internal/steering/token/evacuation_test.go
@@ -10,7 +10,7 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// newZonedSite has targets of roster in three zones, and those of ledger in one.
+// newZonedSite has targets of roster in three zones and those of ledger in one.
 func newZonedSite(t *testing.T) *site {
 	t.Helper()
 	made := newSite(t)
@@ -25,7 +25,7 @@
 	s.put(storeview.Entry{Key: "order-" + zone, Order: &storeview.Order{Kind: storeview.OrderEvacuate, Zone: zone}})
 }
 
-// zonesOf opens flows, one after the other, and counts the zones of the targets they get.
+// zonesOf opens count flows one after another and returns the number per zone of their targets.
 func (s *site) zonesOf(t *testing.T, first, count int) map[string]int {
 	t.Helper()
 	zones := map[string]int{}
@@ -41,12 +41,12 @@
 func TestAnEvacuatedZoneGetsNoNewFlows(t *testing.T) {
 	site := newZonedSite(t)
 	opened := site.open(rosterAddress, 1)
-	assert.Assert(t, site.zonesOf(t, 100, 100)["a"] > 90, "the opener's own zone is preferred")
+	assert.Assert(t, site.zonesOf(t, 100, 100)["a"] > 90, "own zone not preferred")
 	site.evacuate("a")
 	zones := site.zonesOf(t, 200, 300)
 	assert.Equal(t, zones["a"], 0)
-	assert.Assert(t, zones["b"] > 100 && zones["c"] > 100, "the others share its part: %v", zones)
-	assert.Equal(t, site.follow(rosterAddress, 1, opened.Target.Token).Action, Forward, "open flows stay")
+	assert.Assert(t, zones["b"] > 100 && zones["c"] > 100, "other zones don't share the flows: %v", zones)
+	assert.Equal(t, site.follow(rosterAddress, 1, opened.Target.Token).Action, Forward, "open flow not kept")
 	site.remove("order-a")
 	assert.Assert(t, site.zonesOf(t, 600, 100)["a"] > 0)
 }
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestAFlowThatMayBeOpenIsNotReset: a copy of its opening packet that comes late has no
-// target left, and silence is the only answer that leaves the flow alone.
+// TestAFlowThatMayBeOpenIsNotReset covers a late retransmission of a first packet without an
+// eligible target: any reply would reset the flow, so it must be dropped.
 func TestAFlowThatMayBeOpenIsNotReset(t *testing.T) {
 	site := newSite(t)
 	opened := site.open(rosterAddress, 1)
@@ -86,8 +86,8 @@
 	assert.Equal(t, site.open(rosterAddress, 2).Action, Forward)
 }
 
-// TestALeavingTargetIsNoWayOutOfAnEvacuation: targets that drain are better than none, but
-// not where nothing may be sent.
+// TestALeavingTargetIsNoWayOutOfAnEvacuation checks that the fallback to draining targets does not
+// apply in evacuated zones.
 func TestALeavingTargetIsNoWayOutOfAnEvacuation(t *testing.T) {
 	site := newSite(t)
 	for number := range 6 {
--- a/internal/steering/token/index.go
+++ b/internal/steering/token/index.go
@@ -11,32 +11,33 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// index holds the known targets by token, by address, by zone and by service. It changes in
-// place, target by target, at a cost that does not depend on how many there are. Whoever
-// decides on packets holds it back meanwhile.
+// index holds the known targets by token, address, zone and service. It is updated in place,
+// target by target, at a cost independent of the number of targets. It must not be read while it
+// is updated.
 type index struct {
-	// marks leads to the targets of each mark, and by that to those of each token, addresses
-	// to those at each address; both are chains, as few have company there.
+	// marks and addresses hold linked lists of the targets with a mark and at an address. A mark
+	// is a prefix of the token, so it also leads to the targets of a token. Most lists have one
+	// element.
 	marks     map[loadshare.Mark]*Target
 	addresses map[addressKey]*Target
 	zones     map[string]*zone
 	services  map[string]*Service
-	// count is of all targets.
+	// count is the number of all targets.
 	count int
-	// mayOpen counts the targets that may get new flows, superseded those at whose address
-	// another one runs.
+	// mayOpen is the number of targets that accept new flows, superseded that of targets at whose
+	// address another target runs.
 	mayOpen, superseded int
-	// cold are the targets that are slow from their start and bear a bounded rate meanwhile.
+	// cold are the targets in slow start whose rate of new flows is limited.
 	cold map[*Target]struct{}
 }
 
-// zone is the targets of one zone, but for those that are superseded.
+// zone holds the targets of a zone, except superseded ones, and their number by service.
 type zone struct {
 	targets  []*Target
 	services map[string]int
 }
 
-// addressKey is an address and port, or their hash.
+// addressKey is an IPv4 address and port, or the hash of an IPv6 address and port.
 type addressKey uint64
 
 func addressKeyOf(address netip.AddrPort) addressKey {
@@ -51,7 +52,7 @@
 	return addressKey(xxhash.Sum64(bytes[:]))
 }
 
-// newIndex makes an index with room for so many targets.
+// newIndex returns an index with capacity for the given number of targets.
 func newIndex(targets int) *index {
 	return &index{
 		marks: make(map[loadshare.Mark]*Target, targets), addresses: make(map[addressKey]*Target, targets),
@@ -59,8 +60,8 @@
 	}
 }
 
-// find returns the target of a token, nil if there is none. Two may have one token; the first
-// by key gets the flows then, on every daemon alike.
+// find returns the target with a token, nil if there is none. If tokens collide, the target with
+// the lowest key gets the flows, so that all daemons agree.
 func (x *index) find(token uint32) *Target {
 	for target := x.marks[loadshare.MarkOf(token)]; target != nil; target = target.sameMark {
 		if target.Token == token && !target.isShadowed {
@@ -70,7 +71,7 @@
 	return nil
 }
 
-// held returns the target that was made of an entry, nil if there is none.
+// held returns the target of a store entry, nil if there is none.
 func (x *index) held(identifier uint64, key string) *Target {
 	for target := x.marks[loadshare.MarkOf(Of(identifier))]; target != nil; target = target.sameMark {
 		if target.Identifier == identifier && target.Key == key {
@@ -80,7 +81,6 @@
 	return nil
 }
 
-// add enters a target.
 func (x *index) add(target *Target) {
 	x.count++
 	mark, address := loadshare.MarkOf(target.Token), addressKeyOf(target.Address)
@@ -89,7 +89,6 @@
 	x.settle(target)
 }
 
-// remove takes a target out.
 func (x *index) remove(target *Target) {
 	x.count--
 	x.displace(target)
@@ -102,7 +101,7 @@
 	x.settle(target)
 }
 
-// unlink takes a target out of a chain.
+// unlink removes a target from a linked list; next returns the link field of an element.
 func unlink[K comparable](chains map[K]*Target, key K, target *Target, next func(*Target) **Target) {
 	if chains[key] == target {
 		if chains[key] = *next(target); chains[key] == nil {
@@ -118,8 +117,8 @@
 	}
 }
 
-// settle decides anew who gets the flows of a token, and who runs at an address, after a target
-// with them was added or removed.
+// settle recomputes which target owns a token and which one runs at an address, after a target
+// with that token and address was added or removed.
 func (x *index) settle(changed *Target) {
 	tokens := x.marks[loadshare.MarkOf(changed.Token)]
 	shadow(tokens, changed.Token)
@@ -133,7 +132,8 @@
 	}
 }
 
-// shadow lets the first by key of the targets with a token have its flows, and no other.
+// shadow resolves token collisions: of the targets with a token only the one with the lowest key
+// gets flows.
 func shadow(chain *Target, token uint32) {
 	var first *Target
 	for target := chain; target != nil; target = target.sameMark {
@@ -148,7 +148,7 @@
 	}
 }
 
-// supersede decides which targets at an address have ended.
+// supersede recomputes which targets at an address have ended.
 func (x *index) supersede(chain *Target, address netip.AddrPort) {
 	present := presentAt(chain, address)
 	for target := chain; target != nil; target = target.sameAddress {
@@ -158,8 +158,8 @@
 	}
 }
 
-// presentAt returns the target that runs at an address: of those in the store the one that was
-// written last.
+// presentAt returns the target that runs at an address: of those in the store, the one written
+// last.
 func presentAt(chain *Target, address netip.AddrPort) *Target {
 	var present *Target
 	for target := chain; target != nil; target = target.sameAddress {
@@ -173,8 +173,8 @@
 	return present
 }
 
-// isLaterThan reports whether a target began to run at an address after another one, both being in
-// the store.
+// isLaterThan reports whether a target started to run at an address after another one, both being
+// in the store.
 func (t *Target) isLaterThan(other *Target) bool {
 	if order := t.compareRuns(other); order != 0 {
 		return order > 0
@@ -182,9 +182,9 @@
 	return cmp.Or(cmp.Compare(t.Revision, other.Revision), cmp.Compare(t.Key, other.Key)) > 0
 }
 
-// compareRuns compares when two targets were started, 0 if their revisions tell which was written
-// later. Those of two epochs do not: a restored store may have an entry, under a later revision, of
-// a target that has ended long ago.
+// compareRuns compares the incarnations of two targets of different store epochs, and returns 0 if
+// their revisions are to be compared instead. Revisions aren't comparable across epochs: a store
+// restored from a backup may list a target that ended long ago under a later revision.
 func (t *Target) compareRuns(other *Target) int {
 	isOfOneEpoch := storeview.EpochOf(t.Written) == storeview.EpochOf(other.Written)
 	if isOfOneEpoch || t.Incarnation == 0 || other.Incarnation == 0 {
@@ -193,10 +193,10 @@
 	return cmp.Compare(t.Incarnation, other.Incarnation)
 }
 
-// isSupersededBy reports whether the target has ended, as another one runs at its address. Of
-// two in the store the one written earlier has ended, as it cannot have been written since. One
-// that went has ended if the one that is there was written later: else it is the other one that
-// ended, whose removal is not known here yet.
+// isSupersededBy reports whether the target has ended because another one runs at its address. Of
+// two targets in the store the earlier one has ended, since it can't have been written since. A
+// target that is gone has ended only if the present one was written later: otherwise it is the
+// present one that ended, and its removal is not known here yet.
 func (t *Target) isSupersededBy(present *Target) bool {
 	switch {
 	case present == nil || present == t:
@@ -219,7 +219,7 @@
 	}
 }
 
-// all calls visit with every target that flows can be followed to.
+// all calls visit with every target that can have flows.
 func (x *index) all(visit func(target *Target)) {
 	for _, chain := range x.marks {
 		for target := chain; target != nil; target = target.sameMark {
--- a/internal/steering/token/lapse_test.go
+++ b/internal/steering/token/lapse_test.go
@@ -9,12 +9,12 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// lapsing says that the store came back just now.
+// lapsing simulates that the store has just come back.
 func (s *site) lapsing() {
 	s.opener.SetLapse(storeview.Lapse{Since: s.now, Until: s.now.Add(2 * time.Second)})
 }
 
-// opened counts the targets of some flows by identifier.
+// opened opens flows and returns their number by target identifier.
 func (s *site) opened(t *testing.T, flows int) map[uint64]int {
 	t.Helper()
 	counts := map[uint64]int{}
@@ -26,7 +26,8 @@
 	return counts
 }
 
-// TestOneTargetIsNotFloodedForALapse: all entries lapsed, and one is back.
+// TestOneTargetIsNotFloodedForALapse guards against sending all flows to the first target that
+// re-registers after all entries expired in a store outage.
 func TestOneTargetIsNotFloodedForALapse(t *testing.T) {
 	lapsed := func(t *testing.T) *site {
 		t.Helper()
@@ -37,18 +38,18 @@
 		site.target("roster-4", 104, "roster", func(target *storeview.Target) { target.Draining = true })
 		return site
 	}
-	t.Run("in a lapse those that went without a word get flows", func(t *testing.T) {
+	t.Run("during the expiry window targets with expired entries get flows", func(t *testing.T) {
 		site := lapsed(t)
 		site.lapsing()
 		counts := site.opened(t, 100)
 		assert.Equal(t, len(counts), 5)
-		assert.Equal(t, counts[104], 0, "one that said it leaves gets none")
+		assert.Equal(t, counts[104], 0, "draining target got flows")
 	})
-	t.Run("without one they get none", func(t *testing.T) {
+	t.Run("no expiry window", func(t *testing.T) {
 		counts := lapsed(t).opened(t, 100)
 		assert.Equal(t, counts[105], 100)
 	})
-	t.Run("after it they get none", func(t *testing.T) {
+	t.Run("after the expiry window", func(t *testing.T) {
 		site := lapsed(t)
 		site.lapsing()
 		site.now = site.now.Add(2 * time.Second)
@@ -57,7 +58,8 @@
 	})
 }
 
-// TestWhatMayOnlyBeMissingIsHeld instead of being refused or dropped.
+// TestWhatMayOnlyBeMissingIsHeld checks that packets are held, not refused or dropped, while
+// targets may be missing from the store.
 func TestWhatMayOnlyBeMissingIsHeld(t *testing.T) {
 	site := newSite(t)
 	site.remove("ledger-0")
@@ -70,5 +72,5 @@
 	site.lapsing()
 	assert.Equal(t, lack(site.open(ledgerAddress, 2)), Hold)
 	assert.Equal(t, lack(unknown), Hold)
-	assert.Equal(t, lack(site.follow(ledgerAddress, 1, Of(100))), Forward, "a known target waits for nothing")
+	assert.Equal(t, lack(site.follow(ledgerAddress, 1, Of(100))), Forward, "packet for a known target was held")
 }
--- a/internal/steering/token/limit_test.go
+++ b/internal/steering/token/limit_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// shrunken is a service of which one target with two slots is left.
+// shrunken has a service with a single target of two slots left.
 func shrunken(t *testing.T) *site {
 	t.Helper()
 	site := newSite(t)
@@ -18,7 +18,7 @@
 	return site
 }
 
-// admitted opens flows until one is not forwarded.
+// admitted opens flows until one is not forwarded and returns the number forwarded.
 func (s *site) admitted(t *testing.T) int {
 	t.Helper()
 	for number := range 100 {
@@ -32,23 +32,23 @@
 }
 
 func TestATargetGetsNoMoreThanItCanTake(t *testing.T) {
-	t.Run("one daemon gives it one for each slot", func(t *testing.T) {
+	t.Run("one daemon sends one flow per slot", func(t *testing.T) {
 		site := shrunken(t)
 		site.opener.SetDaemons(1)
 		assert.Equal(t, site.admitted(t), 2)
 	})
-	t.Run("many share it, each with one at least", func(t *testing.T) {
+	t.Run("many daemons send at least one each", func(t *testing.T) {
 		site := shrunken(t)
 		site.opener.SetDaemons(50)
 		assert.Equal(t, site.admitted(t), 1)
 	})
-	t.Run("without a limit it gets all", func(t *testing.T) {
+	t.Run("no limit", func(t *testing.T) {
 		assert.Equal(t, shrunken(t).admitted(t), 100)
 	})
 }
 
-// TestWhatWaitsCountsUntilItIsAnswered: the next flow goes on when the answer to the
-// one before begins.
+// TestWhatWaitsCountsUntilItIsAnswered checks that a pending request occupies a slot until its
+// response begins.
 func TestWhatWaitsCountsUntilItIsAnswered(t *testing.T) {
 	site := shrunken(t)
 	site.opener.SetDaemons(50)
@@ -60,13 +60,13 @@
 	site.opener.NoteAnswered(site.now, &followed, data)
 	requests.Note(site.now, &followed, data)
 	site.now = site.now.Add(time.Second)
-	assert.Equal(t, site.open(rosterAddress, 2).Action, Hold, "it waits for longer than a pick is remembered")
+	assert.Equal(t, site.open(rosterAddress, 2).Action, Hold, "request pending for longer than the lifetime of a pick")
 	answered := &Packet{Source: caller(1), Destination: rosterAddress, Token: opened.Word(), Acknowledgement: 4001}
 	requests.Note(site.now, &followed, answered)
 	assert.Equal(t, site.open(rosterAddress, 3).Action, Forward)
 }
 
-// TestALimitMovesNoShares: what one backend cannot take at once is not another's.
+// TestALimitMovesNoShares checks that flows of a backend at its limit don't spill over to others.
 func TestALimitMovesNoShares(t *testing.T) {
 	site := newSite(t)
 	site.opener.SetDaemons(50)
@@ -84,8 +84,8 @@
 	assert.Assert(t, counts["ledger"] <= 2, "%v", counts)
 }
 
-// TestARequestThatIsNotFollowedAnyMoreHoldsNoPlace: the table of requests is full, or
-// the answer went past another daemon.
+// TestARequestThatIsNotFollowedAnyMoreHoldsNoPlace guards against leaked slots of requests that
+// were evicted from the full table, or whose acknowledgement went past another daemon.
 func TestARequestThatIsNotFollowedAnyMoreHoldsNoPlace(t *testing.T) {
 	site := shrunken(t)
 	requests := NewRequests(1)
@@ -96,7 +96,7 @@
 		requests.Note(site.now, &decision, data)
 	}
 	later := site.now.Add(time.Minute)
-	assert.Equal(t, decision.Target.Signal.InProgress(later) > 0.5, true, "one is followed")
+	assert.Equal(t, decision.Target.Signal.InProgress(later) > 0.5, true, "only one request is tracked")
 	requests.Overdue(later)
 	assert.Assert(t, decision.Target.Signal.InProgress(later) < 0.5, "%v", decision.Target.Signal.InProgress(later))
 	assert.Equal(t, decision.Action, Forward)
--- a/internal/steering/token/lives.go
+++ b/internal/steering/token/lives.go
@@ -9,8 +9,7 @@
 	"github.com/passtray/passtray/internal/liveness"
 )
 
-// ZoneOf returns a target's zone; found is false if packets of its flows are not
-// forwarded.
+// ZoneOf returns the zone of a target, or false if its flows can't be forwarded.
 func (t *Table) ZoneOf(identifier uint64) (zone string, found bool) {
 	target := t.targetOf(identifier)
 	if target == nil || target.IsSuperseded {
@@ -19,7 +18,7 @@
 	return target.Zone, true
 }
 
-// IsKnown reports whether packets of a subject's flows are forwarded.
+// IsKnown reports whether packets can be forwarded to the subject, a target or zone.
 func (t *Table) IsKnown(subject liveness.Subject) bool {
 	if subject.Zone != "" {
 		return t.index.zones[subject.Zone] != nil
@@ -28,8 +27,8 @@
 	return isKnown
 }
 
-// targetsOf returns the targets of a subject, without those that have ended for certain. The
-// list is not to be changed.
+// targetsOf returns the targets of a subject, except superseded ones. The slice must not be
+// modified.
 func (t *Table) targetsOf(subject liveness.Subject) []*Target {
 	if subject.Zone != "" {
 		if held := t.index.zones[subject.Zone]; held != nil {
@@ -43,7 +42,7 @@
 	return nil
 }
 
-// LastLife is when a subject was last seen to send something, zero if it never was.
+// LastLife returns the time of the last observed activity of a subject, zero if there was none.
 func (t *Table) LastLife(subject liveness.Subject) time.Time {
 	var last time.Time
 	for _, target := range t.targetsOf(subject) {
@@ -54,7 +53,7 @@
 	return last
 }
 
-// ServicesOf returns how many targets of each service a subject has.
+// ServicesOf returns the number of the subject's targets by service.
 func (t *Table) ServicesOf(subject liveness.Subject) map[string]int {
 	if held := t.index.zones[subject.Zone]; subject.Zone != "" && held != nil {
 		return maps.Clone(held.services)
@@ -66,8 +65,8 @@
 	return counts
 }
 
-// TargetsToProbe returns some targets, at most count, that speak for a subject: half of them
-// those that were heard from last, and half those that were not for the longest time.
+// TargetsToProbe returns up to count targets to probe for a subject: half of them the most
+// recently active ones, half the least recently active.
 func (t *Table) TargetsToProbe(subject liveness.Subject, count int) []uint64 {
 	targets := slices.Clone(t.targetsOf(subject))
 	slices.SortFunc(targets, func(a, b *Target) int {
@@ -84,8 +83,8 @@
 	return identifiers
 }
 
-// SetDead holds a target for dead until a time. Its share of new flows grows back until
-// another.
+// SetDead marks a target as dead until the given time. Its share of new flows then ramps up until
+// probation.
 func (t *Table) SetDead(identifier uint64, until, probation time.Time) {
 	if target := t.targetOf(identifier); target != nil {
 		target.Signal.SetDead(until, probation)
@@ -93,28 +92,27 @@
 	}
 }
 
-// SetAlive takes that back.
+// SetAlive reverts SetDead.
 func (t *Table) SetAlive(identifier uint64) {
 	if target := t.targetOf(identifier); target != nil {
 		target.Signal.SetAlive()
 	}
 }
 
-// IsDead reports whether flows of a target have nobody to go to.
+// IsDead reports whether a target can't serve its flows any more.
 func (t *Table) IsDead(now time.Time, identifier uint64) bool {
 	target := t.targetOf(identifier)
 	return target != nil && target.isDead(now)
 }
 
-// IsDeadToken reports the same of the target of a token.
+// IsDeadToken is IsDead for the target with a token.
 func (t *Table) IsDeadToken(now time.Time, token uint32) bool {
 	target := t.index.find(token)
 	return target != nil && target.isDead(now)
 }
 
-// TargetOf returns the target of a token, nil if there is none.
+// TargetOf returns the target with a token, nil if there is none.
 func (t *Table) TargetOf(token uint32) *Target { return t.index.find(token) }
 
-// HasSuperseded reports whether some target has ended because another one runs at its
-// address.
+// HasSuperseded reports whether any target was superseded by another one at its address.
 func (t *Table) HasSuperseded() bool { return t.index.superseded > 0 }
--- a/internal/steering/token/open_bench_test.go
+++ b/internal/steering/token/open_bench_test.go
@@ -13,8 +13,8 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// newLargeSite has a service of many targets, of which some are listed by the store that
-// has just come back.
+// newLargeSite has a service of many targets, of which only the first ones are listed by the store
+// that has just come back.
 func newLargeSite(targets, listed int) *site {
 	made := &site{
 		view:    storeview.New(time.Minute),
@@ -38,9 +38,8 @@
 	return made
 }
 
-// BenchmarkOpen chooses for opening packets, while all targets are listed and while the store has
-// just come back with none. When each choice looked at all, one took 13, 76, 534 and 1,357 µs of
-// 150, 1,000, 10,000 and 20,000 that are listed (one core of the test machine).
+// BenchmarkOpen picks targets while all of them are listed, and while the store has just come back
+// with none.
 func BenchmarkOpen(b *testing.B) {
 	for _, targets := range []int{150, 1000, 10_000, 20_000} {
 		for name, listed := range map[string]int{"all": targets, "none": 0} {
@@ -55,8 +54,8 @@
 	}
 }
 
-// TestAPickKeepsNoNewMemory: daemons have little of it, and opening packets come by the
-// thousand while targets are missing.
+// TestAPickKeepsNoNewMemory guards against allocations per first packet, also while targets are
+// missing from the store.
 func TestAPickKeepsNoNewMemory(t *testing.T) {
 	for name, listed := range map[string]int{"all listed": 1000, "none listed": 0} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/steering/token/opener.go
+++ b/internal/steering/token/opener.go
@@ -12,37 +12,38 @@
 )
 
 const (
-	// copyAfter is how long after a pick a further opening packet counts as the
-	// caller's copy, which means that the target was silent, and not as the
-	// network's.
+	// copyAfter is the minimum age of a pick at which another first packet counts as a
+	// retransmission by the caller, meaning that the target did not respond, and not as a
+	// duplicate made by the network.
 	copyAfter = 100 * time.Millisecond
-	// silentAfter is how many opening packets in a row must stay unanswered before
-	// a target is passed over. Each daemon sees only its part of the flows, so
-	// waiting for more makes many callers wait.
+	// silentAfter is how many first packets in a row must be unanswered before a target is
+	// ejected. Each daemon sees only its part of the flows, so a higher threshold would delay many
+	// callers.
 	silentAfter = 1
-	// maximumRetries is how often a flow is steered to another target.
+	// maximumRetries is how often a flow may be steered to another target.
 	maximumRetries = 2
 )
 
-// Opener decides for opening packets. One goroutine at a time may use it.
+// Opener steers the first packets of flows. It is not safe for concurrent use.
 type Opener struct {
 	zone       string
 	random     *rand.Rand
 	pins       *ownership.Table
 	leavingFor time.Duration
-	// silent are the targets that left an opening packet unanswered.
+	// silent are the targets that left a first packet unanswered.
 	silent []Unanswered
-	// lapse is when targets may be missing although they live.
+	// lapse is the period in which entries of running targets may be missing.
 	lapse storeview.Lapse
-	// daemons is among how many daemons the targets' capacity is shared, and atLimit
-	// says that the last pick found only targets with enough to do.
+	// daemons is the number of daemons that share the targets' capacity. atLimit is set if the
+	// last pick found only targets at their limit.
 	daemons int
 	atLimit bool
-	// overloaded is the service that the last pick was for, if it has no room.
+	// overloaded is the service of the last pick if it rejected the flow for overload.
 	overloaded *Service
-	// knowsOpen says that the flows that are open at targets are known.
+	// knowsOpen is set once the numbers of open flows at targets are known.
 	knowsOpen bool
-	// What follows is of the pick under way, and kept so that one needs no new memory.
+	// The following fields are the state of the current pick, kept here so that a pick doesn't
+	// allocate.
 	now                         time.Time
 	request                     balance.Request
 	sources                     [2]balance.Source[*Target]
@@ -50,27 +51,25 @@
 	allowsLapsed, allowsLeaving func(target *Target) bool
 }
 
-// NewOpener makes an opener that remembers flows in pins. For leavingFor after
-// that was learned, targets that drain or went may get flows where no other
-// target is left.
+// NewOpener returns an opener that stores flow assignments in pins. Targets that are draining or
+// gone may get new flows for leavingFor after that was learned, if no other target is left.
 func NewOpener(zone string, random *rand.Rand, pins *ownership.Table, leavingFor time.Duration) *Opener {
 	opener := &Opener{zone: zone, random: random, pins: pins, leavingFor: leavingFor}
 	opener.allowsLapsed, opener.allowsLeaving = opener.isLapsed, opener.isLeavingLately
 	return opener
 }
 
-// SetLapse says when targets may be missing although they live.
+// SetLapse sets the period in which entries of running targets may be missing.
 func (o *Opener) SetLapse(lapse storeview.Lapse) { o.lapse = lapse }
 
-// SetDaemons says among how many daemons, this one included, the targets' capacity is
-// shared.
+// SetDaemons sets the number of daemons, including this one, that share the targets' capacity.
 func (o *Opener) SetDaemons(count int) { o.daemons = count }
 
-// SetKnowsOpen says that the flows that are open at targets are known from now on.
+// SetKnowsOpen declares that the numbers of open flows at targets are known from now on.
 func (o *Opener) SetKnowsOpen() { o.knowsOpen = true }
 
-// Lack turns the decision on a packet whose target is not known into one to hold it
-// while that may be for a lapse: what the store lists is not all there is then.
+// Lack changes a decision that failed for want of a target to Hold while entries of running
+// targets may be missing from the store.
 func (o *Opener) Lack(now time.Time, decision Decision) Decision {
 	switch decision.Reason {
 	case ReasonNoTarget, ReasonEvacuated, ReasonUnknownToken:
@@ -81,8 +80,9 @@
 	return decision
 }
 
-// Open decides for an opening packet. Copies of one go to the same target while
-// it may answer and elsewhere when it stays silent; nothing has run then.
+// Open steers the first packet of a flow. Retransmissions go to the same target while it may still
+// respond, and to another one once it is considered unresponsive. That is safe: nothing was
+// processed.
 func (o *Opener) Open(now time.Time, table *Table, packet *Packet) Decision {
 	route := table.routes[packet.Destination]
 	if route == nil {
@@ -107,13 +107,13 @@
 	case o.atLimit:
 		return Decision{Action: Hold, Reason: ReasonAtLimit, Route: route}
 	case table.isEvacuated(route):
-		// The order may last for long: the caller is told at once instead of waiting.
+		// An evacuation may last long: refuse at once instead of holding the packet.
 		return Decision{Action: Refuse, Reason: ReasonEvacuated, Route: route}
 	}
 	return Decision{Action: Refuse, Reason: ReasonNoTarget, Route: route}
 }
 
-// isEvacuated reports whether targets behind a route are kept from new flows by orders.
+// isEvacuated reports whether an evacuation order keeps targets of a route from new flows.
 func (t *Table) isEvacuated(route *Route) bool {
 	return slices.ContainsFunc(route.Backends, func(backend storeview.Backend) bool {
 		service := t.services[backend.Service]
@@ -125,7 +125,7 @@
 	return ownership.FlowKey{Service: route.Number, Caller: packet.Source}
 }
 
-// repeat decides for a further opening packet of a flow.
+// repeat steers a retransmitted first packet.
 func (o *Opener) repeat(now time.Time, table *Table, decision *Decision, held ownership.Pin) (ownership.Pin, bool) {
 	silent := table.index.find(held.Target)
 	if silent != nil && silent.IsEvacuated {
@@ -151,9 +151,9 @@
 	return o.pin(now, decision, held)
 }
 
-// replaceEvacuated decides for a further opening packet of a flow whose target stands in
-// a zone that was evacuated meanwhile. A flow that may be open at that target gets no
-// answer: a reset would end it.
+// replaceEvacuated steers a retransmitted first packet whose target is in a zone that was
+// evacuated since. A flow that may be open at that target gets no reply, because a reset would end
+// it.
 func (o *Opener) replaceEvacuated(now time.Time, table *Table, decision *Decision, held ownership.Pin) (ownership.Pin, bool) {
 	decision.Reason = ReasonEvacuated
 	if held.Answered {
@@ -163,7 +163,7 @@
 	return o.pin(now, decision, held)
 }
 
-// TakeSilent returns what targets left unanswered since the last call.
+// TakeSilent returns the targets that left first packets unanswered since the last call.
 func (o *Opener) TakeSilent() []Unanswered {
 	silent := o.silent
 	o.silent = nil
@@ -181,8 +181,8 @@
 	return held, true
 }
 
-// NoteAnswered notes that a flow's caller has heard from its target: the target
-// lives, and further opening packets of the flow stay with it.
+// NoteAnswered records that a caller has received a reply from its target. This counts as activity
+// of the target, and retransmissions of the flow's first packet stay with it.
 func (o *Opener) NoteAnswered(now time.Time, decision *Decision, packet *Packet) {
 	if o.pins.MarkAnswered(decision.Route.Number, packet.Source, decision.Target.Token) {
 		decision.Target.Signal.NoteAnswered()
--- a/internal/steering/token/openflows.go
+++ b/internal/steering/token/openflows.go
@@ -7,42 +7,39 @@
 )
 
 const (
-	// longFlowAfter is from what age on a flow counts as open: one that lasts for a
-	// single request is gone before anybody could be told.
+	// longFlowAfter is the minimum age of a flow that counts as open. Flows for a single request
+	// end before their count could be reported.
 	longFlowAfter = 500 * time.Millisecond
-	// openFlowSilence is after how long without data a flow counts no more. Its
-	// caller rests or is gone, or its packets go past another daemon.
+	// openFlowSilence is the time without data after which a flow doesn't count as open: its
+	// caller is idle or gone, or its packets take a path past another daemon.
 	openFlowSilence = 5 * time.Second
-	// mostOpenFlows bounds the flows that are kept: 50 million among 1,400 daemons are
-	// 36,000 at each. Beyond it new ones are left out, and learn of their target's death
-	// with their next packet.
+	// mostOpenFlows is the maximum number of tracked flows: 50 million flows among 1,400 daemons
+	// are 36,000 each. Flows beyond it aren't tracked, and are reset only with their next packet
+	// if their target dies.
 	mostOpenFlows = 1 << 16
-	// defaultIdle is for how long a flow that rests is kept where the configuration does
-	// not say when it may be forgotten.
+	// defaultIdle is the idle timeout if the configuration sets none.
 	defaultIdle = time.Minute
-	// bytesOfPlace is what the place of a flow in the map costs: 12 bytes in groups that
-	// are between 7/16 and 7/8 full, and a byte of control each.
+	// bytesOfPlace is the memory per flow in the map: 12 bytes in groups that are 7/16 to 7/8
+	// full, and a control byte each.
 	bytesOfPlace = 22
 )
 
-// openFlow is one flow whose packets came here: its last head, and when it was used.
-// It has no pointers, so that the garbage collector need not look into it.
+// openFlow is one tracked flow. It has no pointers, so the garbage collector doesn't scan it.
 type openFlow struct {
 	hash                uint64
 	caller, destination [16]byte
 	callerPort, port    uint16
-	target              uint32 // its token, 0 in a place that is free
-	route               uint32 // the number of the route that it was seen under last
+	target              uint32 // token, 0 in a free slot
+	route               uint32 // number of the route that last matched
 	acknowledgement     uint32
-	// firstData and lastData are of packets with data, last is of any.
+	// firstData and lastData are the times of packets with data, last that of any packet.
 	firstData, lastData, last moment
 }
 
-// moment is a time in milliseconds since the first one that was noted, modulo 49 days; 0 is
-// none. It counts by the steady clock: the time of day may jump.
+// moment is a time in milliseconds since the first recorded one, modulo 2^32 (49 days); 0 is none.
+// It is monotonic, since wall-clock time may jump.
 type moment uint32
 
-// momentOf returns the moment of a time.
 func (o *openFlows) momentOf(at time.Time) moment {
 	if o.began.IsZero() {
 		o.began = at.Add(-time.Millisecond)
@@ -50,29 +47,28 @@
 	return max(1, moment(at.Sub(o.began).Milliseconds()))
 }
 
-// since returns how much later a moment is than another, below 0 if it is earlier: the control
-// loop's time is that of a tick's beginning, and packets come meanwhile. Unsigned, a
-// millisecond back would be 49 days on, and the flow would be forgotten.
+// since returns the time from earlier to m, negative if m is before earlier. That happens because
+// the control loop uses the time at which its tick began, and packets arrive meanwhile. Unsigned
+// arithmetic would turn 1 ms into 49 days, and the flow would be forgotten.
 func (m moment) since(earlier moment) time.Duration {
 	return time.Duration(int32(m-earlier)) * time.Millisecond
 }
 
-// openFlows keeps the flows that are open at targets, as far as their packets come past
-// this daemon: how many there are at each, and what it takes to reset one that rests.
-// One goroutine at a time may use it.
+// openFlows tracks open flows whose packets pass this daemon: how many each target has, and what
+// is needed to reset idle ones. It is not safe for concurrent use.
 type openFlows struct {
-	places map[uint64]uint32 // by the hash of route and caller: where in flows
+	places map[uint64]uint32 // index in flows by flow hash
 	flows  []openFlow
 	free   []uint32
-	// idle is for how long a flow that rests is kept.
+	// idle is the idle timeout of a flow.
 	idle time.Duration
-	// began is when moments count from.
+	// began is the time from which moments count.
 	began time.Time
 }
 
 func newOpenFlows() *openFlows { return &openFlows{places: map[uint64]uint32{}, idle: defaultIdle} }
 
-// note takes in a packet that is forwarded on an open flow, under a route given by its number.
+// note records a packet forwarded on an open flow; route is the route's number.
 func (o *openFlows) note(now time.Time, hash uint64, route uint32, target *Target, packet *Packet) {
 	if packet.IsClosing || packet.IsReset {
 		o.remove(hash)
@@ -104,8 +100,7 @@
 	}
 }
 
-// find returns the place of a flow, a free one if the flow is not kept, or nil if there
-// is none.
+// find returns the slot of a flow, a free one if the flow isn't tracked, or nil if none is left.
 func (o *openFlows) find(hash uint64) *openFlow {
 	if place, isKnown := o.places[hash]; isKnown {
 		return &o.flows[place]
@@ -124,8 +119,9 @@
 	return &o.flows[place]
 }
 
-// dataSince returns since when data of a flow to a target has come here under a route, now if none has. After a
-// silence that is longer than any between two sends it may be another flow from the same port.
+// dataSince returns since when data of a flow to a target has arrived under a route, now if none
+// has. After a silence longer than any retransmission interval it may be another flow from the
+// same port.
 func (o *openFlows) dataSince(now time.Time, hash uint64, route, target uint32) time.Time {
 	place, isKnown := o.places[hash]
 	if !isKnown {
@@ -138,7 +134,6 @@
 	return now.Add(-at.since(flow.firstData))
 }
 
-// remove keeps a flow no longer.
 func (o *openFlows) remove(hash uint64) {
 	place, isKnown := o.places[hash]
 	if !isKnown {
@@ -149,8 +144,7 @@
 	o.free = append(o.free, place)
 }
 
-// count returns the number of open flows by target and forgets those that rested for too
-// long.
+// count returns the number of open flows by target and removes flows past the idle timeout.
 func (o *openFlows) count(now time.Time) map[uint32]int {
 	counts, at := map[uint32]int{}, o.momentOf(now)
 	for index := range o.flows {
@@ -167,7 +161,7 @@
 	return counts
 }
 
-// take removes flows whose targets are dead, at most so many, and returns their last heads.
+// take removes up to most flows whose targets are dead and returns their last packet heads.
 func (o *openFlows) take(isDead func(target uint32) bool, most int) []Packet {
 	var heads []Packet
 	for index := range o.flows {
@@ -190,9 +184,9 @@
 	}
 }
 
-// HeldFlows is what a daemon keeps of open flows.
+// HeldFlows are statistics on tracked open flows.
 type HeldFlows struct {
-	// Count is how many are kept, Most the bound, Bytes about what they take.
+	// Count is the number of tracked flows, Most the maximum, Bytes the approximate memory.
 	Count, Most, Bytes int
 }
 
@@ -202,7 +196,7 @@
 	return HeldFlows{Count: len(o.places), Most: mostOpenFlows, Bytes: bytes}
 }
 
-// SetIdle says after how long of rest a flow may be forgotten, 0 where that is not known.
+// SetIdle sets the idle timeout of flows; 0 selects the default.
 func (r *Requests) SetIdle(idle time.Duration) {
 	r.open.idle = defaultIdle
 	if idle > 0 {
@@ -210,11 +204,11 @@
 	}
 }
 
-// HeldFlows returns what is kept of open flows.
+// HeldFlows returns statistics on tracked open flows.
 func (r *Requests) HeldFlows() HeldFlows { return r.open.held() }
 
-// TakeResting ends flows whose targets are dead and whose callers wait for nothing, at most
-// so many, and returns for each the head that a reset answers. The target is given by token.
+// TakeResting removes up to most open flows whose targets, given by token, are dead, and returns
+// for each the packet head to answer with a reset.
 func (r *Requests) TakeResting(isDead func(target uint32) bool, most int) []Packet {
 	return r.open.take(isDead, most)
 }
--- a/internal/steering/token/openflows_test.go
+++ b/internal/steering/token/openflows_test.go
@@ -17,28 +17,28 @@
 	data, end := &Packet{PayloadLength: 1}, &Packet{IsClosing: true}
 	flows := newOpenFlows()
 	flows.note(begun, 1, 1, target, data)
-	assert.Equal(t, len(flows.count(begun)), 0, "it may be for one request")
+	assert.Equal(t, len(flows.count(begun)), 0, "flow may be for a single request")
 	later := begun.Add(longFlowAfter)
 	flows.note(later, 1, 1, target, data)
-	flows.note(later, 2, 1, other, &Packet{}) // an acknowledgement says nothing of its age
+	flows.note(later, 2, 1, other, &Packet{}) // acknowledgements don't count for a flow's age
 	assert.DeepEqual(t, flows.count(later), map[uint32]int{7: 1})
-	t.Run("until it ends", func(t *testing.T) {
+	t.Run("closed flow", func(t *testing.T) {
 		flows.note(later, 3, 1, other, data)
 		flows.note(later.Add(longFlowAfter), 3, 1, other, data)
 		assert.Equal(t, flows.count(later.Add(longFlowAfter))[8], 1)
 		flows.note(later, 3, 1, other, end)
 		assert.Equal(t, flows.count(later.Add(longFlowAfter))[8], 0)
 	})
-	t.Run("or is silent", func(t *testing.T) {
+	t.Run("idle flow", func(t *testing.T) {
 		assert.Equal(t, flows.count(later.Add(openFlowSilence - 1))[7], 1)
 		assert.Equal(t, flows.count(later.Add(openFlowSilence))[7], 0)
-		assert.Equal(t, flows.held().Count, 2, "it is kept, as it may rest")
+		assert.Equal(t, flows.held().Count, 2, "idle flow no longer tracked")
 		flows.count(later.Add(defaultIdle - time.Millisecond))
 		assert.Equal(t, flows.held().Count, 2)
 		flows.count(later.Add(defaultIdle))
 		assert.Equal(t, flows.held().Count, 0)
 	})
-	t.Run("and only so many", func(t *testing.T) {
+	t.Run("bounded", func(t *testing.T) {
 		for flow := range uint64(2 * mostOpenFlows) {
 			flows.note(begun, flow, 1, target, data)
 		}
@@ -47,37 +47,37 @@
 		assert.Assert(t, held.Bytes < 8<<20, "%d bytes", held.Bytes)
 		flows.count(begun.Add(defaultIdle))
 		flows.note(begun.Add(defaultIdle), 1, 1, target, data)
-		assert.Equal(t, flows.held().Count, 1, "places are used again")
+		assert.Equal(t, flows.held().Count, 1, "slots not reused")
 		assert.Equal(t, len(flows.flows), mostOpenFlows)
 	})
 }
 
-// isDeadAt holds one target for dead, by token.
+// isDeadAt reports only the target with the given token as dead.
 func isDeadAt(token uint32) func(uint32) bool {
 	return func(target uint32) bool { return target == token }
 }
 
-// TestFlowsThatRestAtADeadTargetAreTakenOnce, with what a reset must name.
+// TestFlowsThatRestAtADeadTargetAreTakenOnce also checks the fields that a reset needs.
 func TestFlowsThatRestAtADeadTargetAreTakenOnce(t *testing.T) {
 	flow := newExchange(t)
 	flow.send(1, 500, 100)
-	flow.send(101, 900, 0) // the answer came, and its caller rests
+	flow.send(101, 900, 0) // the response arrived, the caller is idle
 	assert.Equal(t, len(flow.requests.TakeResting(isDeadAt(Of(101)), 10)), 0)
-	assert.Equal(t, len(flow.requests.TakeResting(isDeadAt(Of(100)), 0)), 0, "none may be reset now")
+	assert.Equal(t, len(flow.requests.TakeResting(isDeadAt(Of(100)), 0)), 0, "limit of 0 exceeded")
 	assert.DeepEqual(t, flow.requests.TakeResting(isDeadAt(Of(100)), 10), []Packet{{
 		Source: caller(0), Destination: rosterAddress, Token: Of(100), Acknowledgement: 900,
 	}}, cmpopts.EquateComparable(netip.AddrPort{}))
 	assert.Equal(t, len(flow.requests.TakeResting(isDeadAt(Of(100)), 10)), 0)
 }
 
-// TestFlowsThatAreOverAreNotReset: their callers may use the port again.
+// TestFlowsThatAreOverAreNotReset guards later flows from the same port against resets.
 func TestFlowsThatAreOverAreNotReset(t *testing.T) {
 	for name, end := range map[string]func(flow *exchange){
-		"closed":       func(flow *exchange) { flow.note(&Packet{IsClosing: true}) },
-		"reset":        func(flow *exchange) { flow.note(&Packet{IsReset: true}) },
-		"opened anew":  func(flow *exchange) { flow.open(0) },
-		"taken before": func(flow *exchange) { flow.requests.TakeWaiting(func(uint64) bool { return true }) },
-		"too old": func(flow *exchange) {
+		"closed":        func(flow *exchange) { flow.note(&Packet{IsClosing: true}) },
+		"reset":         func(flow *exchange) { flow.note(&Packet{IsReset: true}) },
+		"port reused":   func(flow *exchange) { flow.open(0) },
+		"already taken": func(flow *exchange) { flow.requests.TakeWaiting(func(uint64) bool { return true }) },
+		"idle timeout": func(flow *exchange) {
 			flow.requests.SetIdle(time.Second)
 			flow.requests.OpenFlows(flow.now.Add(time.Second))
 		},
@@ -92,7 +92,7 @@
 	}
 }
 
-// TestMomentsWrap: a daemon runs for longer than they count.
+// TestMomentsWrap covers the wrap of the millisecond counter after 49 days.
 func TestMomentsWrap(t *testing.T) {
 	flows, began := newOpenFlows(), time.UnixMilli(0)
 	flows.momentOf(began)
@@ -100,7 +100,7 @@
 	assert.Equal(t, flows.momentOf(before.Add(time.Second)).since(flows.momentOf(before)), time.Second)
 }
 
-// BenchmarkKeepingOpenFlows is a packet's cost, and the bytes of a flow.
+// BenchmarkKeepingOpenFlows measures the cost per packet and the memory per flow.
 func BenchmarkKeepingOpenFlows(b *testing.B) {
 	const kept = 36_000 // 50 million among 1,400 daemons
 	flows, target := newOpenFlows(), &Target{Token: 7}
@@ -112,7 +112,7 @@
 	b.ReportMetric(float64(held.Bytes)/float64(held.Count), "B/flow")
 }
 
-// BenchmarkTakingResting is the cost of a verdict.
+// BenchmarkTakingResting measures the scan of all flows when a target is declared dead.
 func BenchmarkTakingResting(b *testing.B) {
 	flows := newOpenFlows()
 	for flow := range uint64(36_000) {
@@ -123,7 +123,8 @@
 	}
 }
 
-// TestAFlowUsedSinceATickBeganIsKept: packets come while the control loop is at work.
+// TestAFlowUsedSinceATickBeganIsKept guards against forgetting flows whose packets arrive after
+// the time with which the control loop counts.
 func TestAFlowUsedSinceATickBeganIsKept(t *testing.T) {
 	begun, target, flows := time.Unix(1_800_000_000, 0), &Target{Token: 7}, newOpenFlows()
 	flows.note(begun, 1, 1, target, &Packet{PayloadLength: 1})
--- a/internal/steering/token/overload.go
+++ b/internal/steering/token/overload.go
@@ -8,10 +8,10 @@
 	"github.com/passtray/passtray/internal/overload"
 )
 
-// Rank returns the rank of the work of a route.
+// Rank returns the priority class of the route's work.
 func (r *Route) Rank() overload.Rank { return r.rank }
 
-// Hold returns how long a packet on the route may wait for its service to have room.
+// Hold returns the maximum time a packet on the route may wait for capacity of its service.
 func (r *Route) Hold(packet *Packet) time.Duration {
 	if packet.IsOpening {
 		return r.hold
@@ -19,7 +19,7 @@
 	return r.dataHold
 }
 
-// Load returns the work of the service that the decision is about, nil if there is none.
+// Load returns the overload controller of the decision's service, nil if there is none.
 func (d *Decision) Load() *overload.Controller {
 	if d.Target != nil {
 		return d.Target.Load
@@ -27,12 +27,12 @@
 	return d.load
 }
 
-// Restrain turns the decision on a packet into one to hold it if it would add to the work of
-// a service that has no room. waited is for how long the packet did already.
+// Restrain changes a decision to Hold if the packet would add work to an overloaded service.
+// waited is how long the packet has been held already.
 //
-// A new flow that has waited is refused: nothing has run, and its caller is told while it has
-// time for another try. A request of ordinary rank on an open flow goes on then, since a
-// reset would break a flow whose target is well.
+// A new flow that has waited for its maximum time is refused: nothing was processed, and its
+// caller still has time to retry. A request of ordinary rank on an open flow is forwarded then,
+// since a reset would break a flow whose target is healthy.
 func (r *Requests) Restrain(now time.Time, decision Decision, packet *Packet, waited time.Duration) Decision {
 	if decision.Route == nil {
 		return decision
@@ -49,19 +49,19 @@
 	return decision
 }
 
-// SetShares says among how many daemons the work of a table's services is shared, 0 if that is
-// not known.
+// SetShares sets the number of daemons among which the work of each service is divided, 0 if
+// unknown.
 func (o *Opener) SetShares(now time.Time, table *Table, daemons int) {
 	for _, service := range table.services {
 		service.Load.SetShare(o.liveSlots(now, service), daemons)
 	}
 }
 
-// liveSlots counts the slots of the targets that take work: those that are not dead and not
-// passed over or, if all are, those that are not dead, as they get the flows then.
+// liveSlots returns the slots of the targets that receive work: those neither dead nor ejected or,
+// if all are ejected, those not dead, since they get the flows then.
 func (o *Opener) liveSlots(now time.Time, service *Service) int {
 	live, passedOver := service.open.Slots(now)
-	service.leaving.Slots(now) // lets go of those that are gone
+	service.leaving.Slots(now) // called for its side effect: it prunes the pool's watch list
 	if o.lapse.Holds(now) {
 		o.now = now
 		for _, entry := range service.leaving.Entries() {
@@ -76,15 +76,15 @@
 	return live
 }
 
-// Loads calls visit with the work of each service.
+// Loads calls visit with the overload controller of each service.
 func (t *Table) Loads(visit func(service string, load *overload.Controller)) {
 	for name, service := range t.services {
 		visit(name, service.Load)
 	}
 }
 
-// Credible returns what of the evidence against targets counts. While a service's targets have
-// more to do than they can, weak evidence says that of them, and not that one of them fails.
+// Credible filters out weak evidence against targets of overloaded services: it reflects the
+// overload, not a failure of a single target.
 func (t *Table) Credible(now time.Time, evidence []Unanswered) []Unanswered {
 	return slices.DeleteFunc(evidence, func(unanswered Unanswered) bool {
 		target := t.targetOf(unanswered.Target)
--- a/internal/steering/token/overload_test.go
+++ b/internal/steering/token/overload_test.go
@@ -11,11 +11,11 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// preferredAddress leads to the roster with the highest priority, ordinaryAddress with a low
-// one.
+// preferredAddress and ordinaryAddress are routes to roster with the highest and a lower priority.
 var preferredAddress, ordinaryAddress = ledgerAddress, rosterAddress
 
-// overloadedSite is a site whose roster turns requests away, and leaves this daemon one.
+// overloadedSite has a roster service that rejects requests, of whose limit this daemon's share is
+// one request.
 func overloadedSite(t *testing.T) *site {
 	t.Helper()
 	site := newSite(t)
@@ -38,7 +38,7 @@
 	return site
 }
 
-// openRestrained decides for an opening packet that waited already.
+// openRestrained steers a first packet that has been held for the given time.
 func (s *site) openRestrained(requests *Requests, number int, waited time.Duration) Decision {
 	packet := &Packet{Source: caller(number), Destination: ordinaryAddress, IsOpening: true}
 	return requests.Restrain(s.now, s.opener.Open(s.now, s.table, packet), packet, waited)
@@ -47,7 +47,7 @@
 func TestAnOrdinaryFlowWaitsForRoomAndIsThenRefused(t *testing.T) {
 	site, requests := overloadedSite(t), NewRequests(16)
 	assert.Equal(t, site.openRestrained(requests, 1, 0).Action, Forward)
-	site.openRestrained(requests, 2, 0) // one goes on in any case
+	site.openRestrained(requests, 2, 0) // one flow is admitted in any case
 	held := site.openRestrained(requests, 3, 0)
 	assert.Equal(t, held.Action, Hold)
 	assert.Equal(t, held.Reason, ReasonOverload)
@@ -55,7 +55,7 @@
 	refused := site.openRestrained(requests, 3, 100*time.Millisecond)
 	assert.Equal(t, refused.Action, Refuse)
 	assert.Equal(t, refused.Reason, ReasonOverload)
-	assert.Equal(t, site.open(preferredAddress, 4).Action, Forward, "preferred work goes before")
+	assert.Equal(t, site.open(preferredAddress, 4).Action, Forward, "preferred flow not admitted")
 }
 
 func TestARequestOnAnOpenFlowWaitsAndGoesOn(t *testing.T) {
@@ -65,12 +65,12 @@
 	data := &Packet{Source: caller(1), Destination: ordinaryAddress, Token: opened.Word(), PayloadLength: 10}
 	followed := site.table.Follow(site.now, data)
 	assert.Equal(t, requests.Restrain(site.now, followed, data, 0).Action, Hold)
-	assert.Equal(t, requests.Restrain(site.now, followed, data, time.Second).Action, Forward, "an open flow is never reset")
+	assert.Equal(t, requests.Restrain(site.now, followed, data, time.Second).Action, Forward, "request on an open flow not forwarded after its wait")
 	acknowledgement := *data
 	acknowledgement.PayloadLength = 0
 	assert.Equal(t, requests.Restrain(site.now, followed, &acknowledgement, 0).Action, Forward)
 	requests.Note(site.now, &followed, data)
-	assert.Equal(t, requests.Restrain(site.now, followed, data, 0).Action, Forward, "it belongs to a request that went on")
+	assert.Equal(t, requests.Restrain(site.now, followed, data, 0).Action, Forward, "data of an admitted request was held")
 }
 
 func TestARejectingTargetIsPassedOver(t *testing.T) {
@@ -105,8 +105,8 @@
 	assert.Equal(t, len(site.builder.loads), 2)
 }
 
-// TestUnderOverloadWeakEvidenceDoesNotCount: targets that turned requests away in a burst were
-// passed over for half a minute after it.
+// TestUnderOverloadWeakEvidenceDoesNotCount guards against ejecting targets because they rejected
+// requests in a burst.
 func TestUnderOverloadWeakEvidenceDoesNotCount(t *testing.T) {
 	evidence := func() []Unanswered {
 		return []Unanswered{{Target: 100, Evidence: outlier.Weak}, {Target: 101, Evidence: outlier.Strong}, {Target: 200, Evidence: outlier.Weak}}
@@ -116,22 +116,22 @@
 	assert.DeepEqual(t, site.table.Credible(site.now.Add(time.Minute), evidence()), evidence())
 }
 
-// fill takes all the room that a decision's service has.
+// fill occupies all capacity of a decision's service.
 func (s *site) fill(decision *Decision) {
 	for decision.Target.Load.Admit(s.now, overload.Ordinary) {
 		decision.Target.Load.Begin(overload.Ordinary)
 	}
 }
 
-// TestALateAcknowledgementWithAHeldRequestIsNotPrompt: an answer is often acknowledged only with
-// the caller's next request, and its target may have died in the pause between.
+// TestALateAcknowledgementWithAHeldRequestIsNotPrompt covers a response acknowledged only with the
+// caller's next request: its target may have died in between.
 func TestALateAcknowledgementWithAHeldRequestIsNotPrompt(t *testing.T) {
 	site, requests := overloadedSite(t), NewRequests(16)
 	opened := site.open(ordinaryAddress, 1)
 	data := &Packet{Source: caller(1), Destination: ordinaryAddress, Token: opened.Word(), PayloadLength: 10}
 	decision := site.table.Follow(site.now, data)
 	const answerLength = 1000
-	for range 20 { // what is usual becomes known
+	for range 20 { // collect enough samples
 		requests.Note(site.now, &decision, data)
 		site.now = site.now.Add(10 * time.Millisecond)
 		data.Acknowledgement += answerLength
@@ -151,11 +151,11 @@
 	assert.Assert(t, isAnswer)
 	assert.Assert(t, decision.Target.Signal.LastLife().Equal(sentAt))
 	assert.Equal(t, len(requests.TakeAnswered()), 0)
-	assert.Equal(t, requests.Len(), 0, "the request begins when it goes on")
+	assert.Equal(t, requests.Len(), 0, "held request already tracked")
 }
 
-// TestTheShareCountsTheTargetsThatGetFlows: what is not counted lowers the bound, although the
-// targets are there to work.
+// TestTheShareCountsTheTargetsThatGetFlows guards against a limit too low for the targets that
+// receive work.
 func TestTheShareCountsTheTargetsThatGetFlows(t *testing.T) {
 	bound := func(t *testing.T, site *site) float64 {
 		t.Helper()
@@ -165,7 +165,7 @@
 		return bound
 	}
 	const all = 24 // six targets of two slots, two requests for each
-	t.Run("those whose entries lapsed", func(t *testing.T) {
+	t.Run("expired entries count during the expiry window", func(t *testing.T) {
 		site := overloadedSite(t)
 		for _, key := range []string{"roster-0", "roster-1", "roster-2"} {
 			site.remove(key)
@@ -173,14 +173,14 @@
 		site.lapsing()
 		assert.Equal(t, bound(t, site), float64(all))
 	})
-	t.Run("not those that went", func(t *testing.T) {
+	t.Run("removed targets don't count", func(t *testing.T) {
 		site := overloadedSite(t)
 		for _, key := range []string{"roster-0", "roster-1", "roster-2"} {
 			site.remove(key)
 		}
 		assert.Equal(t, bound(t, site), float64(all/2))
 	})
-	t.Run("all that live, if all are passed over", func(t *testing.T) {
+	t.Run("if all are ejected the ones not dead count", func(t *testing.T) {
 		site := overloadedSite(t)
 		for index, target := range site.openTargets("roster") {
 			site.table.Eject(target.Identifier, site.now.Add(time.Second), site.now.Add(time.Second))
@@ -192,7 +192,8 @@
 	})
 }
 
-// TestAFlowThatWaitedGoesToTheServiceItWaitedFor: the weights are drawn by once for each flow.
+// TestAFlowThatWaitedGoesToTheServiceItWaitedFor guards the weights: a held flow must not be
+// counted twice.
 func TestAFlowThatWaitedGoesToTheServiceItWaitedFor(t *testing.T) {
 	site := overloadedSite(t)
 	site.configure(storeview.Route{Address: bothAddress, Priority: 2, Backends: []storeview.Backend{{Service: "roster", Weight: 1}, {Service: "ledger", Weight: 1}}})
@@ -209,12 +210,12 @@
 	for range 10 {
 		load.End(overload.Preferred)
 	}
-	site.now = site.now.Add(150 * time.Millisecond) // the flow that goes on in any case shows no work
+	site.now = site.now.Add(150 * time.Millisecond) // the flow admitted in any case has no work in progress
 	packet := &Packet{Source: caller(number), Destination: bothAddress, IsOpening: true, Service: held.Service}
 	released := site.opener.Open(site.now, site.table, packet)
 	assert.Equal(t, released.Action, Forward)
 	assert.Equal(t, released.Target.Service, "roster")
-	t.Run("unless it gets no flows any more", func(t *testing.T) {
+	t.Run("service removed from the weights", func(t *testing.T) {
 		site.configure(storeview.Route{Address: bothAddress, Backends: []storeview.Backend{{Service: "roster"}, {Service: "ledger", Weight: 1}}})
 		packet.Source = caller(number + 1)
 		assert.Equal(t, site.opener.Open(site.now, site.table, packet).Target.Service, "ledger")
--- a/internal/steering/token/pick.go
+++ b/internal/steering/token/pick.go
@@ -8,15 +8,15 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// pick chooses a target, other than one that was silent: the service by the
-// route's weights, then the target by what is known of its load.
+// pick selects a target other than silent: first the service by the route's weights, then the
+// target by its load.
 func (o *Opener) pick(now time.Time, table *Table, route *Route, silent *Target) *Target {
 	return o.pickAt(now, table, route, route.next(o.random), silent)
 }
 
-// pickAt chooses a target for a chosen backend, nil if there is none.
+// pickAt selects a target of the chosen backend, nil if there is none.
 //
-// A service whose targets have enough to do turns nobody over to the others.
+// Flows of a service whose targets are all at their limit don't spill over to other services.
 func (o *Opener) pickAt(now time.Time, table *Table, route *Route, chosen *storeview.Backend, silent *Target) *Target {
 	o.atLimit, o.overloaded = false, nil
 	if chosen == nil {
@@ -53,7 +53,7 @@
 	return o.pickFrom(o.leaving(service), silent)
 }
 
-// pickFrom chooses one of some targets, other than one that was silent.
+// pickFrom selects a target from the sources, other than silent.
 func (o *Opener) pickFrom(sources []balance.Source[*Target], silent *Target) *Target {
 	o.request = balance.Request{Now: o.now, Zone: o.zone, LeaseHeld: true, PrefersZone: true, Daemons: o.daemons, KnowsOpen: o.knowsOpen}
 	if silent != nil {
@@ -66,9 +66,9 @@
 	return nil
 }
 
-// choose returns the backend of a service that was chosen before, or the next if it gets no
-// flows any more. To draw once more would count twice against the weights, and let a flow that
-// waited for one service contend for another.
+// choose returns the backend of a previously selected service, or the next backend if that one
+// gets no more flows. Selecting again would count the flow twice against the weights, and let a
+// flow that waited for one service compete for another.
 func (r *Route) choose(service string, random *rand.Rand) *storeview.Backend {
 	if service != "" {
 		for index := range r.Backends {
@@ -80,9 +80,9 @@
 	return r.next(random)
 }
 
-// next chooses a backend by smooth weighted round robin: over any stretch of
-// picks each backend's count is within one of its share. Daemons start it at
-// random points, so that they do not all begin with the same backend.
+// next selects a backend by smooth weighted round robin: over any run of picks each backend's
+// count is within one of its share. Credits start at random values so that daemons don't all begin
+// with the same backend.
 func (r *Route) next(random *rand.Rand) *storeview.Backend {
 	if len(r.Backends) == 1 && r.Backends[0].Weight > 0 {
 		return &r.Backends[0]
--- a/internal/steering/token/placement.go
+++ b/internal/steering/token/placement.go
@@ -1,6 +1,7 @@
 package token
 
-// place brings a target into the lists in which it belongs, or out of them.
+// place adds a target to the zone, service and slow-start sets, or removes it from them, according
+// to whether it is shadowed or superseded.
 func (x *index) place(target *Target) {
 	if belongs := !target.isShadowed && !target.IsSuperseded; belongs == target.isPlaced {
 		return
@@ -34,7 +35,7 @@
 	held.services[target.Service]++
 }
 
-// displace takes a target out of the lists in which it is.
+// displace removes a target from the zone, service and slow-start sets.
 func (x *index) displace(target *Target) {
 	if !target.isPlaced {
 		return
--- a/internal/steering/token/seenflows.go
+++ b/internal/steering/token/seenflows.go
@@ -2,21 +2,20 @@
 
 import "time"
 
-// seenFlowPlaces is how many flows a daemon remembers to have seen. Beyond, it takes
-// some for strangers, and weak evidence is passed over.
+// seenFlowPlaces is the number of flows remembered. With more flows, some known ones count as
+// unknown and weak evidence is ignored.
 const seenFlowPlaces = 1 << 14
 
-// seenFlows tells flows whose packets came here before from strangers. A stranger means
-// that the routers may have dealt flows anew, so that answers to what was asked before then
-// go past another daemon.
+// seenFlows is a lossy set of the flows whose packets arrived here before. A packet of an unknown
+// open flow suggests that the routers redistributed flows (ECMP rehash), so that responses to
+// earlier requests are acknowledged past another daemon.
 type seenFlows struct {
-	// fingerprints holds one of each flow that was seen, at a place by its hash.
+	// fingerprints holds one fingerprint per slot; the flow's hash selects the slot.
 	fingerprints [seenFlowPlaces]uint32
 	strangerAt   time.Time
 }
 
-// see notes a packet's flow, given by its hash, and reports whether it had been seen
-// before.
+// see adds a flow, given by its hash, and reports whether it was known.
 func (s *seenFlows) see(hash uint64) bool {
 	place, fingerprint := &s.fingerprints[hash%seenFlowPlaces], uint32(hash>>32)|1
 	wasSeen := *place == fingerprint
@@ -24,9 +23,8 @@
 	return wasSeen
 }
 
-// noteStranger notes that a flow came that had not been seen.
+// noteStranger records that an unknown flow arrived.
 func (s *seenFlows) noteStranger(now time.Time) { s.strangerAt = now }
 
-// isSettledSince reports whether the routers have dealt no flows anew since a
-// time, as far as can be seen here.
+// isSettledSince reports whether no unknown flow has arrived at or after the given time.
 func (s *seenFlows) isSettledSince(since time.Time) bool { return since.After(s.strangerAt) }
--- a/internal/steering/token/service.go
+++ b/internal/steering/token/service.go
@@ -5,18 +5,18 @@
 	"github.com/passtray/passtray/internal/overload"
 )
 
-// Service is the targets that new flows may go to.
+// Service is a pool of targets that can receive new flows.
 type Service struct {
 	Name string
-	// Load is the service's work through this daemon.
+	// Load tracks and limits the service's work through this daemon.
 	Load *overload.Controller
-	// maximumFlows and coldRate are as they were declared.
+	// maximumFlows and coldRate are the declared limits.
 	maximumFlows uint32
 	coldRate     float64
-	// open are the targets that may get new flows. leaving drain or went: they still serve for
-	// a while, and are better than none.
+	// open holds the targets that accept new flows. leaving holds targets that are draining or
+	// gone: they serve for a while longer and are used when no other target is left.
 	open, leaving balance.Pool[*Target]
-	// evacuated counts the targets that stand in evacuated zones.
+	// evacuated is the number of targets in evacuated zones.
 	evacuated int
 }
 
@@ -47,7 +47,7 @@
 	target.entry = nil
 }
 
-// watch says that a target was found dead, or is to be passed over.
+// watch tells the target's pool that the target was declared dead or ejected.
 func (s *Service) watch(target *Target) {
 	switch {
 	case target.entry == nil:
--- a/internal/steering/token/speeds.go
+++ b/internal/steering/token/speeds.go
@@ -6,8 +6,8 @@
 	"github.com/passtray/passtray/internal/loadshare"
 )
 
-// SetSpeeds says how fast targets work, by their mark, as of now and before. Signals hold
-// speeds as of the mean of their service.
+// SetSpeeds updates the relative speeds of targets, given by mark; before holds the previous ones.
+// Signals get speeds normalised to the mean of their service.
 func (t *Table) SetSpeeds(now time.Time, before, speeds map[loadshare.Mark]float64) {
 	for mark := range before {
 		if _, isKnown := speeds[mark]; !isKnown {
@@ -33,7 +33,8 @@
 	}
 }
 
-// eachOpen calls visit with the targets of a mark that may get new flows of a service.
+// eachOpen calls visit with each target of a mark that can receive new flows of a declared
+// service.
 func (t *Table) eachOpen(mark loadshare.Mark, visit func(target *Target)) {
 	for target := t.index.marks[mark]; target != nil; target = target.sameMark {
 		if target.entry != nil && target.MayOpen {
@@ -42,8 +43,8 @@
 	}
 }
 
-// SpeedOf returns how fast a target works, 1 being the mean of its service; it reports false
-// if there is no such target.
+// SpeedOf returns a target's speed relative to the mean of its service, or false if there is no
+// such target.
 func (t *Table) SpeedOf(now time.Time, identifier uint64) (float64, bool) {
 	target := t.targetOf(identifier)
 	if target == nil {
@@ -52,8 +53,7 @@
 	return target.Signal.Speed(now), true
 }
 
-// SlowestSpeeds returns, by service, the speed of the slowest of its targets that may get
-// new flows.
+// SlowestSpeeds returns, by service, the lowest speed among the targets that accept new flows.
 func (t *Table) SlowestSpeeds(now time.Time) map[string]float64 {
 	slowest := make(map[string]float64, len(t.services))
 	for name, service := range t.services {
--- a/internal/steering/token/unacknowledged.go
+++ b/internal/steering/token/unacknowledged.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Unacknowledged is data that a caller sent again on an open flow: its target did not
-// acknowledge it after Since.
+// Unacknowledged is data that a caller retransmitted on an open flow: its target has not
+// acknowledged it since Since.
 type Unacknowledged struct {
 	Target uint64
 	// Flow is the flow's hash.
@@ -15,12 +15,12 @@
 	Since time.Time
 }
 
-// mostUnacknowledged bounds what is kept until it is taken. A target is held for dead on
-// the word of few.
+// mostUnacknowledged is the maximum number of entries kept between two calls of
+// TakeUnacknowledged. A few suffice to declare a target dead.
 const mostUnacknowledged = 1024
 
-// noteData takes in further data of a request. New data that comes a while after the
-// first shows that its target acknowledges; data that comes again, that it did not.
+// noteData records further data of a request. New data some time after the first shows that the
+// target acknowledges; a retransmission shows that it did not.
 func (r *Requests) noteData(now time.Time, flow uint64, held *request, packet *Packet) {
 	sentBefore := held.lastSent
 	held.lastSent = now
@@ -38,15 +38,15 @@
 	}
 }
 
-// TakeUnacknowledged returns what callers sent again since the last call.
+// TakeUnacknowledged returns the data that callers retransmitted since the last call.
 func (r *Requests) TakeUnacknowledged() []Unacknowledged {
 	unacknowledged := r.unacknowledged
 	r.unacknowledged = nil
 	return unacknowledged
 }
 
-// TakeWaiting ends the requests that wait for targets that are dead, and returns for each the
-// head of the packet that a reset answers.
+// TakeWaiting ends the pending requests of dead targets and returns for each the packet head to
+// answer with a reset.
 func (r *Requests) TakeWaiting(isDead func(target uint64) bool) []Packet {
 	var keys []requestKey
 	for key, held := range r.waiting {
@@ -54,7 +54,7 @@
 			keys = append(keys, key)
 		}
 	}
-	slices.SortFunc(keys, func(a, b requestKey) int { // in a fixed order, for seeded runs
+	slices.SortFunc(keys, func(a, b requestKey) int { // deterministic order for seeded simulations
 		return cmp.Or(a.caller.Compare(b.caller), cmp.Compare(a.route, b.route))
 	})
 	packets := make([]Packet, 0, len(keys))
@@ -68,5 +68,5 @@
 	return packets
 }
 
-// isAfter compares sequence numbers, which wrap (RFC 1982).
+// isAfter compares sequence numbers in serial number arithmetic (RFC 1982).
 func isAfter(one, other uint32) bool { return int32(one-other) > 0 }
--- a/internal/steering/token/unrouted.go
+++ b/internal/steering/token/unrouted.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// confirmationMargin is by how much a confirmation must be later than a moment for the
-	// confirmed view to be that of no earlier one. A confirmation counts from when its
-	// answer was taken in: an answer may stop for 0.4 s (followed.Config.Slack), and what is
-	// told between daemons may wait for 0.4 s in one that stands still and is not noticed
-	// (the pause after which ages are not believed); 0.2 s are for the way.
+	// confirmationMargin is how much later than a moment a store confirmation must be to rule out
+	// that the confirmed view is older than that moment. Confirmations are timed by when their
+	// response was processed: a response may be delayed by 0.4 s (followed.Config.Slack), a
+	// message between daemons by another 0.4 s in a daemon whose pause is too short to be
+	// detected, and 0.2 s are for the network.
 	confirmationMargin = time.Second
-	// unroutedSilence is after how long without a packet a flow is forgotten: longer than
-	// the pauses of a caller between two sends (1.6 s). A later reset could meet another
-	// flow from the same port.
+	// unroutedSilence is the idle time after which a flow is forgotten. It exceeds the interval
+	// between two transmissions of a caller (1.6 s); a later reset could hit another flow from the
+	// same port.
 	unroutedSilence = 2 * time.Second
-	// mostUnrouted bounds the flows that are noted. Beyond, a flow is noted with a later
+	// mostUnrouted is the maximum number of flows kept. Beyond it, flows are added with a later
 	// packet.
 	mostUnrouted = 1024
 )
 
-// OpenSince returns when a flow without a route was open at the latest, as far as this
-// daemon knows: when its data first came here while the route stood, else now. A reset that
-// waits for nothing else is sent at once then.
+// OpenSince returns a time at which a flow without a route was certainly open: when its data first
+// arrived while the route existed, else now. In the former case the reset can often be sent at
+// once.
 func (r *Requests) OpenSince(now time.Time, decision *Decision, packet *Packet) time.Time {
 	if decision.Route == nil {
 		return now
@@ -33,36 +33,36 @@
 	return r.open.dataSince(now, hashOf(packet), decision.Route.Number, decision.Target.Token)
 }
 
-// Unrouted are flows whose words name targets that are known, at addresses to which no
-// route is. A word says that a configuration listed the route before the packet came. So
-// the route is either newer than what is known here, or was dropped, and the flow with it:
-// once the store has confirmed a view without the route as of a moment at which the flow
-// was open already, it was dropped. No memory of earlier configurations is needed, so that
-// a daemon that was restarted resets such flows as all others do. That the route is known to
-// have been dropped would not do: it may have come back, and a daemon that learns of it late
-// would reset flows that were opened since. One goroutine at a time may use it.
+// Unrouted tracks flows with valid tokens at addresses without a known route. A valid token shows
+// that some configuration had the route before the packet arrived. So the route is either too new
+// to be known here, or it was removed and the flow must be reset. Once the store has confirmed a
+// view without the route, as of a time at which the flow was open, the route was removed.
+//
+// This needs no history of configurations, so a restarted daemon resets such flows like all
+// others. That the route was removed at some time isn't sufficient: it may have been added again,
+// and a daemon that learns of it late would reset flows opened since. Unrouted is not safe for
+// concurrent use.
 type Unrouted struct {
 	flows map[addressPair]unroutedFlow
 }
 
 type addressPair struct{ caller, destination netip.AddrPort }
 
-// unroutedFlow is what a flow's reset needs.
+// unroutedFlow holds what is needed to reset a flow.
 type unroutedFlow struct {
-	// openAt is when the flow was open already, last is when its last packet came.
+	// openAt is a time at which the flow was open, last the arrival of its latest packet.
 	openAt, last time.Time
-	// head is of the last packet.
+	// head is the latest packet's.
 	head Packet
 }
 
-// NewUnrouted makes an empty table.
 func NewUnrouted() *Unrouted { return &Unrouted{flows: map[addressPair]unroutedFlow{}} }
 
-// Len returns how many flows are noted.
+// Len returns the number of tracked flows.
 func (u *Unrouted) Len() int { return len(u.flows) }
 
-// Note takes in a packet that was decided on with ReasonUnconfirmedRoute, of a flow that
-// was open at a time.
+// Note records a packet with a decision of ReasonUnconfirmedRoute, of a flow that was open at
+// openAt.
 func (u *Unrouted) Note(now, openAt time.Time, packet *Packet) {
 	pair := addressPair{packet.Source, packet.Destination}
 	flow, isKnown := u.flows[pair]
@@ -76,9 +76,9 @@
 	u.flows[pair] = flow
 }
 
-// TakeDropped takes in that the store confirmed the view of a table as of a time. It
-// returns for each flow whose route was dropped the head of the packet that a reset
-// answers, and forgets the flows that are decided and those that are silent.
+// TakeDropped handles a confirmation by the store that the table's view was current at
+// confirmedAt. For each flow whose route was removed it returns the packet head to answer with a
+// reset. Such flows are forgotten, as are idle ones and those whose route is known now.
 func (u *Unrouted) TakeDropped(now, confirmedAt time.Time, table *Table) []Packet {
 	var dropped []Packet
 	for pair, flow := range u.flows {
@@ -91,7 +91,7 @@
 		}
 		delete(u.flows, pair)
 	}
-	slices.SortFunc(dropped, func(a, b Packet) int { // in a fixed order, for seeded runs
+	slices.SortFunc(dropped, func(a, b Packet) int { // deterministic order for seeded simulations
 		return cmp.Or(a.Source.Compare(b.Source), a.Destination.Compare(b.Destination))
 	})
 	return dropped
--- a/internal/steering/token/unrouted_test.go
+++ b/internal/steering/token/unrouted_test.go
@@ -12,7 +12,7 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// strayed is a site that does not know the route of a flow whose packet just came.
+// strayed is a site that has just received a packet of a flow whose route it doesn't know.
 func strayed(t *testing.T) (*site, *Unrouted) {
 	t.Helper()
 	site, unrouted := newSite(t), NewUnrouted()
@@ -29,7 +29,8 @@
 	unrouted.Note(site.now, site.now, packet)
 }
 
-// TestAFlowIsResetOnceItsRouteIsConfirmedGone: a further packet does not put that off.
+// TestAFlowIsResetOnceItsRouteIsConfirmedGone also checks that further packets don't delay the
+// reset.
 func TestAFlowIsResetOnceItsRouteIsConfirmedGone(t *testing.T) {
 	site, unrouted := strayed(t)
 	confirmed := site.now.Add(confirmationMargin)
@@ -39,15 +40,15 @@
 	dropped := unrouted.TakeDropped(site.now, confirmed, site.table)
 	assert.Equal(t, len(dropped), 1)
 	assert.Equal(t, dropped[0].Source, caller(1))
-	assert.Equal(t, dropped[0].Acknowledgement, uint32(1), "a reset must name it")
-	assert.Equal(t, unrouted.Len(), 0, "one reset each")
+	assert.Equal(t, dropped[0].Acknowledgement, uint32(1), "a reset must carry the acknowledgement")
+	assert.Equal(t, unrouted.Len(), 0, "flow still tracked after its reset")
 }
 
-// TestAFlowIsForgotten whose route is newer than what was known, or whose caller is silent.
+// TestAFlowIsForgotten covers flows that must not be reset.
 func TestAFlowIsForgotten(t *testing.T) {
 	for name, passes := range map[string]func(site *site){
-		"a newer route":   func(site *site) { site.configure(standardRoutes()...) },
-		"a silent caller": func(site *site) { site.now = site.now.Add(unroutedSilence) },
+		"route known now": func(site *site) { site.configure(standardRoutes()...) },
+		"idle caller":     func(site *site) { site.now = site.now.Add(unroutedSilence) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			site, unrouted := strayed(t)
@@ -66,7 +67,7 @@
 	assert.Equal(t, unrouted.Len(), mostUnrouted)
 }
 
-// TestWhatNamesNobodyIsNotNoted: a word of elsewhere, and a reset, prove no flow.
+// TestWhatNamesNobodyIsNotNoted: an invalid token, or a reset, is no evidence of a flow.
 func TestWhatNamesNobodyIsNotNoted(t *testing.T) {
 	site, _ := strayed(t)
 	for _, packet := range []Packet{
@@ -80,8 +81,8 @@
 	}
 }
 
-// TestAFlowOfARouteThatCameBackIsNotTakenForOneOfBefore: the same caller had a flow under
-// the route that was dropped.
+// TestAFlowOfARouteThatCameBackIsNotTakenForOneOfBefore guards a new flow against a reset because
+// the same caller had a flow before the route was removed and added again.
 func TestAFlowOfARouteThatCameBackIsNotTakenForOneOfBefore(t *testing.T) {
 	site := newSite(t)
 	data := &Packet{Source: caller(1), Destination: rosterAddress, Token: WordAt(rosterAddress, 100), PayloadLength: 1}
@@ -96,8 +97,8 @@
 	assert.Equal(t, site.requests.OpenSince(site.now, &decision, data), site.now)
 }
 
-// TestAResetAtADroppedRouteIsOfNoFlowThatWasOpenedSince: the flow that was reset has ended, and
-// what comes from its port is another one, which opened after the route was back.
+// TestAResetAtADroppedRouteIsOfNoFlowThatWasOpenedSince guards a flow opened from the same port,
+// after the route was added again, against the state of the flow that was reset.
 func TestAResetAtADroppedRouteIsOfNoFlowThatWasOpenedSince(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	requests, unrouted := NewRequests(16), NewUnrouted()
@@ -110,17 +111,18 @@
 	now = now.Add(time.Second)
 	unrouted.Note(now, requests.OpenSince(now, &dropped, &old), &old)
 	reset := unrouted.TakeDropped(now, now, table)
-	assert.Equal(t, len(reset), 1, "the old flow is reset")
+	assert.Equal(t, len(reset), 1, "old flow not reset")
 	requests.NoteDropped(table, &reset[0])
-	assert.Equal(t, requests.Len(), 0, "nobody waits any more")
+	assert.Equal(t, requests.Len(), 0, "request of the old flow still pending")
 	confirmedAt := now
-	now = now.Add(time.Second) // opened anew elsewhere meanwhile
+	now = now.Add(time.Second) // a new flow was opened through another daemon
 	young := Packet{Source: caller(1), Destination: rosterAddress, PayloadLength: 1, Acknowledgement: 77_000_000}
 	unrouted.Note(now, requests.OpenSince(now, &dropped, &young), &young)
-	assert.Equal(t, len(unrouted.TakeDropped(now, confirmedAt, table)), 0, "the young flow lives")
+	assert.Equal(t, len(unrouted.TakeDropped(now, confirmedAt, table)), 0, "new flow was reset")
 }
 
-// TestAFlowOpenedAnewWhereARouteCameBackReplacesTheOldOne, whose target's death is none of its.
+// TestAFlowOpenedAnewWhereARouteCameBackReplacesTheOldOne guards a new flow against a reset when
+// the target of the old flow dies.
 func TestAFlowOpenedAnewWhereARouteCameBackReplacesTheOldOne(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	requests, load := NewRequests(16), overload.New(overload.Config{})
