--- a/internal/steering/token/lives.go
+++ b/internal/steering/token/activity.go
@@ -11,7 +11,7 @@
 
 // ZoneOf returns the zone of a target, or false if its flows can't be forwarded.
 func (t *Table) ZoneOf(identifier uint64) (zone string, found bool) {
-	target := t.targetOf(identifier)
+	target := t.targetByIdentifier(identifier)
 	if target == nil || target.IsSuperseded {
 		return "", false
 	}
@@ -27,16 +27,16 @@
 	return isKnown
 }
 
-// targetsOf returns the targets of a subject, except superseded ones. The slice must not be
+// subjectTargets returns the targets of a subject, except superseded ones. The slice must not be
 // modified.
-func (t *Table) targetsOf(subject liveness.Subject) []*Target {
+func (t *Table) subjectTargets(subject liveness.Subject) []*Target {
 	if subject.Zone != "" {
-		if held := t.index.zones[subject.Zone]; held != nil {
-			return held.targets
+		if z := t.index.zones[subject.Zone]; z != nil {
+			return z.targets
 		}
 		return nil
 	}
-	if target := t.targetOf(subject.Target); target != nil && !target.IsSuperseded {
+	if target := t.targetByIdentifier(subject.Target); target != nil && !target.IsSuperseded {
 		return []*Target{target}
 	}
 	return nil
@@ -45,9 +45,9 @@
 // LastLife returns the time of the last observed activity of a subject, zero if there was none.
 func (t *Table) LastLife(subject liveness.Subject) time.Time {
 	var last time.Time
-	for _, target := range t.targetsOf(subject) {
-		if life := target.Signal.LastLife(); life.After(last) {
-			last = life
+	for _, target := range t.subjectTargets(subject) {
+		if activity := target.Signal.LastLife(); activity.After(last) {
+			last = activity
 		}
 	}
 	return last
@@ -55,11 +55,11 @@
 
 // ServicesOf returns the number of the subject's targets by service.
 func (t *Table) ServicesOf(subject liveness.Subject) map[string]int {
-	if held := t.index.zones[subject.Zone]; subject.Zone != "" && held != nil {
-		return maps.Clone(held.services)
+	if z := t.index.zones[subject.Zone]; subject.Zone != "" && z != nil {
+		return maps.Clone(z.services)
 	}
 	counts := map[string]int{}
-	for _, target := range t.targetsOf(subject) {
+	for _, target := range t.subjectTargets(subject) {
 		counts[target.Service]++
 	}
 	return counts
@@ -68,7 +68,7 @@
 // TargetsToProbe returns up to count targets to probe for a subject: half of them the most
 // recently active ones, half the least recently active.
 func (t *Table) TargetsToProbe(subject liveness.Subject, count int) []uint64 {
-	targets := slices.Clone(t.targetsOf(subject))
+	targets := slices.Clone(t.subjectTargets(subject))
 	slices.SortFunc(targets, func(a, b *Target) int {
 		return cmp.Or(b.Signal.LastLife().Compare(a.Signal.LastLife()), cmp.Compare(a.Token, b.Token))
 	})
@@ -86,22 +86,22 @@
 // SetDead marks a target as dead until the given time. Its share of new flows then ramps up until
 // probation.
 func (t *Table) SetDead(identifier uint64, until, probation time.Time) {
-	if target := t.targetOf(identifier); target != nil {
+	if target := t.targetByIdentifier(identifier); target != nil {
 		target.Signal.SetDead(until, probation)
-		t.watch(target)
+		t.trackUnavailable(target)
 	}
 }
 
 // SetAlive reverts SetDead.
 func (t *Table) SetAlive(identifier uint64) {
-	if target := t.targetOf(identifier); target != nil {
+	if target := t.targetByIdentifier(identifier); target != nil {
 		target.Signal.SetAlive()
 	}
 }
 
 // IsDead reports whether a target can't serve its flows any more.
 func (t *Table) IsDead(now time.Time, identifier uint64) bool {
-	target := t.targetOf(identifier)
+	target := t.targetByIdentifier(identifier)
 	return target != nil && target.isDead(now)
 }
 
--- a/internal/steering/token/binding.go
+++ b/internal/steering/token/binding.go
@@ -26,9 +26,9 @@
 	return binding(max(1, uint32(xxhash.Sum64(bytes[:]))))
 }
 
-// word returns the bound form of a nonzero token, as packets carry it. It is never 0, which means
-// no token: the token that would map to 0 maps to itself, a value no other token maps to.
-func (b binding) word(token uint32) uint32 {
+// boundToken returns the bound form of a nonzero token, as packets carry it. It is never 0, which
+// means no token: the token that would map to 0 maps to itself, a value no other token maps to.
+func (b binding) boundToken(token uint32) uint32 {
 	if token == uint32(b) {
 		return token
 	}
@@ -38,16 +38,16 @@
 // WordAt returns the bound token that packets carry in a flow opened at address to the target with
 // the given identifier.
 func WordAt(address netip.AddrPort, identifier uint64) uint32 {
-	return bindingOf(address).word(Of(identifier))
+	return bindingOf(address).boundToken(Of(identifier))
 }
 
-// token returns the token of a bound token, 0 if there is none.
-func (b binding) token(word uint32) uint32 {
-	switch word {
+// token returns the token that a bound token stands for, 0 if there is none.
+func (b binding) token(boundToken uint32) uint32 {
+	switch boundToken {
 	case 0:
 		return 0
 	case uint32(b):
-		return word
+		return boundToken
 	}
-	return word ^ uint32(b)
+	return boundToken ^ uint32(b)
 }
--- a/internal/steering/token/binding_test.go
+++ b/internal/steering/token/binding_test.go
@@ -11,46 +11,46 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-func TestEveryTokenHasAWordOfItsOwn(t *testing.T) {
+func TestBindingIsBijective(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	for range 10_000 {
 		bound := binding(max(1, random.Uint32()))
 		for _, token := range []uint32{1, uint32(bound), ^uint32(bound), max(1, random.Uint32())} {
-			word := bound.word(token)
-			assert.Assert(t, word != 0, "0 means no token")
-			assert.Equal(t, bound.token(word), token)
+			boundToken := bound.boundToken(token)
+			assert.Assert(t, boundToken != 0, "0 means no token")
+			assert.Equal(t, bound.token(boundToken), token)
 		}
 		assert.Equal(t, bound.token(0), uint32(0))
 	}
 }
 
-// TestBindingsAreTheSameInEveryVersion guards compatibility: daemons of different builds must
-// steer each other's flows.
-func TestBindingsAreTheSameInEveryVersion(t *testing.T) {
+// TestBindingsAreStable guards compatibility: daemons of different builds must steer each other's
+// flows.
+func TestBindingsAreStable(t *testing.T) {
 	assert.Equal(t, bindingOf(rosterAddress), binding(0x019a134a))
 	assert.Equal(t, bindingOf(netip.AddrPortFrom(netip.AddrFrom16(rosterAddress.Addr().As16()), 443)), bindingOf(rosterAddress))
 }
 
-// TestADaemonWithoutMemoryFollowsWhatWasOpenedBefore guards against losing flows in a daemon that
-// was started after the route changed to another service.
-func TestADaemonWithoutMemoryFollowsWhatWasOpenedBefore(t *testing.T) {
+// TestRestartedDaemonSteersFlowsOpenedBeforeRouteChange guards against losing flows in a daemon
+// that was started after the route changed to another service.
+func TestRestartedDaemonSteersFlowsOpenedBeforeRouteChange(t *testing.T) {
 	before, restarted := newSite(t), newSite(t)
 	opened := before.open(rosterAddress, 1)
 	toLedger := storeview.Route{Address: rosterAddress, Backends: []storeview.Backend{{Service: "ledger", Weight: 1}}}
 	restarted.configure(toLedger)
 	restarted.builder = NewBuilder(time.Minute)
 	restarted.configure(toLedger)
-	decision := restarted.followWord(rosterAddress, 1, opened.Word())
+	decision := restarted.followBound(rosterAddress, 1, opened.Word())
 	assert.Equal(t, decision.Action, Forward)
 	assert.Equal(t, decision.Target.Identifier, opened.Target.Identifier)
 }
 
-// TestAWordOfAnotherAddressNamesNobody checks that a token bound to another address, or not bound
-// at all, is unknown, even if the same service is behind both routes.
-func TestAWordOfAnotherAddressNamesNobody(t *testing.T) {
+// TestTokenBoundToAnotherAddressIsUnknown checks that a token bound to another address, or not
+// bound at all, is unknown, even if the same service is behind both routes.
+func TestTokenBoundToAnotherAddressIsUnknown(t *testing.T) {
 	site := newSite(t)
-	for _, word := range []uint32{WordAt(rosterAddress, 100), WordAt(rosterAddress, 200), Of(100), Of(200)} {
-		decision := site.followWord(bothAddress, 1, word)
+	for _, value := range []uint32{WordAt(rosterAddress, 100), WordAt(rosterAddress, 200), Of(100), Of(200)} {
+		decision := site.followBound(mixedAddress, 1, value)
 		assert.Equal(t, decision.Action, Drop)
 		assert.Equal(t, decision.Reason, ReasonUnknownToken)
 	}
--- a/internal/steering/token/builder.go
+++ b/internal/steering/token/builder.go
@@ -15,8 +15,8 @@
 type Builder struct {
 	routes routeBuilder
 	index  *index
-	// configuration, services and evacuated are the inputs of the current index, valid if isMade.
-	isMade        bool
+	// configuration, services and evacuated are the inputs of the current index, valid if isBuilt.
+	isBuilt       bool
 	configuration *storeview.Configuration
 	services      map[string]*Service
 	evacuated     map[string]bool
@@ -46,25 +46,25 @@
 	if configuration == nil && view.Present() == 0 {
 		return nil
 	}
-	b.isMade = true
+	b.isBuilt = true
 	targets := view.Targets()
-	before := b.index
+	previous := b.index
 	b.index = newIndex(len(targets))
 	b.configuration = configuration
 	b.evacuated = evacuatedZones(view)
 	b.services = b.declaredServices()
 	b.index.services = b.services
-	for _, described := range targets {
-		b.add(described, before.held(described.Identifier, described.Key))
+	for _, entry := range targets {
+		b.add(entry, previous.known(entry.Identifier, entry.Key))
 	}
-	b.forgetLoads()
+	b.pruneLoads()
 	return b.table(now)
 }
 
 // Update applies a change to the view incrementally, at a cost that depends on the size of the
 // change only. It modifies the targets of the previous table, which must not be used concurrently.
 func (b *Builder) Update(now time.Time, view *storeview.View, change *storeview.Change) *Table {
-	if !b.isMadeFor(view, change) {
+	if !b.canUpdate(view, change) {
 		return b.Build(now, view)
 	}
 	b.configuration = view.Configuration()
@@ -74,11 +74,11 @@
 	return b.table(now)
 }
 
-// isMadeFor reports whether the index can be updated to the view target by target, which requires
+// canUpdate reports whether the index can be updated to the view target by target, which requires
 // unchanged services and evacuated zones.
-func (b *Builder) isMadeFor(view *storeview.View, change *storeview.Change) bool {
+func (b *Builder) canUpdate(view *storeview.View, change *storeview.Change) bool {
 	isConfigured := view.Configuration() != nil
-	if !b.isMade || isConfigured != (b.configuration != nil) || !maps.Equal(evacuatedZones(view), b.evacuated) {
+	if !b.isBuilt || isConfigured != (b.configuration != nil) || !maps.Equal(evacuatedZones(view), b.evacuated) {
 		return false
 	}
 	return !change.Configuration || !isConfigured || slices.Equal(b.configuration.Services, view.Configuration().Services)
@@ -86,9 +86,9 @@
 
 // update replaces one target in the index by its state in the view.
 func (b *Builder) update(view *storeview.View, altered *storeview.KnownTarget) {
-	before := b.index.held(altered.Identifier, altered.Key)
-	if before != nil {
-		b.index.remove(before)
+	previous := b.index.known(altered.Identifier, altered.Key)
+	if previous != nil {
+		b.index.remove(previous)
 	}
 	current := view.Target(altered.Key)
 	if current == nil {
@@ -96,46 +96,46 @@
 	}
 	if current.Identifier != altered.Identifier {
 		// The entry now describes another target, which may be indexed already.
-		if before = b.index.held(current.Identifier, current.Key); before != nil {
-			b.index.remove(before)
+		if previous = b.index.known(current.Identifier, current.Key); previous != nil {
+			b.index.remove(previous)
 		}
 	}
-	b.add(current, before)
+	b.add(current, previous)
 }
 
 // add adds a target to the index. before is its previous state, nil if it was unknown.
-func (b *Builder) add(described *storeview.KnownTarget, before *Target) {
-	service := b.services[described.Service]
-	isEvacuated := b.evacuated[described.Zone]
+func (b *Builder) add(entry *storeview.KnownTarget, previous *Target) {
+	service := b.services[entry.Service]
+	isEvacuated := b.evacuated[entry.Zone]
 	target := &Target{
-		KnownTarget: described, Token: Of(described.Identifier), Load: b.undeclared,
-		MayOpen:      !described.Gone && !described.Draining && !isEvacuated,
+		KnownTarget: entry, Token: Of(entry.Identifier), Load: b.undeclared,
+		MayOpen:      !entry.Gone && !entry.Draining && !isEvacuated,
 		IsEvacuated:  isEvacuated,
 		isUndeclared: b.configuration != nil && service == nil,
 	}
 	if service != nil {
 		target.Load, target.ColdRate = service.Load, service.coldRate
-	} else if load := b.loads[described.Service]; load != nil {
+	} else if load := b.loads[entry.Service]; load != nil {
 		target.Load = load
 	}
-	target.carryOn(before)
+	target.inheritState(previous)
 	b.index.add(target)
 }
 
-// carryOn takes over the signal of the target's previous state. A new incarnation starts with a
-// fresh signal, since observations of the earlier one don't apply to it, and its start counts as
+// inheritState takes over the signal of the target's previous state. A new incarnation starts with
+// a fresh signal, since observations of the earlier one don't apply to it, and its start counts as
 // activity.
-func (t *Target) carryOn(before *Target) {
+func (t *Target) inheritState(previous *Target) {
 	t.Run = t.Incarnation
 	switch {
-	case before == nil:
+	case previous == nil:
 		t.Signal = &balance.Signal{}
-	case before.Run != 0 && t.Incarnation > before.Run:
+	case previous.Run != 0 && t.Incarnation > previous.Run:
 		t.Signal = &balance.Signal{}
 		t.Signal.NoteLife(t.LearnedAt)
 	default:
-		t.Signal = before.Signal
-		t.Run = max(t.Run, before.Run)
+		t.Signal = previous.Signal
+		t.Run = max(t.Run, previous.Run)
 	}
 }
 
@@ -176,13 +176,13 @@
 	return load
 }
 
-// forgetLoads removes the controllers of services that are neither declared nor have targets.
-func (b *Builder) forgetLoads() {
+// pruneLoads removes the controllers of services that are neither declared nor have targets.
+func (b *Builder) pruneLoads() {
 	if len(b.loads) == len(b.services) {
 		return
 	}
 	used := map[string]bool{}
-	b.index.all(func(target *Target) { used[target.Service] = true })
+	b.index.each(func(target *Target) { used[target.Service] = true })
 	maps.DeleteFunc(b.loads, func(service string, _ *overload.Controller) bool {
 		return b.services[service] == nil && !used[service]
 	})
--- a/internal/steering/token/builder_test.go
+++ b/internal/steering/token/builder_test.go
@@ -19,7 +19,7 @@
 
 // openTargets returns the targets of a service that accept new flows.
 func (s *site) openTargets(service string) []*Target {
-	return valuesOf(&s.table.services[service].open)
+	return valuesOf(&s.table.services[service].eligible)
 }
 
 func valuesOf(pool *balance.Pool[*Target]) []*Target {
@@ -41,18 +41,18 @@
 		slices.Sort(keys)
 		return keys
 	}
-	table.index.all(func(target *Target) {
+	table.index.each(func(target *Target) {
 		lines = append(lines, fmt.Sprint(target.Key, target.Identifier, target.Service, target.Zone, target.Address, target.MayOpen,
-			target.IsEvacuated, target.IsSuperseded, target.IsLapsed(), target.ColdRate, target.WarmAt.UnixNano(), target.isPlaced,
+			target.IsEvacuated, target.IsSuperseded, target.IsLapsed(), target.ColdRate, target.WarmAt.UnixNano(), target.isIndexed,
 			target.Run, target.isUndeclared))
 	})
 	for name, zone := range table.index.zones {
 		lines = append(lines, fmt.Sprint("zone ", name, names(zone.targets), zone.services))
 	}
 	for name, service := range table.services {
-		lines = append(lines, fmt.Sprint("service ", name, names(valuesOf(&service.open)), names(valuesOf(&service.leaving)), service.evacuated))
+		lines = append(lines, fmt.Sprint("service ", name, names(valuesOf(&service.eligible)), names(valuesOf(&service.leaving)), service.evacuated))
 	}
-	lines = append(lines, fmt.Sprint(table.index.count, table.index.mayOpen, table.index.superseded, names(slices.Collect(maps.Keys(table.index.cold)))))
+	lines = append(lines, fmt.Sprint(table.index.count, table.index.eligibleCount, table.index.superseded, names(slices.Collect(maps.Keys(table.index.slowStarting)))))
 	slices.Sort(lines)
 	return lines
 }
@@ -66,7 +66,7 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		view, builder, now := storeview.New(10*time.Second), NewBuilder(time.Minute), testStart
-		pick := func(name string, most int) int { return rapid.IntRange(0, most-1).Draw(t, name) }
+		pick := func(name string, n int) int { return rapid.IntRange(0, n-1).Draw(t, name) }
 		for revision := range uint64(rapid.IntRange(1, 40).Draw(t, "changes")) {
 			now = now.Add(time.Duration(pick("seconds", 3)) * time.Second)
 			entry := storeview.Entry{Key: fmt.Sprint("target-", pick("key", 8)), Revision: revision + 1}
@@ -103,18 +103,18 @@
 				assert.Equal(t, view.Present(), 0)
 				continue
 			}
-			whole := NewBuilder(time.Minute).Build(now, view)
-			if whole == nil {
+			full := NewBuilder(time.Minute).Build(now, view)
+			if full == nil {
 				assert.Equal(t, table.OpenTargets(), 0)
 				continue
 			}
-			whole.index.all(func(target *Target) { // only the updated table knows earlier incarnations
-				if held := table.index.held(target.Identifier, target.Key); held != nil {
-					assert.Assert(t, held.Run >= target.Run)
-					target.Run = held.Run
+			full.index.each(func(target *Target) { // only the updated table knows earlier incarnations
+				if known := table.index.known(target.Identifier, target.Key); known != nil {
+					assert.Assert(t, known.Run >= target.Run)
+					target.Run = known.Run
 				}
 			})
-			assert.DeepEqual(t, describe(table), describe(whole))
+			assert.DeepEqual(t, describe(table), describe(full))
 		}
 	})
 }
@@ -137,28 +137,28 @@
 	}
 }()
 
-// TestALaterRunOfATargetBeginsAnew guards against blaming a restarted target for failures of its
-// previous incarnation.
-func TestALaterRunOfATargetBeginsAnew(t *testing.T) {
+// TestNewIncarnationStartsWithFreshState guards against blaming a restarted target for failures of
+// its previous incarnation.
+func TestNewIncarnationStartsWithFreshState(t *testing.T) {
 	run := func(incarnation uint64) func(*storeview.Target) {
 		return func(target *storeview.Target) { target.Incarnation = incarnation }
 	}
-	judged := func(t *testing.T) (*site, *Target) {
+	newEjected := func(t *testing.T) (*site, *Target) {
 		t.Helper()
 		site := newSite(t)
 		site.target("roster-0", 100, "roster", run(1000))
 		site.table.Eject(100, site.now.Add(time.Minute), site.now.Add(2*time.Minute))
 		site.table.SetDead(100, site.now.Add(time.Minute), site.now.Add(2*time.Minute))
-		held := site.table.targetOf(100)
-		held.Signal.NoteWaiting(2)
-		held.Signal.SetOpen(5)
+		previous := site.table.targetByIdentifier(100)
+		previous.Signal.NoteWaiting(2)
+		previous.Signal.SetOpen(5)
 		site.now = site.now.Add(time.Second)
-		return site, held
+		return site, previous
 	}
 	t.Run("resets ejection, death and work in progress, and counts the start as activity", func(t *testing.T) {
-		site, _ := judged(t)
+		site, _ := newEjected(t)
 		site.target("roster-0", 100, "roster", run(2000))
-		started := site.table.targetOf(100)
+		started := site.table.targetByIdentifier(100)
 		assert.Assert(t, !started.Signal.IsEjected(site.now) && !site.table.IsDead(site.now, 100))
 		assert.Equal(t, started.Signal.InProgress(site.now), 0.0)
 		assert.Assert(t, started.Signal.LastLife().Equal(site.now))
@@ -166,63 +166,63 @@
 	})
 	t.Run("same or earlier incarnation changes nothing", func(t *testing.T) {
 		for _, incarnation := range []uint64{1000, 500} {
-			site, held := judged(t)
+			site, previous := newEjected(t)
 			site.target("roster-0", 100, "roster", run(incarnation))
-			assert.Equal(t, site.table.targetOf(100).Signal, held.Signal)
+			assert.Equal(t, site.table.targetByIdentifier(100).Signal, previous.Signal)
 			assert.Equal(t, site.table.Incarnation(100), uint64(1000))
 			assert.Assert(t, site.table.IsDead(site.now, 100))
 		}
 	})
 	t.Run("without incarnations the state is kept", func(t *testing.T) {
 		site := newSite(t)
-		held := site.table.targetOf(101)
+		previous := site.table.targetByIdentifier(101)
 		site.target("roster-1", 101, "roster", nil)
-		assert.Equal(t, site.table.targetOf(101).Signal, held.Signal)
+		assert.Equal(t, site.table.targetByIdentifier(101).Signal, previous.Signal)
 	})
 	t.Run("target that had left is eligible again", func(t *testing.T) {
-		site, _ := judged(t)
+		site, _ := newEjected(t)
 		site.remove("roster-0")
-		assert.Assert(t, !site.table.targetOf(100).MayOpen)
+		assert.Assert(t, !site.table.targetByIdentifier(100).MayOpen)
 		site.target("roster-0", 100, "roster", run(2000))
-		assert.Assert(t, site.table.targetOf(100).MayOpen)
+		assert.Assert(t, site.table.targetByIdentifier(100).MayOpen)
 		assert.Equal(t, len(site.openTargets("roster")), 6)
 	})
 	t.Run("full build keeps the state", func(t *testing.T) {
-		site, _ := judged(t)
+		site, _ := newEjected(t)
 		site.target("roster-0", 100, "roster", run(2000))
-		signal := site.table.targetOf(100).Signal
+		signal := site.table.targetByIdentifier(100).Signal
 		site.table = site.builder.Build(site.now, site.view)
-		assert.Equal(t, site.table.targetOf(100).Signal, signal)
+		assert.Equal(t, site.table.targetByIdentifier(100).Signal, signal)
 	})
 }
 
-// TestAnEntryOfNoServiceSupersedesNobody guards a running target against an entry for its address
-// that no target wrote.
-func TestAnEntryOfNoServiceSupersedesNobody(t *testing.T) {
+// TestEntryOfUndeclaredServiceSupersedesNoTarget guards a running target against an entry for its
+// address that no target wrote.
+func TestEntryOfUndeclaredServiceSupersedesNoTarget(t *testing.T) {
 	site := newSite(t)
 	site.target("stranger", 900, "nobody's", func(target *storeview.Target) {
 		target.Address = netip.MustParseAddrPort("10.0.0.1:100")
 	})
-	assert.Assert(t, !site.table.targetOf(100).IsSuperseded)
+	assert.Assert(t, !site.table.targetByIdentifier(100).IsSuperseded)
 	assert.Equal(t, len(site.openTargets("roster")), 6)
 	for number := range 100 {
-		assert.Assert(t, site.open(bothAddress, number).Target.Identifier != 900)
+		assert.Assert(t, site.open(mixedAddress, number).Target.Identifier != 900)
 	}
 }
 
-// changing is a site whose targets change one by one.
-type changing struct {
+// changingSite is a site whose targets change one by one.
+type changingSite struct {
 	*site
 	targets int
 	next    int
 }
 
-func newChanging(targets int) *changing {
-	return &changing{site: newLargeSite(targets, targets), targets: targets}
+func newChangingSite(targets int) *changingSite {
+	return &changingSite{site: newLargeSite(targets, targets), targets: targets}
 }
 
 // change toggles draining on the next count targets and returns the change.
-func (c *changing) change(count int) storeview.Change {
+func (c *changingSite) change(count int) storeview.Change {
 	var entries []storeview.Entry
 	for range count {
 		c.next++
@@ -239,12 +239,12 @@
 // BenchmarkUpdate updates a table with one changed target, and with 1,000 at once.
 func BenchmarkUpdate(b *testing.B) {
 	for _, targets := range []int{150, 1000, 10_000, 20_000} {
-		for _, together := range []int{1, 1000} {
-			b.Run(fmt.Sprint(together, " of ", targets, " targets"), func(b *testing.B) {
-				site := newChanging(targets)
+		for _, batch := range []int{1, 1000} {
+			b.Run(fmt.Sprint(batch, " of ", targets, " targets"), func(b *testing.B) {
+				site := newChangingSite(targets)
 				b.ReportAllocs()
 				for b.Loop() {
-					change := site.change(together)
+					change := site.change(batch)
 					site.table = site.builder.Update(site.now, site.view, &change)
 				}
 			})
@@ -252,12 +252,12 @@
 	}
 }
 
-// TestAnUpdateCostsByTheChange checks that the memory to update one target doesn't depend on the
-// number of other targets.
-func TestAnUpdateCostsByTheChange(t *testing.T) {
+// TestUpdateMemoryIsIndependentOfTargetCount checks that the memory to update one target doesn't
+// depend on the number of other targets.
+func TestUpdateMemoryIsIndependentOfTargetCount(t *testing.T) {
 	const bound = 20 << 10 // bytes
 	for _, targets := range []int{1000, 20_000} {
-		site := newChanging(targets)
+		site := newChangingSite(targets)
 		const updates = 500
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
--- a/internal/steering/token/dead_test.go
+++ b/internal/steering/token/dead_test.go
@@ -13,7 +13,7 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-func TestAFlowOfADeadTargetIsRefused(t *testing.T) {
+func TestFlowOfDeadTargetIsRefused(t *testing.T) {
 	site := newSite(t)
 	opened := site.open(rosterAddress, 1)
 	target := opened.Target
@@ -30,7 +30,7 @@
 	assert.Equal(t, site.follow(rosterAddress, 1, target.Token).Action, Forward, "after the dead state has expired")
 }
 
-func TestAVerdictIsTakenBack(t *testing.T) {
+func TestSetAliveRevertsSetDead(t *testing.T) {
 	site := newSite(t)
 	opened := site.open(rosterAddress, 1)
 	site.table.SetDead(opened.Target.Identifier, site.now.Add(time.Hour), site.now.Add(time.Hour))
@@ -38,7 +38,7 @@
 	assert.Equal(t, site.follow(rosterAddress, 1, opened.Target.Token).Action, Forward)
 }
 
-func TestACallersOwnResetIsNotAnswered(t *testing.T) {
+func TestCallersResetIsNotAnswered(t *testing.T) {
 	site := newSite(t)
 	opened := site.open(rosterAddress, 1)
 	site.table.SetDead(opened.Target.Identifier, site.now.Add(time.Hour), site.now.Add(time.Hour))
@@ -46,17 +46,17 @@
 	assert.Equal(t, site.table.Follow(site.now, packet).Action, Drop)
 }
 
-// TestWhoeverRunsAtATargetsAddressHasSupersededIt checks that a target is superseded by a later
-// one at its address, whether or not its entry is still there.
-func TestWhoeverRunsAtATargetsAddressHasSupersededIt(t *testing.T) {
+// TestLaterTargetAtSameAddressSupersedes checks that a target is superseded by a later one at its
+// address, whether or not its entry is still there.
+func TestLaterTargetAtSameAddressSupersedes(t *testing.T) {
 	for name, leave := range map[string]func(site *site){
 		"both in the store":     func(*site) {},
 		"earlier entry removed": func(site *site) { site.remove("roster-0") },
-		"later target drains":   func(site *site) { site.target("new", 300, "ledger", drainingAtFirst) },
+		"later target drains":   func(site *site) { site.target("new", 300, "ledger", drainingAtRoster0Address) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			site := newSite(t)
-			site.target("new", 300, "ledger", atFirst)
+			site.target("new", 300, "ledger", atRoster0Address)
 			leave(site)
 			refused := site.follow(rosterAddress, 1, Of(100))
 			assert.Equal(t, refused.Action, Refuse)
@@ -69,18 +69,18 @@
 	}
 }
 
-// TestATargetThatWentIsNotSupersededByAnEarlierOne covers an earlier target whose removal is not
-// known here yet.
-func TestATargetThatWentIsNotSupersededByAnEarlierOne(t *testing.T) {
+// TestGoneTargetIsNotSupersededByEarlierOne covers an earlier target whose removal is not known
+// here yet.
+func TestGoneTargetIsNotSupersededByEarlierOne(t *testing.T) {
 	site := newSite(t)
-	site.target("new", 300, "roster", atFirst)
+	site.target("new", 300, "roster", atRoster0Address)
 	site.remove("new")
 	assert.Equal(t, site.follow(rosterAddress, 1, Of(300)).Action, Forward)
 }
 
-// TestATargetIsNotSupersededByOneThatARestoredStoreBringsBack guards a running target against the
-// entry of an ended one that a restored store lists under a later revision.
-func TestATargetIsNotSupersededByOneThatARestoredStoreBringsBack(t *testing.T) {
+// TestTargetIsNotSupersededByEntryOfRestoredStore guards a running target against the entry of an
+// ended one that a restored store lists under a later revision.
+func TestTargetIsNotSupersededByEntryOfRestoredStore(t *testing.T) {
 	for name, leave := range map[string]func(site *site){
 		"later target in the store": func(*site) {},
 		"later entry removed":       func(site *site) { site.remove("new") },
@@ -88,7 +88,7 @@
 		t.Run(name, func(t *testing.T) {
 			site := newSite(t)
 			site.target("new", 300, "ledger", func(target *storeview.Target) {
-				atFirst(target)
+				atRoster0Address(target)
 				target.Incarnation = 9
 			})
 			leave(site)
@@ -99,27 +99,27 @@
 	}
 }
 
-// atFirst moves a target to the address of roster-0.
-func atFirst(target *storeview.Target) {
+// atRoster0Address moves a target to the address of roster-0.
+func atRoster0Address(target *storeview.Target) {
 	target.Address = netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), 100)
 }
 
-func drainingAtFirst(target *storeview.Target) {
-	atFirst(target)
+func drainingAtRoster0Address(target *storeview.Target) {
+	atRoster0Address(target)
 	target.Draining = true
 }
 
-func TestAGoneTargetAloneAtItsAddressServesOn(t *testing.T) {
+func TestGoneTargetKeepsServingOpenFlows(t *testing.T) {
 	site := newSite(t)
 	site.remove("roster-0")
 	assert.Equal(t, site.follow(rosterAddress, 1, Of(100)).Action, Forward)
 }
 
-func TestDataSentAgainIsUnacknowledged(t *testing.T) {
+func TestRetransmittedDataIsUnacknowledged(t *testing.T) {
 	flow := newExchange(t)
 	flow.send(1, 500, 100)
 	sentAt := flow.now
-	flow.now = flow.now.Add(repeatedAfter - time.Millisecond)
+	flow.now = flow.now.Add(minRetransmitDelay - time.Millisecond)
 	flow.send(1, 500, 100)
 	assert.Equal(t, len(flow.requests.TakeUnacknowledged()), 0, "duplicate made by the network")
 	first := flow.now
@@ -132,23 +132,23 @@
 	assert.Equal(t, len(flow.requests.TakeUnacknowledged()), 0, "returned twice")
 }
 
-func TestSignsOfLife(t *testing.T) {
-	lifeOf := func(flow *exchange) time.Time { return flow.site.table.LastLife(liveness.Subject{Target: 100}) }
+func TestTargetActivity(t *testing.T) {
+	lastActivity := func(flow *exchange) time.Time { return flow.site.table.LastLife(liveness.Subject{Target: 100}) }
 	t.Run("response", func(t *testing.T) {
 		flow := newExchange(t)
 		flow.send(1, 500, 100)
-		assert.Assert(t, lifeOf(flow).IsZero())
+		assert.Assert(t, lastActivity(flow).IsZero())
 		flow.now = flow.now.Add(20 * time.Millisecond)
 		flow.send(101, 900, 0)
-		assert.Assert(t, lifeOf(flow).Equal(flow.now))
+		assert.Assert(t, lastActivity(flow).Equal(flow.now))
 	})
 	t.Run("response acknowledged with the next request counts from the request", func(t *testing.T) {
 		flow := newExchange(t)
-		asked := flow.now
+		requestedAt := flow.now
 		flow.send(1, 500, 100)
 		flow.now = flow.now.Add(3 * time.Second) // the target may die while the caller is idle
 		flow.send(101, 900, 100)
-		assert.Assert(t, lifeOf(flow).Equal(asked))
+		assert.Assert(t, lastActivity(flow).Equal(requestedAt))
 	})
 	t.Run("reply to a first packet", func(t *testing.T) {
 		site := newSite(t)
@@ -161,21 +161,21 @@
 		flow := newExchange(t)
 		flow.send(1, 500, 1200)
 		flow.send(1201, 500, 1200)
-		assert.Assert(t, lifeOf(flow).IsZero(), "initial window needs no acknowledgement")
-		flow.now = flow.now.Add(repeatedAfter)
+		assert.Assert(t, lastActivity(flow).IsZero(), "initial window needs no acknowledgement")
+		flow.now = flow.now.Add(minRetransmitDelay)
 		flow.send(2401, 500, 1200)
-		assert.Assert(t, lifeOf(flow).Equal(flow.now))
+		assert.Assert(t, lastActivity(flow).Equal(flow.now))
 	})
 	t.Run("retransmission is not activity", func(t *testing.T) {
 		flow := newExchange(t)
 		flow.send(1, 500, 100)
 		flow.now = flow.now.Add(time.Second)
 		flow.send(1, 500, 100)
-		assert.Assert(t, lifeOf(flow).IsZero())
+		assert.Assert(t, lastActivity(flow).IsZero())
 	})
 }
 
-func TestWhoWaitsForATargetIsTakenOnce(t *testing.T) {
+func TestPendingRequestsOfDeadTargetAreTakenOnce(t *testing.T) {
 	flow := newExchange(t)
 	flow.send(1, 500, 100)
 	assert.Equal(t, len(flow.requests.TakeWaiting(func(target uint64) bool { return target == 999 })), 0)
@@ -188,19 +188,19 @@
 	assert.Equal(t, flow.requests.Len(), 0)
 }
 
-func TestAZoneIsItsTargetsTogether(t *testing.T) {
+func TestZoneSubject(t *testing.T) {
 	site := newZonedSite(t)
 	zone := liveness.Subject{Zone: "b"}
 	assert.Assert(t, site.table.IsKnown(zone) && !site.table.IsKnown(liveness.Subject{Zone: "nowhere"}))
 	assert.DeepEqual(t, site.table.ServicesOf(zone), map[string]int{"roster": 2})
 	assert.Equal(t, len(site.table.TargetsToProbe(zone, 1)), 1)
-	site.table.targetOf(104).Signal.NoteLife(site.now)
+	site.table.targetByIdentifier(104).Signal.NoteLife(site.now)
 	assert.Assert(t, site.table.LastLife(zone).Equal(site.now))
 	assert.DeepEqual(t, site.table.TargetsToProbe(zone, 2), []uint64{104, 101})
 }
 
-// BenchmarkLastLifeOfAZone reports on one zone among 15,000 targets in 23 zones.
-func BenchmarkLastLifeOfAZone(b *testing.B) {
+// BenchmarkZoneLastActivity reports on one zone among 15,000 targets in 23 zones.
+func BenchmarkZoneLastActivity(b *testing.B) {
 	table := &Table{index: newIndex(0)}
 	for number := range 15_000 {
 		described := &storeview.KnownTarget{Record: storeview.Record{Key: fmt.Sprint(number)}, Target: storeview.Target{Identifier: uint64(number), Zone: fmt.Sprint(number % 23)}}
--- a/internal/steering/token/evacuation_test.go
+++ b/internal/steering/token/evacuation_test.go
@@ -13,20 +13,20 @@
 // newZonedSite has targets of roster in three zones and those of ledger in one.
 func newZonedSite(t *testing.T) *site {
 	t.Helper()
-	made := newSite(t)
+	s := newSite(t)
 	for number := range 6 {
 		zone := []string{"a", "b", "c"}[number%3]
-		made.target(fmt.Sprint("roster-", number), uint64(100+number), "roster", func(target *storeview.Target) { target.Zone = zone })
+		s.target(fmt.Sprint("roster-", number), uint64(100+number), "roster", func(target *storeview.Target) { target.Zone = zone })
 	}
-	return made
+	return s
 }
 
 func (s *site) evacuate(zone string) {
 	s.put(storeview.Entry{Key: "order-" + zone, Order: &storeview.Order{Kind: storeview.OrderEvacuate, Zone: zone}})
 }
 
-// zonesOf opens count flows one after another and returns the number per zone of their targets.
-func (s *site) zonesOf(t *testing.T, first, count int) map[string]int {
+// countByZone opens count flows one after another and returns the number per zone of their targets.
+func (s *site) countByZone(t *testing.T, first, count int) map[string]int {
 	t.Helper()
 	zones := map[string]int{}
 	for number := first; number < first+count; number++ {
@@ -38,20 +38,20 @@
 	return zones
 }
 
-func TestAnEvacuatedZoneGetsNoNewFlows(t *testing.T) {
+func TestEvacuatedZoneGetsNoNewFlows(t *testing.T) {
 	site := newZonedSite(t)
 	opened := site.open(rosterAddress, 1)
-	assert.Assert(t, site.zonesOf(t, 100, 100)["a"] > 90, "own zone not preferred")
+	assert.Assert(t, site.countByZone(t, 100, 100)["a"] > 90, "own zone not preferred")
 	site.evacuate("a")
-	zones := site.zonesOf(t, 200, 300)
+	zones := site.countByZone(t, 200, 300)
 	assert.Equal(t, zones["a"], 0)
 	assert.Assert(t, zones["b"] > 100 && zones["c"] > 100, "other zones don't share the flows: %v", zones)
 	assert.Equal(t, site.follow(rosterAddress, 1, opened.Target.Token).Action, Forward, "open flow not kept")
 	site.remove("order-a")
-	assert.Assert(t, site.zonesOf(t, 600, 100)["a"] > 0)
+	assert.Assert(t, site.countByZone(t, 600, 100)["a"] > 0)
 }
 
-func TestACopyOfAnOpeningPacketLeavesAnEvacuatedZone(t *testing.T) {
+func TestRetransmittedFirstPacketLeavesEvacuatedZone(t *testing.T) {
 	site := newZonedSite(t)
 	opened := site.open(rosterAddress, 1)
 	site.evacuate("a")
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestAFlowThatMayBeOpenIsNotReset covers a late retransmission of a first packet without an
+// TestPossiblyOpenFlowIsNotReset covers a late retransmission of a first packet without an
 // eligible target: any reply would reset the flow, so it must be dropped.
-func TestAFlowThatMayBeOpenIsNotReset(t *testing.T) {
+func TestPossiblyOpenFlowIsNotReset(t *testing.T) {
 	site := newSite(t)
 	opened := site.open(rosterAddress, 1)
 	site.follow(rosterAddress, 1, opened.Target.Token)
@@ -76,7 +76,7 @@
 	assert.Equal(t, site.follow(rosterAddress, 1, opened.Target.Token).Action, Forward)
 }
 
-func TestCallersAreRefusedWhereAllTargetsAreEvacuated(t *testing.T) {
+func TestFlowsAreRefusedIfAllTargetsAreEvacuated(t *testing.T) {
 	site := newSite(t)
 	site.evacuate("a")
 	refused := site.open(rosterAddress, 1)
@@ -86,9 +86,9 @@
 	assert.Equal(t, site.open(rosterAddress, 2).Action, Forward)
 }
 
-// TestALeavingTargetIsNoWayOutOfAnEvacuation checks that the fallback to draining targets does not
-// apply in evacuated zones.
-func TestALeavingTargetIsNoWayOutOfAnEvacuation(t *testing.T) {
+// TestNoFallbackToDrainingTargetsInEvacuatedZone checks that the fallback to draining targets does
+// not apply in evacuated zones.
+func TestNoFallbackToDrainingTargetsInEvacuatedZone(t *testing.T) {
 	site := newSite(t)
 	for number := range 6 {
 		site.target(fmt.Sprint("roster-", number), uint64(100+number), "roster", func(target *storeview.Target) { target.Draining = true })
--- /dev/null
+++ b/internal/steering/token/expired.go
@@ -0,0 +1,32 @@
+package token
+
+import "github.com/passtray/passtray/internal/balance"
+
+// mayHaveExpired reports whether a leaving target may still be running because its entry may have
+// expired while the store was unavailable. After an outage that can apply to all targets.
+func (o *Opener) mayHaveExpired(target *Target) bool {
+	return target.IsLapsed() && o.expiryWindow.Covers(o.now, target.LearnedAt) && o.isWithinGrace(target)
+}
+
+// isWithinGrace reports whether a leaving target may still serve flows.
+func (o *Opener) isWithinGrace(target *Target) bool {
+	return o.now.Sub(target.LearnedAt) < o.leavingGrace
+}
+
+// eligible returns the targets of a service that accept new flows, including those whose entries
+// may have expired during a store outage. The slice is valid until the next call of eligible or
+// leaving.
+func (o *Opener) eligible(service *Service) []balance.Source[*Target] {
+	o.sources[0] = balance.Source[*Target]{Pool: &service.eligible}
+	if !o.expiryWindow.Holds(o.now) {
+		return o.sources[:1]
+	}
+	o.sources[1] = balance.Source[*Target]{Pool: &service.leaving, Allows: o.allowsExpired}
+	return o.sources[:2]
+}
+
+// leaving returns the targets of a service that are used for new flows if no other is left.
+func (o *Opener) leaving(service *Service) []balance.Source[*Target] {
+	o.sources[0] = balance.Source[*Target]{Pool: &service.leaving, Allows: o.allowsLeaving}
+	return o.sources[:1]
+}
--- a/internal/steering/token/lapse_test.go
+++ b/internal/steering/token/expired_test.go
@@ -9,13 +9,13 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// lapsing simulates that the store has just come back.
-func (s *site) lapsing() {
+// startExpiryWindow simulates that the store has just come back.
+func (s *site) startExpiryWindow() {
 	s.opener.SetLapse(storeview.Lapse{Since: s.now, Until: s.now.Add(2 * time.Second)})
 }
 
-// opened opens flows and returns their number by target identifier.
-func (s *site) opened(t *testing.T, flows int) map[uint64]int {
+// countByTarget opens flows and returns their number by target identifier.
+func (s *site) countByTarget(t *testing.T, flows int) map[uint64]int {
 	t.Helper()
 	counts := map[uint64]int{}
 	for number := range flows {
@@ -26,10 +26,10 @@
 	return counts
 }
 
-// TestOneTargetIsNotFloodedForALapse guards against sending all flows to the first target that
-// re-registers after all entries expired in a store outage.
-func TestOneTargetIsNotFloodedForALapse(t *testing.T) {
-	lapsed := func(t *testing.T) *site {
+// TestFirstTargetBackAfterOutageIsNotFlooded guards against sending all flows to the first target
+// that re-registers after all entries expired in a store outage.
+func TestFirstTargetBackAfterOutageIsNotFlooded(t *testing.T) {
+	newExpiredSite := func(t *testing.T) *site {
 		t.Helper()
 		site := newSite(t)
 		for _, key := range []string{"roster-0", "roster-1", "roster-2", "roster-3"} {
@@ -39,28 +39,28 @@
 		return site
 	}
 	t.Run("during the expiry window targets with expired entries get flows", func(t *testing.T) {
-		site := lapsed(t)
-		site.lapsing()
-		counts := site.opened(t, 100)
+		site := newExpiredSite(t)
+		site.startExpiryWindow()
+		counts := site.countByTarget(t, 100)
 		assert.Equal(t, len(counts), 5)
 		assert.Equal(t, counts[104], 0, "draining target got flows")
 	})
 	t.Run("no expiry window", func(t *testing.T) {
-		counts := lapsed(t).opened(t, 100)
+		counts := newExpiredSite(t).countByTarget(t, 100)
 		assert.Equal(t, counts[105], 100)
 	})
 	t.Run("after the expiry window", func(t *testing.T) {
-		site := lapsed(t)
-		site.lapsing()
+		site := newExpiredSite(t)
+		site.startExpiryWindow()
 		site.now = site.now.Add(2 * time.Second)
-		counts := site.opened(t, 100)
+		counts := site.countByTarget(t, 100)
 		assert.Equal(t, counts[105], 100)
 	})
 }
 
-// TestWhatMayOnlyBeMissingIsHeld checks that packets are held, not refused or dropped, while
-// targets may be missing from the store.
-func TestWhatMayOnlyBeMissingIsHeld(t *testing.T) {
+// TestPacketsAreHeldWhileTargetsMayBeMissing checks that packets are held, not refused or dropped,
+// while targets may be missing from the store.
+func TestPacketsAreHeldWhileTargetsMayBeMissing(t *testing.T) {
 	site := newSite(t)
 	site.remove("ledger-0")
 	site.remove("ledger-1")
@@ -69,7 +69,7 @@
 	unknown := site.follow(rosterAddress, 1, 0xdeadbeef)
 	assert.Equal(t, lack(site.open(ledgerAddress, 1)), Refuse)
 	assert.Equal(t, lack(unknown), Drop)
-	site.lapsing()
+	site.startExpiryWindow()
 	assert.Equal(t, lack(site.open(ledgerAddress, 2)), Hold)
 	assert.Equal(t, lack(unknown), Hold)
 	assert.Equal(t, lack(site.follow(ledgerAddress, 1, Of(100))), Forward, "packet for a known target was held")
--- a/internal/steering/token/index.go
+++ b/internal/steering/token/index.go
@@ -15,20 +15,20 @@
 // target by target, at a cost independent of the number of targets. It must not be read while it
 // is updated.
 type index struct {
-	// marks and addresses hold linked lists of the targets with a mark and at an address. A mark
+	// byMark and byAddress hold linked lists of the targets with a mark and at an address. A mark
 	// is a prefix of the token, so it also leads to the targets of a token. Most lists have one
 	// element.
-	marks     map[loadshare.Mark]*Target
-	addresses map[addressKey]*Target
+	byMark    map[loadshare.Mark]*Target
+	byAddress map[addressKey]*Target
 	zones     map[string]*zone
 	services  map[string]*Service
 	// count is the number of all targets.
 	count int
-	// mayOpen is the number of targets that accept new flows, superseded that of targets at whose
-	// address another target runs.
-	mayOpen, superseded int
-	// cold are the targets in slow start whose rate of new flows is limited.
-	cold map[*Target]struct{}
+	// eligibleCount is the number of targets that accept new flows, superseded that of targets at
+	// whose address another target runs.
+	eligibleCount, superseded int
+	// slowStarting are the targets in slow start whose rate of new flows is limited.
+	slowStarting map[*Target]struct{}
 }
 
 // zone holds the targets of a zone, except superseded ones, and their number by service.
@@ -55,15 +55,15 @@
 // newIndex returns an index with capacity for the given number of targets.
 func newIndex(targets int) *index {
 	return &index{
-		marks: make(map[loadshare.Mark]*Target, targets), addresses: make(map[addressKey]*Target, targets),
-		zones: map[string]*zone{}, services: map[string]*Service{}, cold: map[*Target]struct{}{},
+		byMark: make(map[loadshare.Mark]*Target, targets), byAddress: make(map[addressKey]*Target, targets),
+		zones: map[string]*zone{}, services: map[string]*Service{}, slowStarting: map[*Target]struct{}{},
 	}
 }
 
 // find returns the target with a token, nil if there is none. If tokens collide, the target with
 // the lowest key gets the flows, so that all daemons agree.
 func (x *index) find(token uint32) *Target {
-	for target := x.marks[loadshare.MarkOf(token)]; target != nil; target = target.sameMark {
+	for target := x.byMark[loadshare.MarkOf(token)]; target != nil; target = target.nextSameMark {
 		if target.Token == token && !target.isShadowed {
 			return target
 		}
@@ -71,9 +71,9 @@
 	return nil
 }
 
-// held returns the target of a store entry, nil if there is none.
-func (x *index) held(identifier uint64, key string) *Target {
-	for target := x.marks[loadshare.MarkOf(Of(identifier))]; target != nil; target = target.sameMark {
+// known returns the target of a store entry, nil if there is none.
+func (x *index) known(identifier uint64, key string) *Target {
+	for target := x.byMark[loadshare.MarkOf(Of(identifier))]; target != nil; target = target.nextSameMark {
 		if target.Identifier == identifier && target.Key == key {
 			return target
 		}
@@ -84,21 +84,21 @@
 func (x *index) add(target *Target) {
 	x.count++
 	mark, address := loadshare.MarkOf(target.Token), addressKeyOf(target.Address)
-	target.sameMark, x.marks[mark] = x.marks[mark], target
-	target.sameAddress, x.addresses[address] = x.addresses[address], target
-	x.settle(target)
+	target.nextSameMark, x.byMark[mark] = x.byMark[mark], target
+	target.nextSameAddress, x.byAddress[address] = x.byAddress[address], target
+	x.recompute(target)
 }
 
 func (x *index) remove(target *Target) {
 	x.count--
-	x.displace(target)
+	x.unindex(target)
 	mark, address := loadshare.MarkOf(target.Token), addressKeyOf(target.Address)
-	unlink(x.marks, mark, target, func(of *Target) **Target { return &of.sameMark })
-	unlink(x.addresses, address, target, func(of *Target) **Target { return &of.sameAddress })
+	unlink(x.byMark, mark, target, func(t *Target) **Target { return &t.nextSameMark })
+	unlink(x.byAddress, address, target, func(t *Target) **Target { return &t.nextSameAddress })
 	if target.IsSuperseded {
 		x.superseded--
 	}
-	x.settle(target)
+	x.recompute(target)
 }
 
 // unlink removes a target from a linked list; next returns the link field of an element.
@@ -117,75 +117,76 @@
 	}
 }
 
-// settle recomputes which target owns a token and which one runs at an address, after a target
+// recompute updates which target owns a token and which one runs at an address, after a target
 // with that token and address was added or removed.
-func (x *index) settle(changed *Target) {
-	tokens := x.marks[loadshare.MarkOf(changed.Token)]
-	shadow(tokens, changed.Token)
-	neighbours := x.addresses[addressKeyOf(changed.Address)]
-	x.supersede(neighbours, changed.Address)
-	for target := tokens; target != nil; target = target.sameMark {
-		x.place(target)
-	}
-	for target := neighbours; target != nil; target = target.sameAddress {
-		x.place(target)
-	}
-}
-
-// shadow resolves token collisions: of the targets with a token only the one with the lowest key
-// gets flows.
-func shadow(chain *Target, token uint32) {
-	var first *Target
-	for target := chain; target != nil; target = target.sameMark {
-		if target.Token == token && (first == nil || target.Key < first.Key) {
-			first = target
+func (x *index) recompute(changed *Target) {
+	sameMark := x.byMark[loadshare.MarkOf(changed.Token)]
+	resolveCollision(sameMark, changed.Token)
+	atAddress := x.byAddress[addressKeyOf(changed.Address)]
+	x.updateSuperseded(atAddress, changed.Address)
+	for target := sameMark; target != nil; target = target.nextSameMark {
+		x.reindex(target)
+	}
+	for target := atAddress; target != nil; target = target.nextSameAddress {
+		x.reindex(target)
+	}
+}
+
+// resolveCollision resolves token collisions: of the targets with a token only the one with the
+// lowest key gets flows.
+func resolveCollision(chain *Target, token uint32) {
+	var owner *Target
+	for target := chain; target != nil; target = target.nextSameMark {
+		if target.Token == token && (owner == nil || target.Key < owner.Key) {
+			owner = target
 		}
 	}
-	for target := chain; target != nil; target = target.sameMark {
+	for target := chain; target != nil; target = target.nextSameMark {
 		if target.Token == token {
-			target.isShadowed = target != first
+			target.isShadowed = target != owner
 		}
 	}
 }
 
-// supersede recomputes which targets at an address have ended.
-func (x *index) supersede(chain *Target, address netip.AddrPort) {
-	present := presentAt(chain, address)
-	for target := chain; target != nil; target = target.sameAddress {
+// updateSuperseded recomputes which targets at an address have ended.
+func (x *index) updateSuperseded(chain *Target, address netip.AddrPort) {
+	current := currentAt(chain, address)
+	for target := chain; target != nil; target = target.nextSameAddress {
 		if target.Address == address {
-			x.setSuperseded(target, target.isSupersededBy(present))
+			x.setSuperseded(target, target.isSupersededBy(current))
 		}
 	}
 }
 
-// presentAt returns the target that runs at an address: of those in the store, the one written
+// currentAt returns the target that runs at an address: of those in the store, the one written
 // last.
-func presentAt(chain *Target, address netip.AddrPort) *Target {
-	var present *Target
-	for target := chain; target != nil; target = target.sameAddress {
+func currentAt(chain *Target, address netip.AddrPort) *Target {
+	var current *Target
+	for target := chain; target != nil; target = target.nextSameAddress {
 		if target.Address != address || target.Gone || target.isUndeclared {
 			continue
 		}
-		if present == nil || target.isLaterThan(present) {
-			present = target
+		if current == nil || target.startedAfter(current) {
+			current = target
 		}
 	}
-	return present
+	return current
 }
 
-// isLaterThan reports whether a target started to run at an address after another one, both being
+// startedAfter reports whether a target started to run at an address after another one, both being
 // in the store.
-func (t *Target) isLaterThan(other *Target) bool {
-	if order := t.compareRuns(other); order != 0 {
+func (t *Target) startedAfter(other *Target) bool {
+	if order := t.compareIncarnations(other); order != 0 {
 		return order > 0
 	}
 	return cmp.Or(cmp.Compare(t.Revision, other.Revision), cmp.Compare(t.Key, other.Key)) > 0
 }
 
-// compareRuns compares the incarnations of two targets of different store epochs, and returns 0 if
-// their revisions are to be compared instead. Revisions aren't comparable across epochs: a store
-// restored from a backup may list a target that ended long ago under a later revision.
-func (t *Target) compareRuns(other *Target) int {
+// compareIncarnations compares the incarnations of two targets of different store epochs, and
+// returns 0 if their revisions are to be compared instead. Revisions aren't comparable across
+// epochs: a store restored from a backup may list a target that ended long ago under a later
+// revision.
+func (t *Target) compareIncarnations(other *Target) int {
 	isOfOneEpoch := storeview.EpochOf(t.Written) == storeview.EpochOf(other.Written)
 	if isOfOneEpoch || t.Incarnation == 0 || other.Incarnation == 0 {
 		return 0
@@ -197,12 +198,12 @@
 // two targets in the store the earlier one has ended, since it can't have been written since. A
 // target that is gone has ended only if the present one was written later: otherwise it is the
 // present one that ended, and its removal is not known here yet.
-func (t *Target) isSupersededBy(present *Target) bool {
+func (t *Target) isSupersededBy(current *Target) bool {
 	switch {
-	case present == nil || present == t:
+	case current == nil || current == t:
 		return false
 	case t.Gone || t.isUndeclared:
-		return cmp.Or(present.compareRuns(t), cmp.Compare(present.Revision, t.Written)) > 0
+		return cmp.Or(current.compareIncarnations(t), cmp.Compare(current.Revision, t.Written)) > 0
 	}
 	return true
 }
@@ -219,10 +220,10 @@
 	}
 }
 
-// all calls visit with every target that can have flows.
-func (x *index) all(visit func(target *Target)) {
-	for _, chain := range x.marks {
-		for target := chain; target != nil; target = target.sameMark {
+// each calls visit with every target that can have flows.
+func (x *index) each(visit func(target *Target)) {
+	for _, chain := range x.byMark {
+		for target := chain; target != nil; target = target.nextSameMark {
 			if !target.isShadowed {
 				visit(target)
 			}
--- a/internal/steering/token/limit_test.go
+++ b/internal/steering/token/limit_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// shrunken has a service with a single target of two slots left.
-func shrunken(t *testing.T) *site {
+// newShrunkenSite has a service with a single target of two slots left.
+func newShrunkenSite(t *testing.T) *site {
 	t.Helper()
 	site := newSite(t)
 	for _, key := range []string{"roster-0", "roster-1", "roster-2", "roster-3", "roster-4"} {
@@ -18,8 +18,8 @@
 	return site
 }
 
-// admitted opens flows until one is not forwarded and returns the number forwarded.
-func (s *site) admitted(t *testing.T) int {
+// countAdmitted opens flows until one is not forwarded and returns the number forwarded.
+func (s *site) countAdmitted(t *testing.T) int {
 	t.Helper()
 	for number := range 100 {
 		if decision := s.open(rosterAddress, 1000+number); decision.Action != Forward {
@@ -33,24 +33,24 @@
 
 func TestATargetGetsNoMoreThanItCanTake(t *testing.T) {
 	t.Run("one daemon sends one flow per slot", func(t *testing.T) {
-		site := shrunken(t)
+		site := newShrunkenSite(t)
 		site.opener.SetDaemons(1)
-		assert.Equal(t, site.admitted(t), 2)
+		assert.Equal(t, site.countAdmitted(t), 2)
 	})
 	t.Run("many daemons send at least one each", func(t *testing.T) {
-		site := shrunken(t)
+		site := newShrunkenSite(t)
 		site.opener.SetDaemons(50)
-		assert.Equal(t, site.admitted(t), 1)
+		assert.Equal(t, site.countAdmitted(t), 1)
 	})
 	t.Run("no limit", func(t *testing.T) {
-		assert.Equal(t, shrunken(t).admitted(t), 100)
+		assert.Equal(t, newShrunkenSite(t).countAdmitted(t), 100)
 	})
 }
 
-// TestWhatWaitsCountsUntilItIsAnswered checks that a pending request occupies a slot until its
-// response begins.
-func TestWhatWaitsCountsUntilItIsAnswered(t *testing.T) {
-	site := shrunken(t)
+// TestPendingRequestOccupiesSlot checks that a pending request occupies a slot until its response
+// begins.
+func TestPendingRequestOccupiesSlot(t *testing.T) {
+	site := newShrunkenSite(t)
 	site.opener.SetDaemons(50)
 	requests := NewRequests(16)
 	opened := site.open(rosterAddress, 1)
@@ -73,7 +73,7 @@
 	counts := map[string]int{}
 	held := 0
 	for number := range 200 {
-		decision := site.open(bothAddress, number)
+		decision := site.open(mixedAddress, number)
 		if decision.Action == Hold {
 			held++
 			continue
@@ -84,10 +84,10 @@
 	assert.Assert(t, counts["ledger"] <= 2, "%v", counts)
 }
 
-// TestARequestThatIsNotFollowedAnyMoreHoldsNoPlace guards against leaked slots of requests that
-// were evicted from the full table, or whose acknowledgement went past another daemon.
-func TestARequestThatIsNotFollowedAnyMoreHoldsNoPlace(t *testing.T) {
-	site := shrunken(t)
+// TestUntrackedRequestsReleaseTheirSlots guards against leaked slots of requests that were evicted
+// from the full table, or whose acknowledgement went past another daemon.
+func TestUntrackedRequestsReleaseTheirSlots(t *testing.T) {
+	site := newShrunkenSite(t)
 	requests := NewRequests(1)
 	var decision Decision
 	for number := range 3 {
--- a/internal/steering/token/early.go
+++ b/internal/steering/token/noconfig.go
@@ -14,5 +14,5 @@
 	if target == nil || target.isDead(now) {
 		return Decision{Action: Hold, Reason: ReasonNotReady}
 	}
-	return Decision{Action: Forward, Target: target, word: packet.Token}
+	return Decision{Action: Forward, Target: target, boundToken: packet.Token}
 }
--- a/internal/steering/token/early_test.go
+++ b/internal/steering/token/noconfig_test.go
@@ -17,26 +17,26 @@
 	return NewBuilder(time.Minute).Build(testStart, view)
 }
 
-func TestOpenFlowsGoOnBeforeRoutesAreKnown(t *testing.T) {
+func TestOpenFlowsAreForwardedBeforeRoutesAreKnown(t *testing.T) {
 	known := newEarlyTable(t, storeview.Entry{Key: "roster-0", Revision: 3, Target: &storeview.Target{Identifier: 100, Service: "roster"}})
 	assert.Assert(t, known != nil && !known.HasRoutes() && known.HasTargets())
-	followedOn := known.FollowEarly(testStart, &Packet{Destination: rosterAddress, Token: WordAt(rosterAddress, 100)})
-	assert.Equal(t, followedOn.Action, Forward)
-	assert.Equal(t, followedOn.Target.Identifier, uint64(100))
-	assert.Equal(t, followedOn.Word(), WordAt(rosterAddress, 100))
+	forwarded := known.FollowEarly(testStart, &Packet{Destination: rosterAddress, Token: WordAt(rosterAddress, 100)})
+	assert.Equal(t, forwarded.Action, Forward)
+	assert.Equal(t, forwarded.Target.Identifier, uint64(100))
+	assert.Equal(t, forwarded.Word(), WordAt(rosterAddress, 100))
 	elsewhere := known.FollowEarly(testStart, &Packet{Destination: ledgerAddress, Token: WordAt(rosterAddress, 100)})
 	assert.Equal(t, elsewhere.Action, Hold, "token bound to another address")
 	unknown := known.FollowEarly(testStart, &Packet{Destination: rosterAddress, Token: WordAt(rosterAddress, 101)})
 	assert.Equal(t, unknown.Action, Hold, "a target learned later may have the token")
 }
 
-func TestWithNeitherRoutesNorTargetsThereIsNoTable(t *testing.T) {
+func TestNoTableWithoutRoutesAndTargets(t *testing.T) {
 	assert.Assert(t, newEarlyTable(t) == nil)
 }
 
-// TestFollowingBeforeRoutesCostsNoMemory guards against allocations for the burst of packets after
-// a restart of all daemons.
-func TestFollowingBeforeRoutesCostsNoMemory(t *testing.T) {
+// TestSteeringBeforeRoutesDoesNotAllocate guards against allocations for the burst of packets
+// after a restart of all daemons.
+func TestSteeringBeforeRoutesDoesNotAllocate(t *testing.T) {
 	known := newEarlyTable(t, storeview.Entry{Key: "roster-0", Revision: 3, Target: &storeview.Target{Identifier: 100, Service: "roster"}})
 	packet := &Packet{Destination: rosterAddress, Token: WordAt(rosterAddress, 100)}
 	assert.Equal(t, testing.AllocsPerRun(100, func() { known.FollowEarly(testStart, packet) }), 0.0)
--- a/internal/steering/token/open_bench_test.go
+++ b/internal/steering/token/open_bench_test.go
@@ -16,7 +16,7 @@
 // newLargeSite has a service of many targets, of which only the first ones are listed by the store
 // that has just come back.
 func newLargeSite(targets, listed int) *site {
-	made := &site{
+	s := &site{
 		view:    storeview.New(time.Minute),
 		builder: NewBuilder(time.Minute),
 		opener:  NewOpener("a", rand.New(rand.NewPCG(1, 1)), ownership.NewTable(1024, 3*time.Second), 3*time.Second),
@@ -31,11 +31,11 @@
 			Address: netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), uint16(1000+number)),
 		}})
 	}
-	made.view.Merge(testStart, entries)
-	made.view.MergeAll(testStart, entries[:1+listed], 3)
-	made.table = made.builder.Build(testStart, made.view)
-	made.opener.SetLapse(storeview.Lapse{Since: testStart, Until: testStart.Add(2500 * time.Millisecond)})
-	return made
+	s.view.Merge(testStart, entries)
+	s.view.MergeAll(testStart, entries[:1+listed], 3)
+	s.table = s.builder.Build(testStart, s.view)
+	s.opener.SetLapse(storeview.Lapse{Since: testStart, Until: testStart.Add(2500 * time.Millisecond)})
+	return s
 }
 
 // BenchmarkOpen picks targets while all of them are listed, and while the store has just come back
@@ -54,9 +54,9 @@
 	}
 }
 
-// TestAPickKeepsNoNewMemory guards against allocations per first packet, also while targets are
+// TestPickDoesNotAllocate guards against allocations per first packet, also while targets are
 // missing from the store.
-func TestAPickKeepsNoNewMemory(t *testing.T) {
+func TestPickDoesNotAllocate(t *testing.T) {
 	for name, listed := range map[string]int{"all listed": 1000, "none listed": 0} {
 		t.Run(name, func(t *testing.T) {
 			site := newLargeSite(1000, listed)
--- a/internal/steering/token/opener.go
+++ b/internal/steering/token/opener.go
@@ -12,68 +12,68 @@
 )
 
 const (
-	// copyAfter is the minimum age of a pick at which another first packet counts as a
+	// minRetransmitAge is the minimum age of a pick at which another first packet counts as a
 	// retransmission by the caller, meaning that the target did not respond, and not as a
 	// duplicate made by the network.
-	copyAfter = 100 * time.Millisecond
-	// silentAfter is how many first packets in a row must be unanswered before a target is
-	// ejected. Each daemon sees only its part of the flows, so a higher threshold would delay many
-	// callers.
-	silentAfter = 1
-	// maximumRetries is how often a flow may be steered to another target.
-	maximumRetries = 2
+	minRetransmitAge = 100 * time.Millisecond
+	// ejectAfterUnanswered is how many first packets in a row must be unanswered before a target
+	// is ejected. Each daemon sees only its part of the flows, so a higher threshold would delay
+	// many callers.
+	ejectAfterUnanswered = 1
+	// maxRetries is how often a flow may be steered to another target.
+	maxRetries = 2
 )
 
 // Opener steers the first packets of flows. It is not safe for concurrent use.
 type Opener struct {
-	zone       string
-	random     *rand.Rand
-	pins       *ownership.Table
-	leavingFor time.Duration
-	// silent are the targets that left a first packet unanswered.
-	silent []Unanswered
-	// lapse is the period in which entries of running targets may be missing.
-	lapse storeview.Lapse
+	zone         string
+	random       *rand.Rand
+	pins         *ownership.Table
+	leavingGrace time.Duration
+	// suspect are the targets that left a first packet unanswered.
+	suspect []Unanswered
+	// expiryWindow is the period in which entries of running targets may be missing.
+	expiryWindow storeview.Lapse
 	// daemons is the number of daemons that share the targets' capacity. atLimit is set if the
 	// last pick found only targets at their limit.
 	daemons int
 	atLimit bool
 	// overloaded is the service of the last pick if it rejected the flow for overload.
 	overloaded *Service
-	// knowsOpen is set once the numbers of open flows at targets are known.
-	knowsOpen bool
+	// openCountsKnown is set once the numbers of open flows at targets are known.
+	openCountsKnown bool
 	// The following fields are the state of the current pick, kept here so that a pick doesn't
 	// allocate.
-	now                         time.Time
-	request                     balance.Request
-	sources                     [2]balance.Source[*Target]
-	picker                      balance.Picker[*Target]
-	allowsLapsed, allowsLeaving func(target *Target) bool
+	now                          time.Time
+	request                      balance.Request
+	sources                      [2]balance.Source[*Target]
+	picker                       balance.Picker[*Target]
+	allowsExpired, allowsLeaving func(target *Target) bool
 }
 
 // NewOpener returns an opener that stores flow assignments in pins. Targets that are draining or
-// gone may get new flows for leavingFor after that was learned, if no other target is left.
-func NewOpener(zone string, random *rand.Rand, pins *ownership.Table, leavingFor time.Duration) *Opener {
-	opener := &Opener{zone: zone, random: random, pins: pins, leavingFor: leavingFor}
-	opener.allowsLapsed, opener.allowsLeaving = opener.isLapsed, opener.isLeavingLately
+// gone may get new flows for leavingGrace after that was learned, if no other target is left.
+func NewOpener(zone string, random *rand.Rand, pins *ownership.Table, leavingGrace time.Duration) *Opener {
+	opener := &Opener{zone: zone, random: random, pins: pins, leavingGrace: leavingGrace}
+	opener.allowsExpired, opener.allowsLeaving = opener.mayHaveExpired, opener.isWithinGrace
 	return opener
 }
 
 // SetLapse sets the period in which entries of running targets may be missing.
-func (o *Opener) SetLapse(lapse storeview.Lapse) { o.lapse = lapse }
+func (o *Opener) SetLapse(expiryWindow storeview.Lapse) { o.expiryWindow = expiryWindow }
 
 // SetDaemons sets the number of daemons, including this one, that share the targets' capacity.
 func (o *Opener) SetDaemons(count int) { o.daemons = count }
 
 // SetKnowsOpen declares that the numbers of open flows at targets are known from now on.
-func (o *Opener) SetKnowsOpen() { o.knowsOpen = true }
+func (o *Opener) SetKnowsOpen() { o.openCountsKnown = true }
 
 // Lack changes a decision that failed for want of a target to Hold while entries of running
 // targets may be missing from the store.
 func (o *Opener) Lack(now time.Time, decision Decision) Decision {
 	switch decision.Reason {
 	case ReasonNoTarget, ReasonEvacuated, ReasonUnknownToken:
-		if o.lapse.Holds(now) {
+		if o.expiryWindow.Holds(now) {
 			decision.Action = Hold
 		}
 	}
@@ -90,12 +90,12 @@
 	}
 	decision := Decision{Action: Forward, Reason: ReasonFirst, Route: route}
 	o.overloaded = nil
-	o.pins.Update(now, flowKey(route, packet), func(held ownership.Pin, found bool) (ownership.Pin, bool) {
+	o.pins.Update(now, flowKey(route, packet), func(pin ownership.Pin, found bool) (ownership.Pin, bool) {
 		if found {
-			return o.repeat(now, table, &decision, held)
+			return o.steerRetransmission(now, table, &decision, pin)
 		}
-		decision.Target = o.pickAt(now, table, route, route.choose(packet.Service, o.random), nil)
-		return o.pin(now, &decision, ownership.Pin{})
+		decision.Target = o.pickForBackend(now, table, route, route.backendFor(packet.Service, o.random), nil)
+		return o.assign(now, &decision, ownership.Pin{})
 	})
 	switch {
 	case decision.Target != nil:
@@ -125,60 +125,60 @@
 	return ownership.FlowKey{Service: route.Number, Caller: packet.Source}
 }
 
-// repeat steers a retransmitted first packet.
-func (o *Opener) repeat(now time.Time, table *Table, decision *Decision, held ownership.Pin) (ownership.Pin, bool) {
-	silent := table.index.find(held.Target)
-	if silent != nil && silent.IsEvacuated {
-		return o.replaceEvacuated(now, table, decision, held)
+// steerRetransmission steers a retransmitted first packet.
+func (o *Opener) steerRetransmission(now time.Time, table *Table, decision *Decision, pin ownership.Pin) (ownership.Pin, bool) {
+	suspect := table.index.find(pin.Target)
+	if suspect != nil && suspect.IsEvacuated {
+		return o.steerFromEvacuated(now, table, decision, pin)
 	}
-	isCopy := now.Sub(held.Created) >= copyAfter || silent != nil && silent.isDead(now)
-	if silent != nil && (held.Answered || !isCopy || held.Retries >= maximumRetries) {
+	isRetransmission := now.Sub(pin.Created) >= minRetransmitAge || suspect != nil && suspect.isDead(now)
+	if suspect != nil && (pin.Answered || !isRetransmission || pin.Retries >= maxRetries) {
 		decision.Reason = ReasonCopy
-		decision.Target = silent
-		return held, true
+		decision.Target = suspect
+		return pin, true
 	}
 	decision.Reason = ReasonSilentTarget
-	if silent != nil {
-		silent.Signal.NoteUnanswered(now, silentAfter)
-		table.watch(silent)
-		o.silent = append(o.silent, Unanswered{Target: silent.Identifier, Evidence: outlier.Weak})
+	if suspect != nil {
+		suspect.Signal.NoteUnanswered(now, ejectAfterUnanswered)
+		table.trackUnavailable(suspect)
+		o.suspect = append(o.suspect, Unanswered{Target: suspect.Identifier, Evidence: outlier.Weak})
 	}
-	decision.Target = o.pick(now, table, decision.Route, silent)
+	decision.Target = o.pick(now, table, decision.Route, suspect)
 	if decision.Target == nil {
-		decision.Target = silent
+		decision.Target = suspect
 	}
-	held.Retries++
-	return o.pin(now, decision, held)
+	pin.Retries++
+	return o.assign(now, decision, pin)
 }
 
-// replaceEvacuated steers a retransmitted first packet whose target is in a zone that was
+// steerFromEvacuated steers a retransmitted first packet whose target is in a zone that was
 // evacuated since. A flow that may be open at that target gets no reply, because a reset would end
 // it.
-func (o *Opener) replaceEvacuated(now time.Time, table *Table, decision *Decision, held ownership.Pin) (ownership.Pin, bool) {
+func (o *Opener) steerFromEvacuated(now time.Time, table *Table, decision *Decision, pin ownership.Pin) (ownership.Pin, bool) {
 	decision.Reason = ReasonEvacuated
-	if held.Answered {
-		return held, true
+	if pin.Answered {
+		return pin, true
 	}
 	decision.Target = o.pick(now, table, decision.Route, nil)
-	return o.pin(now, decision, held)
+	return o.assign(now, decision, pin)
 }
 
 // TakeSilent returns the targets that left first packets unanswered since the last call.
 func (o *Opener) TakeSilent() []Unanswered {
-	silent := o.silent
-	o.silent = nil
-	return silent
+	suspect := o.suspect
+	o.suspect = nil
+	return suspect
 }
 
-func (o *Opener) pin(now time.Time, decision *Decision, held ownership.Pin) (ownership.Pin, bool) {
+func (o *Opener) assign(now time.Time, decision *Decision, pin ownership.Pin) (ownership.Pin, bool) {
 	if decision.Target == nil {
-		return held, false
+		return pin, false
 	}
 	decision.Target.Signal.NotePick(now)
 	decision.Target.Load.Opened(now, decision.Route.rank)
-	held.Target = decision.Target.Token
-	held.Created = now
-	return held, true
+	pin.Target = decision.Target.Token
+	pin.Created = now
+	return pin, true
 }
 
 // NoteAnswered records that a caller has received a reply from its target. This counts as activity
--- a/internal/steering/token/openflows.go
+++ b/internal/steering/token/openflows.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// longFlowAfter is the minimum age of a flow that counts as open. Flows for a single request
+	// minOpenFlowAge is the minimum age of a flow that counts as open. Flows for a single request
 	// end before their count could be reported.
-	longFlowAfter = 500 * time.Millisecond
-	// openFlowSilence is the time without data after which a flow doesn't count as open: its
+	minOpenFlowAge = 500 * time.Millisecond
+	// openFlowDataTimeout is the time without data after which a flow doesn't count as open: its
 	// caller is idle or gone, or its packets take a path past another daemon.
-	openFlowSilence = 5 * time.Second
-	// mostOpenFlows is the maximum number of tracked flows: 50 million flows among 1,400 daemons
+	openFlowDataTimeout = 5 * time.Second
+	// maxOpenFlows is the maximum number of tracked flows: 50 million flows among 1,400 daemons
 	// are 36,000 each. Flows beyond it aren't tracked, and are reset only with their next packet
 	// if their target dies.
-	mostOpenFlows = 1 << 16
-	// defaultIdle is the idle timeout if the configuration sets none.
-	defaultIdle = time.Minute
-	// bytesOfPlace is the memory per flow in the map: 12 bytes in groups that are 7/16 to 7/8
+	maxOpenFlows = 1 << 16
+	// defaultIdleTimeout is the idle timeout if the configuration sets none.
+	defaultIdleTimeout = time.Minute
+	// mapBytesPerFlow is the memory per flow in the map: 12 bytes in groups that are 7/16 to 7/8
 	// full, and a control byte each.
-	bytesOfPlace = 22
+	mapBytesPerFlow = 22
 )
 
 // openFlow is one tracked flow. It has no pointers, so the garbage collector doesn't scan it.
@@ -33,40 +33,42 @@
 	route               uint32 // number of the route that last matched
 	acknowledgement     uint32
 	// firstData and lastData are the times of packets with data, last that of any packet.
-	firstData, lastData, last moment
+	firstData, lastData, last timestamp
 }
 
-// moment is a time in milliseconds since the first recorded one, modulo 2^32 (49 days); 0 is none.
-// It is monotonic, since wall-clock time may jump.
-type moment uint32
+// timestamp is a time in milliseconds since the first recorded one, modulo 2^32 (49 days); 0 is
+// none. It is monotonic, since wall-clock time may jump.
+type timestamp uint32
 
-func (o *openFlows) momentOf(at time.Time) moment {
-	if o.began.IsZero() {
-		o.began = at.Add(-time.Millisecond)
+func (o *openFlows) timestampOf(at time.Time) timestamp {
+	if o.epoch.IsZero() {
+		o.epoch = at.Add(-time.Millisecond)
 	}
-	return max(1, moment(at.Sub(o.began).Milliseconds()))
+	return max(1, timestamp(at.Sub(o.epoch).Milliseconds()))
 }
 
 // since returns the time from earlier to m, negative if m is before earlier. That happens because
 // the control loop uses the time at which its tick began, and packets arrive meanwhile. Unsigned
 // arithmetic would turn 1 ms into 49 days, and the flow would be forgotten.
-func (m moment) since(earlier moment) time.Duration {
+func (m timestamp) since(earlier timestamp) time.Duration {
 	return time.Duration(int32(m-earlier)) * time.Millisecond
 }
 
 // openFlows tracks open flows whose packets pass this daemon: how many each target has, and what
 // is needed to reset idle ones. It is not safe for concurrent use.
 type openFlows struct {
-	places map[uint64]uint32 // index in flows by flow hash
-	flows  []openFlow
-	free   []uint32
-	// idle is the idle timeout of a flow.
-	idle time.Duration
-	// began is the time from which moments count.
-	began time.Time
+	slots map[uint64]uint32 // index in flows by flow hash
+	flows []openFlow
+	free  []uint32
+	// idleTimeout is the idle timeout of a flow.
+	idleTimeout time.Duration
+	// epoch is the time from which timestamps count.
+	epoch time.Time
 }
 
-func newOpenFlows() *openFlows { return &openFlows{places: map[uint64]uint32{}, idle: defaultIdle} }
+func newOpenFlows() *openFlows {
+	return &openFlows{slots: map[uint64]uint32{}, idleTimeout: defaultIdleTimeout}
+}
 
 // note records a packet forwarded on an open flow; route is the route's number.
 func (o *openFlows) note(now time.Time, hash uint64, route uint32, target *Target, packet *Packet) {
@@ -74,8 +76,8 @@
 		o.remove(hash)
 		return
 	}
-	at := o.momentOf(now)
-	flow := o.find(hash)
+	at := o.timestampOf(now)
+	flow := o.lookup(hash)
 	if flow == nil {
 		return
 	}
@@ -100,72 +102,72 @@
 	}
 }
 
-// find returns the slot of a flow, a free one if the flow isn't tracked, or nil if none is left.
-func (o *openFlows) find(hash uint64) *openFlow {
-	if place, isKnown := o.places[hash]; isKnown {
-		return &o.flows[place]
+// lookup returns the slot of a flow, a free one if the flow isn't tracked, or nil if none is left.
+func (o *openFlows) lookup(hash uint64) *openFlow {
+	if slot, isKnown := o.slots[hash]; isKnown {
+		return &o.flows[slot]
 	}
-	place := uint32(len(o.flows))
+	slot := uint32(len(o.flows))
 	switch {
 	case len(o.free) > 0:
-		place = o.free[len(o.free)-1]
+		slot = o.free[len(o.free)-1]
 		o.free = o.free[:len(o.free)-1]
-	case len(o.flows) >= mostOpenFlows:
+	case len(o.flows) >= maxOpenFlows:
 		return nil
 	default:
 		o.flows = append(o.flows, openFlow{})
 	}
-	o.places[hash] = place
-	return &o.flows[place]
+	o.slots[hash] = slot
+	return &o.flows[slot]
 }
 
 // dataSince returns since when data of a flow to a target has arrived under a route, now if none
 // has. After a silence longer than any retransmission interval it may be another flow from the
 // same port.
 func (o *openFlows) dataSince(now time.Time, hash uint64, route, target uint32) time.Time {
-	place, isKnown := o.places[hash]
+	slot, isKnown := o.slots[hash]
 	if !isKnown {
 		return now
 	}
-	at, flow := o.momentOf(now), &o.flows[place]
-	if flow.route != route || flow.target != target || flow.firstData == 0 || at.since(flow.last) >= unroutedSilence {
+	at, flow := o.timestampOf(now), &o.flows[slot]
+	if flow.route != route || flow.target != target || flow.firstData == 0 || at.since(flow.last) >= unroutedIdleTimeout {
 		return now
 	}
 	return now.Add(-at.since(flow.firstData))
 }
 
 func (o *openFlows) remove(hash uint64) {
-	place, isKnown := o.places[hash]
+	slot, isKnown := o.slots[hash]
 	if !isKnown {
 		return
 	}
-	delete(o.places, hash)
-	o.flows[place] = openFlow{}
-	o.free = append(o.free, place)
+	delete(o.slots, hash)
+	o.flows[slot] = openFlow{}
+	o.free = append(o.free, slot)
 }
 
 // count returns the number of open flows by target and removes flows past the idle timeout.
 func (o *openFlows) count(now time.Time) map[uint32]int {
-	counts, at := map[uint32]int{}, o.momentOf(now)
+	counts, at := map[uint32]int{}, o.timestampOf(now)
 	for index := range o.flows {
 		flow := &o.flows[index]
 		switch {
 		case flow.target == 0:
-		case at.since(flow.last) >= o.idle:
+		case at.since(flow.last) >= o.idleTimeout:
 			o.remove(flow.hash)
-		case flow.firstData == 0 || at.since(flow.lastData) >= openFlowSilence:
-		case flow.lastData.since(flow.firstData) >= longFlowAfter:
+		case flow.firstData == 0 || at.since(flow.lastData) >= openFlowDataTimeout:
+		case flow.lastData.since(flow.firstData) >= minOpenFlowAge:
 			counts[flow.target]++
 		}
 	}
 	return counts
 }
 
-// take removes up to most flows whose targets are dead and returns their last packet heads.
-func (o *openFlows) take(isDead func(target uint32) bool, most int) []Packet {
+// takeDead removes up to limit flows whose targets are dead and returns their last packet heads.
+func (o *openFlows) takeDead(isDead func(target uint32) bool, limit int) []Packet {
 	var heads []Packet
 	for index := range o.flows {
-		if len(heads) >= most {
+		if len(heads) >= limit {
 			break
 		}
 		if flow := &o.flows[index]; flow.target != 0 && isDead(flow.target) {
@@ -190,25 +192,25 @@
 	Count, Most, Bytes int
 }
 
-func (o *openFlows) held() HeldFlows {
-	places := cap(o.flows)
-	bytes := places*int(unsafe.Sizeof(openFlow{})) + 4*cap(o.free) + bytesOfPlace*len(o.places)
-	return HeldFlows{Count: len(o.places), Most: mostOpenFlows, Bytes: bytes}
+func (o *openFlows) stats() HeldFlows {
+	slots := cap(o.flows)
+	bytes := slots*int(unsafe.Sizeof(openFlow{})) + 4*cap(o.free) + mapBytesPerFlow*len(o.slots)
+	return HeldFlows{Count: len(o.slots), Most: maxOpenFlows, Bytes: bytes}
 }
 
 // SetIdle sets the idle timeout of flows; 0 selects the default.
-func (r *Requests) SetIdle(idle time.Duration) {
-	r.open.idle = defaultIdle
-	if idle > 0 {
-		r.open.idle = idle
+func (r *Requests) SetIdle(idleTimeout time.Duration) {
+	r.flows.idleTimeout = defaultIdleTimeout
+	if idleTimeout > 0 {
+		r.flows.idleTimeout = idleTimeout
 	}
 }
 
 // HeldFlows returns statistics on tracked open flows.
-func (r *Requests) HeldFlows() HeldFlows { return r.open.held() }
+func (r *Requests) HeldFlows() HeldFlows { return r.flows.stats() }
 
-// TakeResting removes up to most open flows whose targets, given by token, are dead, and returns
+// TakeResting removes up to limit open flows whose targets, given by token, are dead, and returns
 // for each the packet head to answer with a reset.
-func (r *Requests) TakeResting(isDead func(target uint32) bool, most int) []Packet {
-	return r.open.take(isDead, most)
+func (r *Requests) TakeResting(isDead func(target uint32) bool, limit int) []Packet {
+	return r.flows.takeDead(isDead, limit)
 }
--- a/internal/steering/token/openflows_test.go
+++ b/internal/steering/token/openflows_test.go
@@ -11,44 +11,44 @@
 	"github.com/passtray/passtray/internal/ownership"
 )
 
-func TestOpenFlowsAreCounted(t *testing.T) {
-	begun := time.Unix(1_800_000_000, 0)
+func TestOpenFlowCounts(t *testing.T) {
+	start := time.Unix(1_800_000_000, 0)
 	target, other := &Target{Token: 7}, &Target{Token: 8}
 	data, end := &Packet{PayloadLength: 1}, &Packet{IsClosing: true}
 	flows := newOpenFlows()
-	flows.note(begun, 1, 1, target, data)
-	assert.Equal(t, len(flows.count(begun)), 0, "flow may be for a single request")
-	later := begun.Add(longFlowAfter)
+	flows.note(start, 1, 1, target, data)
+	assert.Equal(t, len(flows.count(start)), 0, "flow may be for a single request")
+	later := start.Add(minOpenFlowAge)
 	flows.note(later, 1, 1, target, data)
 	flows.note(later, 2, 1, other, &Packet{}) // acknowledgements don't count for a flow's age
 	assert.DeepEqual(t, flows.count(later), map[uint32]int{7: 1})
 	t.Run("closed flow", func(t *testing.T) {
 		flows.note(later, 3, 1, other, data)
-		flows.note(later.Add(longFlowAfter), 3, 1, other, data)
-		assert.Equal(t, flows.count(later.Add(longFlowAfter))[8], 1)
+		flows.note(later.Add(minOpenFlowAge), 3, 1, other, data)
+		assert.Equal(t, flows.count(later.Add(minOpenFlowAge))[8], 1)
 		flows.note(later, 3, 1, other, end)
-		assert.Equal(t, flows.count(later.Add(longFlowAfter))[8], 0)
+		assert.Equal(t, flows.count(later.Add(minOpenFlowAge))[8], 0)
 	})
 	t.Run("idle flow", func(t *testing.T) {
-		assert.Equal(t, flows.count(later.Add(openFlowSilence - 1))[7], 1)
-		assert.Equal(t, flows.count(later.Add(openFlowSilence))[7], 0)
-		assert.Equal(t, flows.held().Count, 2, "idle flow no longer tracked")
-		flows.count(later.Add(defaultIdle - time.Millisecond))
-		assert.Equal(t, flows.held().Count, 2)
-		flows.count(later.Add(defaultIdle))
-		assert.Equal(t, flows.held().Count, 0)
+		assert.Equal(t, flows.count(later.Add(openFlowDataTimeout - 1))[7], 1)
+		assert.Equal(t, flows.count(later.Add(openFlowDataTimeout))[7], 0)
+		assert.Equal(t, flows.stats().Count, 2, "idle flow no longer tracked")
+		flows.count(later.Add(defaultIdleTimeout - time.Millisecond))
+		assert.Equal(t, flows.stats().Count, 2)
+		flows.count(later.Add(defaultIdleTimeout))
+		assert.Equal(t, flows.stats().Count, 0)
 	})
 	t.Run("bounded", func(t *testing.T) {
-		for flow := range uint64(2 * mostOpenFlows) {
-			flows.note(begun, flow, 1, target, data)
+		for flow := range uint64(2 * maxOpenFlows) {
+			flows.note(start, flow, 1, target, data)
 		}
-		held := flows.held()
-		assert.Equal(t, held.Count, mostOpenFlows)
-		assert.Assert(t, held.Bytes < 8<<20, "%d bytes", held.Bytes)
-		flows.count(begun.Add(defaultIdle))
-		flows.note(begun.Add(defaultIdle), 1, 1, target, data)
-		assert.Equal(t, flows.held().Count, 1, "slots not reused")
-		assert.Equal(t, len(flows.flows), mostOpenFlows)
+		stats := flows.stats()
+		assert.Equal(t, stats.Count, maxOpenFlows)
+		assert.Assert(t, stats.Bytes < 8<<20, "%d bytes", stats.Bytes)
+		flows.count(start.Add(defaultIdleTimeout))
+		flows.note(start.Add(defaultIdleTimeout), 1, 1, target, data)
+		assert.Equal(t, flows.stats().Count, 1, "slots not reused")
+		assert.Equal(t, len(flows.flows), maxOpenFlows)
 	})
 }
 
@@ -57,8 +57,8 @@
 	return func(target uint32) bool { return target == token }
 }
 
-// TestFlowsThatRestAtADeadTargetAreTakenOnce also checks the fields that a reset needs.
-func TestFlowsThatRestAtADeadTargetAreTakenOnce(t *testing.T) {
+// TestIdleFlowsOfDeadTargetAreTakenOnce also checks the fields that a reset needs.
+func TestIdleFlowsOfDeadTargetAreTakenOnce(t *testing.T) {
 	flow := newExchange(t)
 	flow.send(1, 500, 100)
 	flow.send(101, 900, 0) // the response arrived, the caller is idle
@@ -70,8 +70,8 @@
 	assert.Equal(t, len(flow.requests.TakeResting(isDeadAt(Of(100)), 10)), 0)
 }
 
-// TestFlowsThatAreOverAreNotReset guards later flows from the same port against resets.
-func TestFlowsThatAreOverAreNotReset(t *testing.T) {
+// TestEndedFlowsAreNotReset guards later flows from the same port against resets.
+func TestEndedFlowsAreNotReset(t *testing.T) {
 	for name, end := range map[string]func(flow *exchange){
 		"closed":        func(flow *exchange) { flow.note(&Packet{IsClosing: true}) },
 		"reset":         func(flow *exchange) { flow.note(&Packet{IsReset: true}) },
@@ -92,12 +92,12 @@
 	}
 }
 
-// TestMomentsWrap covers the wrap of the millisecond counter after 49 days.
-func TestMomentsWrap(t *testing.T) {
-	flows, began := newOpenFlows(), time.UnixMilli(0)
-	flows.momentOf(began)
+// TestTimestampsWrap covers the wrap of the millisecond counter after 49 days.
+func TestTimestampsWrap(t *testing.T) {
+	flows, start := newOpenFlows(), time.UnixMilli(0)
+	flows.timestampOf(start)
 	before := time.UnixMilli(1<<32 - 500)
-	assert.Equal(t, flows.momentOf(before.Add(time.Second)).since(flows.momentOf(before)), time.Second)
+	assert.Equal(t, flows.timestampOf(before.Add(time.Second)).since(flows.timestampOf(before)), time.Second)
 }
 
 // BenchmarkKeepingOpenFlows measures the cost per packet and the memory per flow.
@@ -108,29 +108,29 @@
 	for i := range b.N {
 		flows.note(testStart, ownership.KeyOfCaller(1, caller(i%kept)).Hash, 1, target, packet)
 	}
-	held := flows.held()
-	b.ReportMetric(float64(held.Bytes)/float64(held.Count), "B/flow")
+	stats := flows.stats()
+	b.ReportMetric(float64(stats.Bytes)/float64(stats.Count), "B/flow")
 }
 
-// BenchmarkTakingResting measures the scan of all flows when a target is declared dead.
-func BenchmarkTakingResting(b *testing.B) {
+// BenchmarkTakeIdle measures the scan of all flows when a target is declared dead.
+func BenchmarkTakeIdle(b *testing.B) {
 	flows := newOpenFlows()
 	for flow := range uint64(36_000) {
 		flows.note(testStart, flow, 1, &Target{Token: 7}, &Packet{Source: caller(1), Destination: rosterAddress, PayloadLength: 1})
 	}
 	for b.Loop() {
-		flows.take(isDeadAt(8), 10)
+		flows.takeDead(isDeadAt(8), 10)
 	}
 }
 
-// TestAFlowUsedSinceATickBeganIsKept guards against forgetting flows whose packets arrive after
-// the time with which the control loop counts.
-func TestAFlowUsedSinceATickBeganIsKept(t *testing.T) {
-	begun, target, flows := time.Unix(1_800_000_000, 0), &Target{Token: 7}, newOpenFlows()
-	flows.note(begun, 1, 1, target, &Packet{PayloadLength: 1})
-	later := begun.Add(time.Second)
+// TestFlowUsedSinceTickBeganIsKept guards against forgetting flows whose packets arrive after the
+// time with which the control loop counts.
+func TestFlowUsedSinceTickBeganIsKept(t *testing.T) {
+	start, target, flows := time.Unix(1_800_000_000, 0), &Target{Token: 7}, newOpenFlows()
+	flows.note(start, 1, 1, target, &Packet{PayloadLength: 1})
+	later := start.Add(time.Second)
 	flows.note(later, 1, 1, target, &Packet{PayloadLength: 1})
 	assert.DeepEqual(t, flows.count(later.Add(-time.Millisecond)), map[uint32]int{7: 1})
-	assert.Equal(t, flows.held().Count, 1)
-	assert.Assert(t, !flows.dataSince(begun.Add(-time.Millisecond), 1, 1, 7).Before(begun.Add(-time.Second)))
+	assert.Equal(t, flows.stats().Count, 1)
+	assert.Assert(t, !flows.dataSince(start.Add(-time.Millisecond), 1, 1, 7).Before(start.Add(-time.Second)))
 }
--- a/internal/steering/token/overload.go
+++ b/internal/steering/token/overload.go
@@ -14,9 +14,9 @@
 // Hold returns the maximum time a packet on the route may wait for capacity of its service.
 func (r *Route) Hold(packet *Packet) time.Duration {
 	if packet.IsOpening {
-		return r.hold
+		return r.maxHold
 	}
-	return r.dataHold
+	return r.maxDataHold
 }
 
 // Load returns the overload controller of the decision's service, nil if there is none.
@@ -60,18 +60,18 @@
 // liveSlots returns the slots of the targets that receive work: those neither dead nor ejected or,
 // if all are ejected, those not dead, since they get the flows then.
 func (o *Opener) liveSlots(now time.Time, service *Service) int {
-	live, passedOver := service.open.Slots(now)
+	live, ejected := service.eligible.Slots(now)
 	service.leaving.Slots(now) // called for its side effect: it prunes the pool's watch list
-	if o.lapse.Holds(now) {
+	if o.expiryWindow.Holds(now) {
 		o.now = now
 		for _, entry := range service.leaving.Entries() {
-			if o.isLapsed(entry.Value) && !entry.Signal.IsDead(now) {
+			if o.mayHaveExpired(entry.Value) && !entry.Signal.IsDead(now) {
 				live += int(entry.Slots)
 			}
 		}
 	}
 	if live == 0 {
-		return passedOver
+		return ejected
 	}
 	return live
 }
@@ -87,7 +87,7 @@
 // overload, not a failure of a single target.
 func (t *Table) Credible(now time.Time, evidence []Unanswered) []Unanswered {
 	return slices.DeleteFunc(evidence, func(unanswered Unanswered) bool {
-		target := t.targetOf(unanswered.Target)
+		target := t.targetByIdentifier(unanswered.Target)
 		if target == nil || unanswered.Evidence != outlier.Weak {
 			return false
 		}
--- a/internal/steering/token/overload_test.go
+++ b/internal/steering/token/overload_test.go
@@ -14,9 +14,9 @@
 // preferredAddress and ordinaryAddress are routes to roster with the highest and a lower priority.
 var preferredAddress, ordinaryAddress = ledgerAddress, rosterAddress
 
-// overloadedSite has a roster service that rejects requests, of whose limit this daemon's share is
-// one request.
-func overloadedSite(t *testing.T) *site {
+// newOverloadedSite has a roster service that rejects requests, of whose limit this daemon's share
+// is one request.
+func newOverloadedSite(t *testing.T) *site {
 	t.Helper()
 	site := newSite(t)
 	site.builder = NewBuilder(time.Minute)
@@ -44,8 +44,8 @@
 	return requests.Restrain(s.now, s.opener.Open(s.now, s.table, packet), packet, waited)
 }
 
-func TestAnOrdinaryFlowWaitsForRoomAndIsThenRefused(t *testing.T) {
-	site, requests := overloadedSite(t), NewRequests(16)
+func TestOrdinaryFlowIsHeldThenRefusedUnderOverload(t *testing.T) {
+	site, requests := newOverloadedSite(t), NewRequests(16)
 	assert.Equal(t, site.openRestrained(requests, 1, 0).Action, Forward)
 	site.openRestrained(requests, 2, 0) // one flow is admitted in any case
 	held := site.openRestrained(requests, 3, 0)
@@ -58,8 +58,8 @@
 	assert.Equal(t, site.open(preferredAddress, 4).Action, Forward, "preferred flow not admitted")
 }
 
-func TestARequestOnAnOpenFlowWaitsAndGoesOn(t *testing.T) {
-	site, requests := overloadedSite(t), NewRequests(16)
+func TestRequestOnOpenFlowIsHeldThenForwarded(t *testing.T) {
+	site, requests := newOverloadedSite(t), NewRequests(16)
 	opened := site.open(ordinaryAddress, 1)
 	site.open(ordinaryAddress, 2)
 	data := &Packet{Source: caller(1), Destination: ordinaryAddress, Token: opened.Word(), PayloadLength: 10}
@@ -73,8 +73,8 @@
 	assert.Equal(t, requests.Restrain(site.now, followed, data, 0).Action, Forward, "data of an admitted request was held")
 }
 
-func TestARejectingTargetIsPassedOver(t *testing.T) {
-	site, requests := overloadedSite(t), NewRequests(64)
+func TestRejectingTargetGetsFewFlows(t *testing.T) {
+	site, requests := newOverloadedSite(t), NewRequests(64)
 	target := site.openTargets("roster")[0]
 	decision := Decision{Action: Forward, Route: site.table.routes[ordinaryAddress], Target: target}
 	for range 3 {
@@ -93,8 +93,8 @@
 	assert.Assert(t, counts[target] < 20, "%d of 300, with six targets", counts[target])
 }
 
-func TestWorkOfServicesThatWentIsForgotten(t *testing.T) {
-	site := overloadedSite(t)
+func TestControllersOfRemovedServicesArePruned(t *testing.T) {
+	site := newOverloadedSite(t)
 	site.put(storeview.Entry{Key: "config", Configuration: &storeview.Configuration{
 		Version: 100, Routes: standardRoutes(), Services: []storeview.Service{{Name: "roster"}, {Name: "ledger"}, {Name: "gone"}},
 	}})
@@ -105,28 +105,28 @@
 	assert.Equal(t, len(site.builder.loads), 2)
 }
 
-// TestUnderOverloadWeakEvidenceDoesNotCount guards against ejecting targets because they rejected
+// TestWeakEvidenceIsIgnoredUnderOverload guards against ejecting targets because they rejected
 // requests in a burst.
-func TestUnderOverloadWeakEvidenceDoesNotCount(t *testing.T) {
+func TestWeakEvidenceIsIgnoredUnderOverload(t *testing.T) {
 	evidence := func() []Unanswered {
 		return []Unanswered{{Target: 100, Evidence: outlier.Weak}, {Target: 101, Evidence: outlier.Strong}, {Target: 200, Evidence: outlier.Weak}}
 	}
-	site := overloadedSite(t)
+	site := newOverloadedSite(t)
 	assert.DeepEqual(t, site.table.Credible(site.now, evidence()), evidence()[1:])
 	assert.DeepEqual(t, site.table.Credible(site.now.Add(time.Minute), evidence()), evidence())
 }
 
-// fill occupies all capacity of a decision's service.
-func (s *site) fill(decision *Decision) {
+// exhaustCapacity occupies all capacity of a decision's service.
+func (s *site) exhaustCapacity(decision *Decision) {
 	for decision.Target.Load.Admit(s.now, overload.Ordinary) {
 		decision.Target.Load.Begin(overload.Ordinary)
 	}
 }
 
-// TestALateAcknowledgementWithAHeldRequestIsNotPrompt covers a response acknowledged only with the
+// TestDelayedAcknowledgementWithHeldRequestIsNoSample covers a response acknowledged only with the
 // caller's next request: its target may have died in between.
-func TestALateAcknowledgementWithAHeldRequestIsNotPrompt(t *testing.T) {
-	site, requests := overloadedSite(t), NewRequests(16)
+func TestDelayedAcknowledgementWithHeldRequestIsNoSample(t *testing.T) {
+	site, requests := newOverloadedSite(t), NewRequests(16)
 	opened := site.open(ordinaryAddress, 1)
 	data := &Packet{Source: caller(1), Destination: ordinaryAddress, Token: opened.Word(), PayloadLength: 10}
 	decision := site.table.Follow(site.now, data)
@@ -144,7 +144,7 @@
 	site.now = site.now.Add(500 * time.Millisecond)
 	next := *data
 	next.Acknowledgement, next.Sequence = data.Acknowledgement+answerLength, 10
-	site.fill(&decision)
+	site.exhaustCapacity(&decision)
 	held := requests.Restrain(site.now, decision, &next, 0)
 	assert.Equal(t, held.Action, Hold)
 	_, isAnswer := requests.Note(site.now, &held, &next)
@@ -154,9 +154,9 @@
 	assert.Equal(t, requests.Len(), 0, "held request already tracked")
 }
 
-// TestTheShareCountsTheTargetsThatGetFlows guards against a limit too low for the targets that
+// TestOverloadShareCountsTargetsThatGetFlows guards against a limit too low for the targets that
 // receive work.
-func TestTheShareCountsTheTargetsThatGetFlows(t *testing.T) {
+func TestOverloadShareCountsTargetsThatGetFlows(t *testing.T) {
 	bound := func(t *testing.T, site *site) float64 {
 		t.Helper()
 		site.opener.SetShares(site.now, site.table, 1)
@@ -166,22 +166,22 @@
 	}
 	const all = 24 // six targets of two slots, two requests for each
 	t.Run("expired entries count during the expiry window", func(t *testing.T) {
-		site := overloadedSite(t)
+		site := newOverloadedSite(t)
 		for _, key := range []string{"roster-0", "roster-1", "roster-2"} {
 			site.remove(key)
 		}
-		site.lapsing()
+		site.startExpiryWindow()
 		assert.Equal(t, bound(t, site), float64(all))
 	})
 	t.Run("removed targets don't count", func(t *testing.T) {
-		site := overloadedSite(t)
+		site := newOverloadedSite(t)
 		for _, key := range []string{"roster-0", "roster-1", "roster-2"} {
 			site.remove(key)
 		}
 		assert.Equal(t, bound(t, site), float64(all/2))
 	})
 	t.Run("if all are ejected the ones not dead count", func(t *testing.T) {
-		site := overloadedSite(t)
+		site := newOverloadedSite(t)
 		for index, target := range site.openTargets("roster") {
 			site.table.Eject(target.Identifier, site.now.Add(time.Second), site.now.Add(time.Second))
 			if index == 0 {
@@ -192,11 +192,10 @@
 	})
 }
 
-// TestAFlowThatWaitedGoesToTheServiceItWaitedFor guards the weights: a held flow must not be
-// counted twice.
-func TestAFlowThatWaitedGoesToTheServiceItWaitedFor(t *testing.T) {
-	site := overloadedSite(t)
-	site.configure(storeview.Route{Address: bothAddress, Priority: 2, Backends: []storeview.Backend{{Service: "roster", Weight: 1}, {Service: "ledger", Weight: 1}}})
+// TestHeldFlowKeepsItsService guards the weights: a held flow must not be counted twice.
+func TestHeldFlowKeepsItsService(t *testing.T) {
+	site := newOverloadedSite(t)
+	site.configure(storeview.Route{Address: mixedAddress, Priority: 2, Backends: []storeview.Backend{{Service: "roster", Weight: 1}, {Service: "ledger", Weight: 1}}})
 	load := site.table.services["roster"].Load
 	for range 10 {
 		load.Begin(overload.Preferred)
@@ -204,19 +203,19 @@
 	number, held := 0, Decision{}
 	for held.Action != Hold {
 		number++
-		held = site.open(bothAddress, number)
+		held = site.open(mixedAddress, number)
 	}
 	assert.Equal(t, held.Service, "roster")
 	for range 10 {
 		load.End(overload.Preferred)
 	}
 	site.now = site.now.Add(150 * time.Millisecond) // the flow admitted in any case has no work in progress
-	packet := &Packet{Source: caller(number), Destination: bothAddress, IsOpening: true, Service: held.Service}
+	packet := &Packet{Source: caller(number), Destination: mixedAddress, IsOpening: true, Service: held.Service}
 	released := site.opener.Open(site.now, site.table, packet)
 	assert.Equal(t, released.Action, Forward)
 	assert.Equal(t, released.Target.Service, "roster")
 	t.Run("service removed from the weights", func(t *testing.T) {
-		site.configure(storeview.Route{Address: bothAddress, Backends: []storeview.Backend{{Service: "roster"}, {Service: "ledger", Weight: 1}}})
+		site.configure(storeview.Route{Address: mixedAddress, Backends: []storeview.Backend{{Service: "roster"}, {Service: "ledger", Weight: 1}}})
 		packet.Source = caller(number + 1)
 		assert.Equal(t, site.opener.Open(site.now, site.table, packet).Target.Service, "ledger")
 	})
--- a/internal/steering/token/unacknowledged.go
+++ b/internal/steering/token/retransmitted.go
@@ -15,26 +15,26 @@
 	Since time.Time
 }
 
-// mostUnacknowledged is the maximum number of entries kept between two calls of
-// TakeUnacknowledged. A few suffice to declare a target dead.
-const mostUnacknowledged = 1024
+// maxUnacknowledged is the maximum number of entries kept between two calls of TakeUnacknowledged.
+// A few suffice to declare a target dead.
+const maxUnacknowledged = 1024
 
 // noteData records further data of a request. New data some time after the first shows that the
 // target acknowledges; a retransmission shows that it did not.
-func (r *Requests) noteData(now time.Time, flow uint64, held *request, packet *Packet) {
-	sentBefore := held.lastSent
-	held.lastSent = now
-	if isAfter(packet.Sequence, held.sequence) {
-		held.sequence = packet.Sequence
-		held.lastData = now
-		if now.Sub(held.begunAt) >= repeatedAfter {
-			held.signal.NoteLife(now)
+func (r *Requests) noteData(now time.Time, flow uint64, req *request, packet *Packet) {
+	previouslySent := req.lastSent
+	req.lastSent = now
+	if isAfter(packet.Sequence, req.sequence) {
+		req.sequence = packet.Sequence
+		req.lastData = now
+		if now.Sub(req.startedAt) >= minRetransmitDelay {
+			req.signal.NoteLife(now)
 		}
 		return
 	}
-	held.isRepeated = held.isRepeated || now.Sub(held.lastData) >= repeatedAfter
-	if now.Sub(sentBefore) >= repeatedAfter && len(r.unacknowledged) < mostUnacknowledged {
-		r.unacknowledged = append(r.unacknowledged, Unacknowledged{Target: held.target, Flow: flow, Since: sentBefore})
+	req.isRetransmitted = req.isRetransmitted || now.Sub(req.lastData) >= minRetransmitDelay
+	if now.Sub(previouslySent) >= minRetransmitDelay && len(r.unacknowledged) < maxUnacknowledged {
+		r.unacknowledged = append(r.unacknowledged, Unacknowledged{Target: req.target, Flow: flow, Since: previouslySent})
 	}
 }
 
@@ -49,8 +49,8 @@
 // answer with a reset.
 func (r *Requests) TakeWaiting(isDead func(target uint64) bool) []Packet {
 	var keys []requestKey
-	for key, held := range r.waiting {
-		if isDead(held.target) {
+	for key, req := range r.pending {
+		if isDead(req.target) {
 			keys = append(keys, key)
 		}
 	}
@@ -59,14 +59,14 @@
 	})
 	packets := make([]Packet, 0, len(keys))
 	for _, key := range keys {
-		held := r.waiting[key]
+		req := r.pending[key]
 		r.end(key)
-		head := Packet{Source: key.caller, Destination: held.destination, Token: held.token, Acknowledgement: held.acknowledgement}
-		r.open.remove(hashOf(&head))
+		head := Packet{Source: key.caller, Destination: req.destination, Token: req.token, Acknowledgement: req.acknowledgement}
+		r.flows.remove(flowHash(&head))
 		packets = append(packets, head)
 	}
 	return packets
 }
 
 // isAfter compares sequence numbers in serial number arithmetic (RFC 1982).
-func isAfter(one, other uint32) bool { return int32(one-other) > 0 }
+func isAfter(a, b uint32) bool { return int32(a-b) > 0 }
--- a/internal/steering/token/service.go
+++ b/internal/steering/token/service.go
@@ -13,9 +13,9 @@
 	// maximumFlows and coldRate are the declared limits.
 	maximumFlows uint32
 	coldRate     float64
-	// open holds the targets that accept new flows. leaving holds targets that are draining or
+	// eligible holds the targets that accept new flows. leaving holds targets that are draining or
 	// gone: they serve for a while longer and are used when no other target is left.
-	open, leaving balance.Pool[*Target]
+	eligible, leaving balance.Pool[*Target]
 	// evacuated is the number of targets in evacuated zones.
 	evacuated int
 }
@@ -27,7 +27,7 @@
 	}
 	switch {
 	case target.MayOpen:
-		target.entry = s.open.Add(candidate, target)
+		target.entry = s.eligible.Add(candidate, target)
 	case target.IsEvacuated:
 		s.evacuated++
 	default:
@@ -38,7 +38,7 @@
 func (s *Service) remove(target *Target) {
 	switch {
 	case target.MayOpen:
-		s.open.Remove(target.entry)
+		s.eligible.Remove(target.entry)
 	case target.IsEvacuated:
 		s.evacuated--
 	default:
@@ -47,12 +47,12 @@
 	target.entry = nil
 }
 
-// watch tells the target's pool that the target was declared dead or ejected.
-func (s *Service) watch(target *Target) {
+// trackUnavailable tells the target's pool that the target was declared dead or ejected.
+func (s *Service) trackUnavailable(target *Target) {
 	switch {
 	case target.entry == nil:
 	case target.MayOpen:
-		s.open.Watch(target.entry)
+		s.eligible.Watch(target.entry)
 	default:
 		s.leaving.Watch(target.entry)
 	}
--- a/internal/steering/token/cold_test.go
+++ b/internal/steering/token/slowstart_test.go
@@ -10,35 +10,35 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// newColdSite has a service with limited rates of new flows in slow start, which half of its
+// newSlowStartSite has a service with limited rates of new flows in slow start, which half of its
 // targets are in.
-func newColdSite(t *testing.T) *site {
+func newSlowStartSite(t *testing.T) *site {
 	t.Helper()
-	made := newSite(t)
-	made.put(storeview.Entry{Key: "config", Configuration: &storeview.Configuration{
+	s := newSite(t)
+	s.put(storeview.Entry{Key: "config", Configuration: &storeview.Configuration{
 		Version: 100, Routes: standardRoutes(), Services: []storeview.Service{{Name: "roster", ColdRate: 4}, {Name: "ledger"}},
 	}})
 	for number := range 3 {
-		made.target(fmt.Sprint("roster-", number), uint64(100+number), "roster", func(target *storeview.Target) { target.ColdFor = 5 * time.Second })
+		s.target(fmt.Sprint("roster-", number), uint64(100+number), "roster", func(target *storeview.Target) { target.ColdFor = 5 * time.Second })
 	}
-	return made
+	return s
 }
 
-func TestColdTargetsGetTheirShareAndWarmOnesTheRest(t *testing.T) {
-	site := newColdSite(t)
-	asked := map[uint64]float64{}
+func TestSlowStartTargetsGetTheirShare(t *testing.T) {
+	site := newSlowStartSite(t)
+	rates := map[uint64]float64{}
 	site.table.SetColdShares(site.now, func(identifier uint64, rate float64) int {
-		asked[identifier] = rate
+		rates[identifier] = rate
 		return 2
 	})
-	assert.DeepEqual(t, asked, map[uint64]float64{100: 4, 101: 4, 102: 4})
+	assert.DeepEqual(t, rates, map[uint64]float64{100: 4, 101: 4, 102: 4})
 	counts := map[uint64]int{}
 	for number := range 100 {
 		decision := site.open(rosterAddress, number)
 		assert.Equal(t, decision.Action, Forward)
 		counts[decision.Target.Identifier]++
 	}
-	for identifier := range asked {
+	for identifier := range rates {
 		assert.Assert(t, counts[identifier] <= 2, "%d got %d flows at once", identifier, counts[identifier])
 	}
 	site.now = site.now.Add(5 * time.Second)
--- a/internal/steering/token/speeds.go
+++ b/internal/steering/token/speeds.go
@@ -8,10 +8,10 @@
 
 // SetSpeeds updates the relative speeds of targets, given by mark; before holds the previous ones.
 // Signals get speeds normalised to the mean of their service.
-func (t *Table) SetSpeeds(now time.Time, before, speeds map[loadshare.Mark]float64) {
-	for mark := range before {
+func (t *Table) SetSpeeds(now time.Time, previous, speeds map[loadshare.Mark]float64) {
+	for mark := range previous {
 		if _, isKnown := speeds[mark]; !isKnown {
-			t.eachOpen(mark, func(target *Target) { target.Signal.SetSpeed(now, 1) })
+			t.eachEligible(mark, func(target *Target) { target.Signal.SetSpeed(now, 1) })
 		}
 	}
 	type mean struct {
@@ -19,24 +19,24 @@
 		known int
 	}
 	means := map[string]mean{}
-	for mark, times := range speeds {
-		t.eachOpen(mark, func(target *Target) {
-			of := means[target.Service]
-			means[target.Service] = mean{of.sum + times, of.known + 1}
+	for mark, speed := range speeds {
+		t.eachEligible(mark, func(target *Target) {
+			m := means[target.Service]
+			means[target.Service] = mean{m.sum + speed, m.known + 1}
 		})
 	}
-	for mark, times := range speeds {
-		t.eachOpen(mark, func(target *Target) {
-			of := means[target.Service]
-			target.Signal.SetSpeed(now, times*float64(of.known)/of.sum)
+	for mark, speed := range speeds {
+		t.eachEligible(mark, func(target *Target) {
+			m := means[target.Service]
+			target.Signal.SetSpeed(now, speed*float64(m.known)/m.sum)
 		})
 	}
 }
 
-// eachOpen calls visit with each target of a mark that can receive new flows of a declared
+// eachEligible calls visit with each target of a mark that can receive new flows of a declared
 // service.
-func (t *Table) eachOpen(mark loadshare.Mark, visit func(target *Target)) {
-	for target := t.index.marks[mark]; target != nil; target = target.sameMark {
+func (t *Table) eachEligible(mark loadshare.Mark, visit func(target *Target)) {
+	for target := t.index.byMark[mark]; target != nil; target = target.nextSameMark {
 		if target.entry != nil && target.MayOpen {
 			visit(target)
 		}
@@ -46,7 +46,7 @@
 // SpeedOf returns a target's speed relative to the mean of its service, or false if there is no
 // such target.
 func (t *Table) SpeedOf(now time.Time, identifier uint64) (float64, bool) {
-	target := t.targetOf(identifier)
+	target := t.targetByIdentifier(identifier)
 	if target == nil {
 		return 0, false
 	}
@@ -57,9 +57,9 @@
 func (t *Table) SlowestSpeeds(now time.Time) map[string]float64 {
 	slowest := make(map[string]float64, len(t.services))
 	for name, service := range t.services {
-		for _, entry := range service.open.Entries() {
+		for _, entry := range service.eligible.Entries() {
 			speed := entry.Signal.Speed(now)
-			if held, isKnown := slowest[name]; !isKnown || speed < held {
+			if lowest, isKnown := slowest[name]; !isKnown || speed < lowest {
 				slowest[name] = speed
 			}
 		}
--- a/internal/steering/token/unrouted.go
+++ b/internal/steering/token/unrouted.go
@@ -14,13 +14,13 @@
 	// message between daemons by another 0.4 s in a daemon whose pause is too short to be
 	// detected, and 0.2 s are for the network.
 	confirmationMargin = time.Second
-	// unroutedSilence is the idle time after which a flow is forgotten. It exceeds the interval
-	// between two transmissions of a caller (1.6 s); a later reset could hit another flow from the
-	// same port.
-	unroutedSilence = 2 * time.Second
-	// mostUnrouted is the maximum number of flows kept. Beyond it, flows are added with a later
+	// unroutedIdleTimeout is the idle time after which a flow is forgotten. It exceeds the
+	// interval between two transmissions of a caller (1.6 s); a later reset could hit another flow
+	// from the same port.
+	unroutedIdleTimeout = 2 * time.Second
+	// maxUnrouted is the maximum number of flows kept. Beyond it, flows are added with a later
 	// packet.
-	mostUnrouted = 1024
+	maxUnrouted = 1024
 )
 
 // OpenSince returns a time at which a flow without a route was certainly open: when its data first
@@ -30,7 +30,7 @@
 	if decision.Route == nil {
 		return now
 	}
-	return r.open.dataSince(now, hashOf(packet), decision.Route.Number, decision.Target.Token)
+	return r.flows.dataSince(now, flowHash(packet), decision.Route.Number, decision.Target.Token)
 }
 
 // Unrouted tracks flows with valid tokens at addresses without a known route. A valid token shows
@@ -51,7 +51,7 @@
 // unroutedFlow holds what is needed to reset a flow.
 type unroutedFlow struct {
 	// openAt is a time at which the flow was open, last the arrival of its latest packet.
-	openAt, last time.Time
+	openAt, lastPacketAt time.Time
 	// head is the latest packet's.
 	head Packet
 }
@@ -66,13 +66,13 @@
 func (u *Unrouted) Note(now, openAt time.Time, packet *Packet) {
 	pair := addressPair{packet.Source, packet.Destination}
 	flow, isKnown := u.flows[pair]
-	if !isKnown && len(u.flows) >= mostUnrouted {
+	if !isKnown && len(u.flows) >= maxUnrouted {
 		return
 	}
-	if !isKnown || now.Sub(flow.last) >= unroutedSilence {
+	if !isKnown || now.Sub(flow.lastPacketAt) >= unroutedIdleTimeout {
 		flow.openAt = openAt
 	}
-	flow.last, flow.head = now, *packet
+	flow.lastPacketAt, flow.head = now, *packet
 	u.flows[pair] = flow
 }
 
@@ -83,7 +83,7 @@
 	var dropped []Packet
 	for pair, flow := range u.flows {
 		switch {
-		case table.routes[pair.destination] != nil || now.Sub(flow.last) >= unroutedSilence:
+		case table.routes[pair.destination] != nil || now.Sub(flow.lastPacketAt) >= unroutedIdleTimeout:
 		case confirmedAt.Before(flow.openAt.Add(confirmationMargin)):
 			continue
 		default:
--- a/internal/steering/token/unrouted_test.go
+++ b/internal/steering/token/unrouted_test.go
@@ -12,30 +12,30 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// strayed is a site that has just received a packet of a flow whose route it doesn't know.
-func strayed(t *testing.T) (*site, *Unrouted) {
+// newUnroutedSite is a site that has just received a packet of a flow whose route it doesn't know.
+func newUnroutedSite(t *testing.T) (*site, *Unrouted) {
 	t.Helper()
 	site, unrouted := newSite(t), NewUnrouted()
 	site.builder = NewBuilder(time.Minute)
 	site.configure(standardRoutes()[1:]...)
-	note(t, site, unrouted, 1)
+	noteUnrouted(t, site, unrouted, 1)
 	return site, unrouted
 }
 
-func note(t *testing.T, site *site, unrouted *Unrouted, number int) {
+func noteUnrouted(t *testing.T, site *site, unrouted *Unrouted, number int) {
 	t.Helper()
 	packet := &Packet{Source: caller(number), Destination: rosterAddress, Token: WordAt(rosterAddress, 100), Acknowledgement: uint32(number)}
 	assert.Equal(t, site.table.Follow(site.now, packet).Reason, ReasonUnconfirmedRoute)
 	unrouted.Note(site.now, site.now, packet)
 }
 
-// TestAFlowIsResetOnceItsRouteIsConfirmedGone also checks that further packets don't delay the
+// TestUnroutedFlowIsResetOnceRemovalIsConfirmed also checks that further packets don't delay the
 // reset.
-func TestAFlowIsResetOnceItsRouteIsConfirmedGone(t *testing.T) {
-	site, unrouted := strayed(t)
+func TestUnroutedFlowIsResetOnceRemovalIsConfirmed(t *testing.T) {
+	site, unrouted := newUnroutedSite(t)
 	confirmed := site.now.Add(confirmationMargin)
 	site.now = confirmed
-	note(t, site, unrouted, 1)
+	noteUnrouted(t, site, unrouted, 1)
 	assert.Equal(t, len(unrouted.TakeDropped(site.now, confirmed.Add(-time.Nanosecond), site.table)), 0)
 	dropped := unrouted.TakeDropped(site.now, confirmed, site.table)
 	assert.Equal(t, len(dropped), 1)
@@ -44,32 +44,32 @@
 	assert.Equal(t, unrouted.Len(), 0, "flow still tracked after its reset")
 }
 
-// TestAFlowIsForgotten covers flows that must not be reset.
-func TestAFlowIsForgotten(t *testing.T) {
-	for name, passes := range map[string]func(site *site){
+// TestUnroutedFlowIsForgotten covers flows that must not be reset.
+func TestUnroutedFlowIsForgotten(t *testing.T) {
+	for name, change := range map[string]func(site *site){
 		"route known now": func(site *site) { site.configure(standardRoutes()...) },
-		"idle caller":     func(site *site) { site.now = site.now.Add(unroutedSilence) },
+		"idle caller":     func(site *site) { site.now = site.now.Add(unroutedIdleTimeout) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			site, unrouted := strayed(t)
-			passes(site)
+			site, unrouted := newUnroutedSite(t)
+			change(site)
 			assert.Equal(t, len(unrouted.TakeDropped(site.now, site.now.Add(time.Hour), site.table)), 0)
 			assert.Equal(t, unrouted.Len(), 0)
 		})
 	}
 }
 
-func TestFlowsWithoutARouteAreBounded(t *testing.T) {
-	site, unrouted := strayed(t)
-	for number := range 2 * mostUnrouted {
-		note(t, site, unrouted, number)
+func TestUnroutedFlowsAreBounded(t *testing.T) {
+	site, unrouted := newUnroutedSite(t)
+	for number := range 2 * maxUnrouted {
+		noteUnrouted(t, site, unrouted, number)
 	}
-	assert.Equal(t, unrouted.Len(), mostUnrouted)
+	assert.Equal(t, unrouted.Len(), maxUnrouted)
 }
 
-// TestWhatNamesNobodyIsNotNoted: an invalid token, or a reset, is no evidence of a flow.
-func TestWhatNamesNobodyIsNotNoted(t *testing.T) {
-	site, _ := strayed(t)
+// TestInvalidTokenIsNoUnconfirmedRoute: an invalid token, or a reset, is no evidence of a flow.
+func TestInvalidTokenIsNoUnconfirmedRoute(t *testing.T) {
+	site, _ := newUnroutedSite(t)
 	for _, packet := range []Packet{
 		{Token: WordAt(ledgerAddress, 100)},
 		{Token: Of(100)},
@@ -81,9 +81,9 @@
 	}
 }
 
-// TestAFlowOfARouteThatCameBackIsNotTakenForOneOfBefore guards a new flow against a reset because
-// the same caller had a flow before the route was removed and added again.
-func TestAFlowOfARouteThatCameBackIsNotTakenForOneOfBefore(t *testing.T) {
+// TestFlowOfReaddedRouteIsNotTakenForEarlierOne guards a new flow against a reset because the same
+// caller had a flow before the route was removed and added again.
+func TestFlowOfReaddedRouteIsNotTakenForEarlierOne(t *testing.T) {
 	site := newSite(t)
 	data := &Packet{Source: caller(1), Destination: rosterAddress, Token: WordAt(rosterAddress, 100), PayloadLength: 1}
 	decision := site.table.Follow(site.now, data)
@@ -97,12 +97,12 @@
 	assert.Equal(t, site.requests.OpenSince(site.now, &decision, data), site.now)
 }
 
-// TestAResetAtADroppedRouteIsOfNoFlowThatWasOpenedSince guards a flow opened from the same port,
-// after the route was added again, against the state of the flow that was reset.
-func TestAResetAtADroppedRouteIsOfNoFlowThatWasOpenedSince(t *testing.T) {
+// TestNewFlowIsNotResetForEarlierOne guards a flow opened from the same port, after the route was
+// added again, against the state of the flow that was reset.
+func TestNewFlowIsNotResetForEarlierOne(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	requests, unrouted := NewRequests(16), NewUnrouted()
-	target := &Target{KnownTarget: described("t", 1), Token: 11, Signal: &balance.Signal{}, Load: overload.New(overload.Config{})}
+	target := &Target{KnownTarget: newEntry("t", 1), Token: 11, Signal: &balance.Signal{}, Load: overload.New(overload.Config{})}
 	routed := Decision{Action: Forward, Route: &Route{Number: 1}, Target: target}
 	old := Packet{Source: caller(1), Destination: rosterAddress, PayloadLength: 1, Acknowledgement: 5}
 	requests.Note(now, &routed, &old)
@@ -116,18 +116,18 @@
 	assert.Equal(t, requests.Len(), 0, "request of the old flow still pending")
 	confirmedAt := now
 	now = now.Add(time.Second) // a new flow was opened through another daemon
-	young := Packet{Source: caller(1), Destination: rosterAddress, PayloadLength: 1, Acknowledgement: 77_000_000}
-	unrouted.Note(now, requests.OpenSince(now, &dropped, &young), &young)
+	later := Packet{Source: caller(1), Destination: rosterAddress, PayloadLength: 1, Acknowledgement: 77_000_000}
+	unrouted.Note(now, requests.OpenSince(now, &dropped, &later), &later)
 	assert.Equal(t, len(unrouted.TakeDropped(now, confirmedAt, table)), 0, "new flow was reset")
 }
 
-// TestAFlowOpenedAnewWhereARouteCameBackReplacesTheOldOne guards a new flow against a reset when
-// the target of the old flow dies.
-func TestAFlowOpenedAnewWhereARouteCameBackReplacesTheOldOne(t *testing.T) {
+// TestNewFlowOfReaddedRouteReplacesEarlierOne guards a new flow against a reset when the target of
+// the old flow dies.
+func TestNewFlowOfReaddedRouteReplacesEarlierOne(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	requests, load := NewRequests(16), overload.New(overload.Config{})
-	one := &Target{KnownTarget: described("t", 1), Token: 11, Signal: &balance.Signal{}, Load: load}
-	two := &Target{KnownTarget: described("t", 2), Token: 22, Signal: &balance.Signal{}, Load: load}
+	one := &Target{KnownTarget: newEntry("t", 1), Token: 11, Signal: &balance.Signal{}, Load: load}
+	two := &Target{KnownTarget: newEntry("t", 2), Token: 22, Signal: &balance.Signal{}, Load: load}
 	before := Decision{Action: Forward, Route: &Route{Number: 1}, Target: one}
 	after := Decision{Action: Forward, Route: &Route{Number: 2}, Target: two}
 	requests.Note(now, &before, &Packet{Source: caller(1), Destination: rosterAddress, Token: 11, Acknowledgement: 5})
