--- a/internal/steering/capacity_bench_test.go
+++ b/internal/steering/capacity_bench_test.go
@@ -17,7 +17,7 @@
 	"github.com/passtray/passtray/internal/ownership"
 )
 
-// sizes are shares of the size to come: services, targets, daemons.
+// sizes are fractions and the full size of the target deployment.
 var sizes = []struct{ services, targets, daemons int }{{44, 150, 14}, {440, 1500, 140}, {4400, 15000, 1400}}
 
 func stateOfSize(services, targets int) *catalog.State {
@@ -55,8 +55,8 @@
 	return stats.HeapAlloc
 }
 
-// BenchmarkBuild is what one change of configuration or membership costs a
-// daemon, and what its snapshot and signals hold.
+// BenchmarkBuild measures the cost of a change of configuration or membership, and the memory of a
+// snapshot with its signals.
 func BenchmarkBuild(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("%d-targets-%d-daemons", size.targets, size.daemons), func(b *testing.B) {
@@ -77,7 +77,7 @@
 	}
 }
 
-// BenchmarkCatalog is what one change costs, and how large a snapshot is.
+// BenchmarkCatalog measures the cost of a catalog change and the encoded size of a catalog.
 func BenchmarkCatalog(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("%d-targets", size.targets), func(b *testing.B) {
@@ -103,7 +103,7 @@
 	}
 }
 
-// BenchmarkPins is what pins cost an owner in memory.
+// BenchmarkPins measures the memory of an owner's pins.
 func BenchmarkPins(b *testing.B) {
 	for _, flows := range []int{30_000, 100_000, 300_000} {
 		b.Run(fmt.Sprint(flows), func(b *testing.B) {
@@ -124,8 +124,7 @@
 	}
 }
 
-// BenchmarkWatches is what it costs a daemon, each time, to find the targets that
-// it asks for their reports.
+// BenchmarkWatches measures the search for the targets that a daemon polls for reports.
 func BenchmarkWatches(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("%d-targets-%d-daemons", size.targets, size.daemons), func(b *testing.B) {
--- a/internal/steering/decide.go
+++ b/internal/steering/decide.go
@@ -8,25 +8,23 @@
 	"github.com/passtray/passtray/internal/ownership"
 )
 
-// Action is what is to be done with a packet.
+// Action is what to do with a packet.
 type Action uint8
 
-// The actions.
 const (
-	// Drop: Reason says why.
+	// Drop the packet; Reason says why.
 	Drop Action = iota
-	// Forward: to Target.
+	// Forward the packet to Target.
 	Forward
-	// HandOver: to the flow's owner at Owner.
+	// HandOver sends the packet to the flow's owner, Owner.
 	HandOver
-	// Decide: this daemon owns the flow Key and picks the target.
+	// Decide: this daemon owns the flow Key and selects the target.
 	Decide
 )
 
-// Reason says why a packet was dropped. Its value is a metric's label.
+// Reason is why a packet was dropped. Its string is a metric label.
 type Reason uint8
 
-// The reasons.
 const (
 	ReasonNone Reason = iota
 	ReasonMalformed
@@ -43,7 +41,6 @@
 	ReasonNotOurs
 	ReasonNotCaughtUp
 
-	// ReasonCount is the number of reasons.
 	ReasonCount
 )
 
@@ -55,14 +52,14 @@
 // String returns the reason's metric label.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Packet is one packet from a caller.
+// Packet is a packet from a caller (client).
 type Packet struct {
 	Service netip.AddrPort
 	Caller  netip.AddrPort
 	Payload []byte
 }
 
-// Decision is where a packet goes.
+// Decision is how to handle a packet.
 type Decision struct {
 	Action  Action
 	Reason  Reason
@@ -70,13 +67,13 @@
 	Target  *Target
 	Owner   *Daemon
 	Key     ownership.FlowKey
-	// IsFirstFlight marks a packet that carries no routable ID.
+	// IsFirstFlight marks a packet without a routable connection ID.
 	IsFirstFlight bool
 }
 
-// Decide returns where a packet goes. isOwner says that another daemon has
-// handed the packet over: it is decided here whatever this daemon's own view of
-// the members, or two daemons that differ would pass it to and fro.
+// Decide returns how to handle a packet. isOwner is set if another daemon has handed the packet
+// over: it is then decided here regardless of this daemon's view of the members, so that daemons
+// with different views don't hand it back and forth.
 func (s *Snapshot) Decide(packet *Packet, isOwner bool, scratch *connectionid.Scratch) Decision {
 	service := s.services[packet.Service]
 	if service == nil {
@@ -101,8 +98,8 @@
 	return s.own(service, ownership.KeyOfID(uint32(service.Number), packet.Caller, header.destinationID), isOwner)
 }
 
-// follow sends a packet where its connection ID says, provided that the target
-// stands behind the service the caller addressed.
+// follow forwards a packet according to its connection ID, provided that the target belongs to the
+// service that the packet is addressed to.
 func (s *Snapshot) follow(service *Service, route connectionid.Route) Decision {
 	if route.Service != uint32(service.Number) {
 		return Decision{Reason: ReasonForeignService, Service: service}
--- a/internal/steering/decide_test.go
+++ b/internal/steering/decide_test.go
@@ -39,8 +39,8 @@
 	return keyring
 }
 
-// testSnapshot has roster with targets 1 and 2, of which 2 drains, ledger with
-// target 3, and a retired target 4.
+// testSnapshot has service roster with targets 1 (active), 2 (draining) and 4 (retired), and
+// ledger with target 3.
 func testSnapshot(t testing.TB, daemons byte) *Snapshot {
 	t.Helper()
 	state := &catalog.State{
@@ -89,18 +89,18 @@
 		target  catalog.TargetNumber
 	}{
 		"established":                {rosterAddress, shortPacket(snapshot, connectionid.Route{Service: 1, Target: 1}), Forward, ReasonNone, 1},
-		"established on a draining":  {rosterAddress, shortPacket(snapshot, connectionid.Route{Service: 1, Target: 2}), Forward, ReasonNone, 2},
+		"established on draining":    {rosterAddress, shortPacket(snapshot, connectionid.Route{Service: 1, Target: 2}), Forward, ReasonNone, 2},
 		"another service's target":   {rosterAddress, shortPacket(snapshot, connectionid.Route{Service: 2, Target: 3}), Drop, ReasonForeignService, 0},
 		"mismatched service":         {rosterAddress, shortPacket(snapshot, connectionid.Route{Service: 1, Target: 3}), Drop, ReasonForeignService, 0},
 		"retired target":             {rosterAddress, shortPacket(snapshot, connectionid.Route{Service: 1, Target: 4}), Drop, ReasonTargetGone, 0},
 		"unknown target":             {rosterAddress, shortPacket(snapshot, connectionid.Route{Service: 1, Target: 99}), Drop, ReasonTargetGone, 0},
 		"unknown service":            {callerAddress, shortPacket(snapshot, connectionid.Route{Service: 1, Target: 1}), Drop, ReasonUnknownService, 0},
 		"first flight":               {rosterAddress, initialPacket([]byte("12345678"), 1280), Decide, ReasonNone, 0},
-		"first flight cut short":     {rosterAddress, initialPacket([]byte("12345678"), 300), Drop, ReasonShortInitial, 0},
+		"truncated first flight":     {rosterAddress, initialPacket([]byte("12345678"), 300), Drop, ReasonShortInitial, 0},
 		"first ID too short":         {rosterAddress, initialPacket([]byte("1234"), 1280), Drop, ReasonUnroutable, 0},
 		"short header, unroutable":   {rosterAddress, append([]byte{0x40}, make([]byte, 40)...), Drop, ReasonUnroutable, 0},
 		"empty":                      {rosterAddress, nil, Drop, ReasonMalformed, 0},
-		"long header, cut short":     {rosterAddress, []byte{0xc0, 0, 0}, Drop, ReasonMalformed, 0},
+		"truncated long header":      {rosterAddress, []byte{0xc0, 0, 0}, Drop, ReasonMalformed, 0},
 		"version negotiation":        {rosterAddress, append([]byte{0x80, 0, 0, 0, 0, 8}, make([]byte, 1280)...), Drop, ReasonUnroutable, 0},
 		"handshake with a routed ID": {rosterAddress, longWithID(snapshot, connectionid.Route{Service: 1, Target: 1}), Forward, ReasonNone, 1},
 	} {
@@ -134,7 +134,7 @@
 		}
 		assert.Equal(t, snapshot.Decide(&packet, true, new(connectionid.Scratch)).Action, Decide)
 	}
-	assert.Assert(t, handedOver > 75 && handedOver < 100, "%d of 100 flows were handed over by one of nine", handedOver)
+	assert.Assert(t, handedOver > 75 && handedOver < 100, "one of nine daemons handed over %d of 100 flows", handedOver)
 }
 
 func TestACutOffDaemonDoesNotTakeEveryFlowForItsOwn(t *testing.T) {
@@ -194,7 +194,7 @@
 		packet := Packet{Service: rosterAddress, Caller: callerAddress, Payload: payload}
 		decision := snapshot.Decide(&packet, false, new(connectionid.Scratch))
 		if decision.Action == Forward && decision.Target.Service.Address != rosterAddress {
-			t.Fatalf("a packet for roster goes to %s", decision.Target.Service.Name)
+			t.Fatalf("packet for roster forwarded to %s", decision.Target.Service.Name)
 		}
 	})
 }
--- a/internal/steering/quic.go
+++ b/internal/steering/quic.go
@@ -2,8 +2,8 @@
 
 import "encoding/binary"
 
-// quicHeader is the part of a QUIC packet that is the same in all versions
-// (RFC 8999, section 5).
+// quicHeader holds the version-independent part of a QUIC header (RFC 8999, section 5) and the
+// packet type.
 type quicHeader struct {
 	isLong  bool
 	version uint32
@@ -20,13 +20,12 @@
 	packetTypeInitial   = 0
 	packetTypeZeroRTT   = 1
 	maximumIDLength     = 20 // RFC 9000, section 17.2
-	minimumIDLength     = 8  // of a client's first ID; RFC 9000, section 7.2
+	minimumIDLength     = 8  // of a client's first destination ID; RFC 9000, section 7.2
 	minimumInitialBytes = 1200
 )
 
-// parseQUIC reads the header. It reports false for a packet too short to have
-// one; idLength is the length of the destination ID in a short header, which
-// only its issuer knows.
+// parseQUIC parses the header and reports false if the packet is too short. idLength is the length
+// of the destination ID in short headers, which they don't encode.
 func parseQUIC(packet []byte, idLength int, header *quicHeader) bool {
 	*header = quicHeader{}
 	if len(packet) == 0 {
@@ -53,9 +52,8 @@
 	return true
 }
 
-// mayStartFlow reports whether a packet with an unroutable ID can belong to a
-// client's first flight: an Initial, 0-RTT, or a version this daemon does not
-// know, which the target will negotiate.
+// mayStartFlow reports whether a packet with an unroutable ID can belong to a client's first
+// flight: an Initial, 0-RTT, or a packet of an unknown version, which the target will negotiate.
 func (h *quicHeader) mayStartFlow() bool {
 	if !h.isLong || h.version == 0 {
 		return false
@@ -66,8 +64,8 @@
 	return h.version != versionOne || h.packetType == packetTypeInitial || h.packetType == packetTypeZeroRTT
 }
 
-// needsFullSize reports whether RFC 9000, section 14.1, demands that the
-// datagram be at least minimumInitialBytes long.
+// needsFullSize reports whether the datagram must be at least minimumInitialBytes long (RFC 9000,
+// section 14.1).
 func (h *quicHeader) needsFullSize() bool {
 	return h.version != versionOne || h.packetType == packetTypeInitial
 }
