--- a/internal/steering/capacity_bench_test.go
+++ b/internal/steering/capacity_bench_test.go
@@ -66,13 +66,13 @@
 				LeaseEnds: &atomic.Int64{}, Signals: NewSignals(), Peers: ownership.NewPeers(),
 			}
 			before := heapInUse()
-			held := Build(inputs)
+			snapshot := Build(inputs)
 			memory := heapInUse() - before
 			for b.Loop() {
-				held = Build(inputs)
+				snapshot = Build(inputs)
 			}
 			b.ReportMetric(float64(memory)/1024, "KiB")
-			runtime.KeepAlive(held)
+			runtime.KeepAlive(snapshot)
 		})
 	}
 }
--- a/internal/steering/decide.go
+++ b/internal/steering/decide.go
@@ -80,27 +80,27 @@
 		return Decision{Reason: ReasonUnknownService}
 	}
 	if service.Protocol == catalog.ProtocolUDP {
-		return s.own(service, ownership.KeyOfCaller(uint32(service.Number), packet.Caller), isOwner)
+		return s.decideByOwner(service, ownership.KeyOfCaller(uint32(service.Number), packet.Caller), isOwner)
 	}
 	var header quicHeader
 	if !parseQUIC(packet.Payload, connectionid.Length, &header) {
 		return Decision{Reason: ReasonMalformed, Service: service}
 	}
 	if route, routable := s.Keyring.Decode(header.destinationID, scratch); routable {
-		return s.follow(service, route)
+		return s.forwardByID(service, route)
 	}
 	if !header.mayStartFlow() {
 		return Decision{Reason: ReasonUnroutable, Service: service}
 	}
-	if header.needsFullSize() && len(packet.Payload) < minimumInitialBytes {
+	if header.needsFullSize() && len(packet.Payload) < minInitialBytes {
 		return Decision{Reason: ReasonShortInitial, Service: service}
 	}
-	return s.own(service, ownership.KeyOfID(uint32(service.Number), packet.Caller, header.destinationID), isOwner)
+	return s.decideByOwner(service, ownership.KeyOfID(uint32(service.Number), packet.Caller, header.destinationID), isOwner)
 }
 
-// follow forwards a packet according to its connection ID, provided that the target belongs to the
-// service that the packet is addressed to.
-func (s *Snapshot) follow(service *Service, route connectionid.Route) Decision {
+// forwardByID forwards a packet according to its connection ID, provided that the target belongs
+// to the service that the packet is addressed to.
+func (s *Snapshot) forwardByID(service *Service, route connectionid.Route) Decision {
 	if route.Service != uint32(service.Number) {
 		return Decision{Reason: ReasonForeignService, Service: service}
 	}
@@ -114,7 +114,7 @@
 	return Decision{Action: Forward, Service: service, Target: target}
 }
 
-func (s *Snapshot) own(service *Service, key ownership.FlowKey, isOwner bool) Decision {
+func (s *Snapshot) decideByOwner(service *Service, key ownership.FlowKey, isOwner bool) Decision {
 	decision := Decision{Action: Decide, Service: service, Key: key, IsFirstFlight: true}
 	if isOwner {
 		return decision
--- a/internal/steering/decide_test.go
+++ b/internal/steering/decide_test.go
@@ -123,7 +123,7 @@
 	return packet
 }
 
-func TestOnlyOneDaemonOwnsAFlowAndAHandoverEndsThere(t *testing.T) {
+func TestHandoverEndsAtOwner(t *testing.T) {
 	snapshot := testSnapshot(t, 9)
 	handedOver := 0
 	for flow := range byte(100) {
@@ -137,7 +137,7 @@
 	assert.Assert(t, handedOver > 75 && handedOver < 100, "one of nine daemons handed over %d of 100 flows", handedOver)
 }
 
-func TestACutOffDaemonDoesNotTakeEveryFlowForItsOwn(t *testing.T) {
+func TestPartitionedDaemonKeepsDeadMembersAsOwners(t *testing.T) {
 	var known []membership.Member
 	for number := range byte(6) {
 		known = append(known, testMember(number+1))
@@ -161,7 +161,7 @@
 	}
 }
 
-func TestASilentOwnerIsPassedOver(t *testing.T) {
+func TestUnresponsiveOwnerIsSkipped(t *testing.T) {
 	snapshot := testSnapshot(t, 3)
 	key := ownership.KeyOfID(1, callerAddress, []byte("12345678"))
 	for range 2 {
@@ -177,7 +177,7 @@
 	}
 }
 
-func TestAnEstablishedFlowsDecisionAllocatesNothing(t *testing.T) {
+func TestDecideEstablishedDoesNotAllocate(t *testing.T) {
 	snapshot := testSnapshot(t, 9)
 	packet := Packet{Service: rosterAddress, Caller: callerAddress, Payload: shortPacket(snapshot, connectionid.Route{Service: 1, Target: 1})}
 	scratch := new(connectionid.Scratch)
--- a/internal/steering/quic.go
+++ b/internal/steering/quic.go
@@ -14,14 +14,14 @@
 }
 
 const (
-	longHeaderBit       = 0x80
-	longHeaderMinimum   = 6
-	versionOne          = 1
-	packetTypeInitial   = 0
-	packetTypeZeroRTT   = 1
-	maximumIDLength     = 20 // RFC 9000, section 17.2
-	minimumIDLength     = 8  // of a client's first destination ID; RFC 9000, section 7.2
-	minimumInitialBytes = 1200
+	longHeaderBit      = 0x80
+	minLongHeaderBytes = 6
+	versionOne         = 1
+	packetTypeInitial  = 0
+	packetTypeZeroRTT  = 1
+	maxIDLength        = 20 // RFC 9000, section 17.2
+	minIDLength        = 8  // of a client's first destination ID; RFC 9000, section 7.2
+	minInitialBytes    = 1200
 )
 
 // parseQUIC parses the header and reports false if the packet is too short. idLength is the length
@@ -38,17 +38,17 @@
 		header.destinationID = packet[1 : 1+idLength]
 		return true
 	}
-	if len(packet) < longHeaderMinimum {
+	if len(packet) < minLongHeaderBytes {
 		return false
 	}
 	header.isLong = true
 	header.version = binary.BigEndian.Uint32(packet[1:])
 	header.packetType = packet[0] >> 4 & 3
 	length := int(packet[5])
-	if len(packet) < longHeaderMinimum+length {
+	if len(packet) < minLongHeaderBytes+length {
 		return false
 	}
-	header.destinationID = packet[longHeaderMinimum : longHeaderMinimum+length]
+	header.destinationID = packet[minLongHeaderBytes : minLongHeaderBytes+length]
 	return true
 }
 
@@ -58,13 +58,13 @@
 	if !h.isLong || h.version == 0 {
 		return false
 	}
-	if len(h.destinationID) < minimumIDLength || len(h.destinationID) > maximumIDLength {
+	if len(h.destinationID) < minIDLength || len(h.destinationID) > maxIDLength {
 		return false
 	}
 	return h.version != versionOne || h.packetType == packetTypeInitial || h.packetType == packetTypeZeroRTT
 }
 
-// needsFullSize reports whether the datagram must be at least minimumInitialBytes long (RFC 9000,
+// needsFullSize reports whether the datagram must be at least minInitialBytes long (RFC 9000,
 // section 14.1).
 func (h *quicHeader) needsFullSize() bool {
 	return h.version != versionOne || h.packetType == packetTypeInitial
