--- a/internal/steering/token/service.go
+++ b/internal/steering/token/service.go
@@ -5,18 +5,18 @@
 	"github.com/passtray/passtray/internal/overload"
 )
 
-// Service is the targets that new flows may go to.
+// Service is a pool of targets that can receive new flows.
 type Service struct {
 	Name string
-	// Load is the service's work through this daemon.
+	// Load tracks and limits the service's work through this daemon.
 	Load *overload.Controller
-	// maximumFlows and coldRate are as they were declared.
+	// maximumFlows and coldRate are the declared limits.
 	maximumFlows uint32
 	coldRate     float64
-	// open are the targets that may get new flows. leaving drain or went: they still serve for
-	// a while, and are better than none.
-	open, leaving balance.Pool[*Target]
-	// evacuated counts the targets that stand in evacuated zones.
+	// eligible holds the targets that accept new flows. leaving holds targets that are draining or
+	// gone: they serve for a while longer and are used when no other target is left.
+	eligible, leaving balance.Pool[*Target]
+	// evacuated is the number of targets in evacuated zones.
 	evacuated int
 }
 
@@ -27,7 +27,7 @@
 	}
 	switch {
 	case target.MayOpen:
-		target.entry = s.open.Add(candidate, target)
+		target.entry = s.eligible.Add(candidate, target)
 	case target.IsEvacuated:
 		s.evacuated++
 	default:
@@ -38,7 +38,7 @@
 func (s *Service) remove(target *Target) {
 	switch {
 	case target.MayOpen:
-		s.open.Remove(target.entry)
+		s.eligible.Remove(target.entry)
 	case target.IsEvacuated:
 		s.evacuated--
 	default:
@@ -47,12 +47,12 @@
 	target.entry = nil
 }
 
-// watch says that a target was found dead, or is to be passed over.
-func (s *Service) watch(target *Target) {
+// trackUnavailable tells the target's pool that the target was declared dead or ejected.
+func (s *Service) trackUnavailable(target *Target) {
 	switch {
 	case target.entry == nil:
 	case target.MayOpen:
-		s.open.Watch(target.entry)
+		s.eligible.Watch(target.entry)
 	default:
 		s.leaving.Watch(target.entry)
 	}
