--- a/internal/storenode/answer.go
+++ b/internal/storenode/answer.go
@@ -8,6 +8,8 @@
 	"github.com/passtray/passtray/internal/followed"
 )
 
+// answer serves a pull. It redirects the peer to another daemon if there is no configuration yet or
+// all answer slots are in use, and otherwise waits for them within the hold that the peer requested.
 func (l *peerLink) answer(writer http.ResponseWriter, request *http.Request, serve func(pull *followed.Pull) (followed.Delta, bool)) {
 	pull, err := readPull(request)
 	if err != nil {
@@ -20,10 +22,11 @@
 	if !isRedirect {
 		l.waitConfigured(request.Context(), holding)
 		if request.Context().Err() != nil {
-			return // It was taken back.
+			return // the peer canceled the request
 		}
 		hasPlace := l.beginAnswer()
-		// Who was sent on often waits for a place: among busy daemons it would go round for ever.
+		// A peer that was already redirected several times waits for a slot instead: busy daemons
+		// could otherwise redirect it among themselves without end.
 		isSentOn := !hasPlace && pull.Redirects < followed.MostRedirects
 		if delta, isRedirect = l.redirect(pull, isSentOn, serve); !isRedirect {
 			hasPlace = hasPlace || l.waitForPlace(request.Context(), holding)
@@ -52,12 +55,12 @@
 	if l.given != nil {
 		l.given(delta, len(encoded))
 	}
-	// A peer that went away needs no answer.
+	// Writing fails only if the peer disconnected, which needs no handling.
 	_, _ = writer.Write(encoded)
 }
 
-// redirect names another daemon in the place of an answer, if that is wanted and one is
-// known that can answer.
+// redirect returns a delta that names another daemon to pull from. It reports false if isWanted is
+// false or no daemon that can answer is known.
 func (l *peerLink) redirect(pull *followed.Pull, isWanted bool, serve func(pull *followed.Pull) (followed.Delta, bool)) (followed.Delta, bool) {
 	if !isWanted {
 		return followed.Delta{}, false
@@ -68,7 +71,8 @@
 	return delta, isRunning && delta.Ahead.IsValid()
 }
 
-// waitConfigured waits for a configuration, at most for the time of a hold.
+// waitConfigured waits for a configuration until the holding timer fires. It rearms a timer that
+// fired, so that the wait for an answer slot ends at once.
 func (l *peerLink) waitConfigured(ctx context.Context, holding *time.Timer) {
 	select {
 	case <-l.configured.Done():
@@ -78,8 +82,7 @@
 	}
 }
 
-// beginAnswer takes a place among the answers under way. It reports false if there is
-// none.
+// beginAnswer acquires an answer slot without waiting. It reports false if none is free.
 func (l *peerLink) beginAnswer() bool {
 	select {
 	case l.answering <- struct{}{}:
@@ -89,8 +92,8 @@
 	}
 }
 
-// waitForPlace takes a place within what is left of a hold. It reports false if none
-// came free.
+// waitForPlace waits for an answer slot until the holding timer fires. It reports false if none became
+// free.
 func (l *peerLink) waitForPlace(ctx context.Context, holding *time.Timer) bool {
 	select {
 	case l.answering <- struct{}{}:
--- a/internal/storenode/changes.go
+++ b/internal/storenode/changes.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// targetsLineInterval is the least time between two log lines on targets that changed. In a
-	// large fleet hundreds change in a second, each told by a message of its own.
+	// targetsLineInterval is the minimum interval between log lines about changed targets. In a large
+	// fleet hundreds change per second, each in an update of its own.
 	targetsLineInterval = 250 * time.Millisecond
-	// mostNamedTargets bounds the targets that one line names.
+	// mostNamedTargets bounds the targets listed in one log line.
 	mostNamedTargets = 20
 )
 
-// changedTargets are the targets that changed since the last log line on them.
+// changedTargets collects the changes to targets since the last log line about them.
 type changedTargets struct {
 	details []string
 	omitted int
@@ -30,7 +30,7 @@
 	c.omitted += change.Omitted + len(change.Details) - len(named)
 }
 
-// sayTargets logs the targets that changed, if it is time for that.
+// sayTargets logs the collected changes, at most once per targetsLineInterval.
 func (n *Node) sayTargets(now time.Time) {
 	changed := &n.changedTargets
 	if len(changed.details) == 0 || now.Before(changed.nextAt) {
--- a/internal/storenode/changes_test.go
+++ b/internal/storenode/changes_test.go
@@ -9,7 +9,6 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// TestALineNamesFewOfTheTargetsThatChanged, and counts the others.
 func TestALineNamesFewOfTheTargetsThatChanged(t *testing.T) {
 	var changed changedTargets
 	for number := range 30 {
--- a/internal/storenode/cold.go
+++ b/internal/storenode/cold.go
@@ -7,8 +7,9 @@
 	"github.com/passtray/passtray/internal/coldshare"
 )
 
-// shareCold says how much of what cold targets can take this daemon may give them. One that
-// does not know the others yet takes no part.
+// shareCold sets how many new flows per second this daemon may send to each target in slow start. The
+// limit is zero until the other members are known, as the shares of all daemons together must stay
+// within what the target can take.
 func (n *Node) shareCold(now time.Time) {
 	table := n.plane.table.Load()
 	if table == nil {
--- a/internal/storenode/counters.go
+++ b/internal/storenode/counters.go
@@ -10,34 +10,34 @@
 	"github.com/passtray/passtray/internal/steering/token"
 )
 
-// tokenCounters count what the data path did.
+// tokenCounters are the counters of the data path.
 type tokenCounters struct {
 	forwarding.Counters
 	forwarded [token.ReasonCount]atomic.Uint64
 	refused   [token.ReasonCount]atomic.Uint64
 	dropped   [token.ReasonCount]atomic.Uint64
 	held      atomic.Uint64
-	// crowded counts packets that waited for their service to have room.
+	// crowded counts packets queued because their service was overloaded.
 	crowded atomic.Uint64
-	// unanswered counts what targets left unanswered by evidence, ejections the
-	// targets passed over for it.
+	// unanswered counts unanswered requests and first packets of flows by strength of
+	// evidence, ejections the targets ejected as outliers.
 	unanswered [outlier.Strong + 1]atomic.Uint64
 	ejections  atomic.Uint64
-	// dead counts targets held for dead, revived those of which that was taken back.
+	// dead counts targets declared dead, revived those later found to be alive.
 	dead    atomic.Uint64
 	revived atomic.Uint64
-	// resting counts flows that were reset while they rested at dead targets.
+	// resting counts idle flows that were reset because their target was dead or superseded.
 	resting atomic.Uint64
-	// loadsUnread counts messages on open flows and speeds that could not be read whole.
+	// loadsUnread counts messages about open flows and speeds that could not be decoded completely.
 	loadsUnread atomic.Uint64
-	// speedAnswers counts answers that told how fast their target works.
+	// speedAnswers counts responses used to estimate the speed of their target.
 	speedAnswers atomic.Uint64
 
 	mutex sync.Mutex
 	calls map[storeCall]uint64
 }
 
-// storeCall is one kind of call with its outcome.
+// storeCall identifies store calls of one kind and outcome.
 type storeCall struct {
 	kind    followed.CallKind
 	outcome followed.Outcome
--- a/internal/storenode/crowded_test.go
+++ b/internal/storenode/crowded_test.go
@@ -18,8 +18,8 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// segmentCodec is wordCodec with a sequence number, which is a packet's first byte of payload,
-// and with ends of flows.
+// segmentCodec extends wordCodec by packets that close a flow and by a sequence number, which is the
+// first byte of the payload.
 type segmentCodec struct{ wordCodec }
 
 const wordClosing = 3
@@ -35,7 +35,7 @@
 	return true
 }
 
-// sentSocket keeps what is sent.
+// sentSocket records the datagrams written to it.
 type sentSocket struct {
 	forwarding.Socket
 	sent [][]byte
@@ -48,7 +48,7 @@
 	return len(messages), nil
 }
 
-// crowdedPlane is a data path whose one service has no room for ordinary work.
+// crowdedPlane is a data path whose only service is overloaded: it has no capacity for ordinary work.
 type crowdedPlane struct {
 	*tokenPlane
 	socket *sentSocket
@@ -56,7 +56,7 @@
 	taken  int
 }
 
-// newCrowdedPlane makes one in which at most so many packets wait.
+// newCrowdedPlane returns a plane that queues at most the given number of packets.
 func newCrowdedPlane(t *testing.T, most int) *crowdedPlane {
 	t.Helper()
 	now := time.Now()
@@ -79,7 +79,7 @@
 	for range 50 {
 		made.load.NoteAnswer(now, 1, 1000)
 	}
-	for range 50 { // the rejections lie ahead, so that nothing depends on how long the test takes
+	for range 50 { // rejections in the future, so that they cannot expire during the test
 		made.load.NoteAnswer(now.Add(time.Hour), 1, 100)
 	}
 	for made.load.AdmitFlow(now.Add(time.Hour), overload.Ordinary) {
@@ -89,7 +89,7 @@
 	return made
 }
 
-// makeRoom ends what takes the room.
+// makeRoom ends the work that uses up the capacity.
 func (p *crowdedPlane) makeRoom() {
 	for ; p.taken > 0; p.taken-- {
 		p.load.End(overload.Preferred)
@@ -107,12 +107,13 @@
 
 func crowdedCaller(number int) netip.AddrPort { return nodetest.Address(101, 1000+number) }
 
-// comes lets a packet come to the data path.
+// comes passes a packet to the data path.
 func (p *crowdedPlane) comes(number int, kind byte, payload string) {
 	p.Handle(p.releaser, packetOf(number, kind, payload))
 }
 
-// sentOn returns the ports, kinds and payloads of what was sent to the target since the last call.
+// sentOn returns the last digit of the source port, the kind and the payload of each packet sent since
+// the last call.
 func (p *crowdedPlane) sentOn() []string {
 	p.releaser.Flush()
 	sent := []string{}
@@ -126,13 +127,13 @@
 	return sent
 }
 
-// allHaveWaited lets the longest wait pass.
+// allHaveWaited advances the clock beyond the longest wait.
 func (p *crowdedPlane) allHaveWaited() { p.tickCrowded(time.Now().Add(time.Second), 88) }
 
-// TestSegmentsOfAFlowGoOnInTheirOrder: a target that gets them in another order takes those
-// between for lost, and what the caller then sends again speaks against the target.
+// Guards against reordered segments: the target would treat those in between as lost, and the
+// retransmissions of the caller would count as evidence against the target.
 func TestSegmentsOfAFlowGoOnInTheirOrder(t *testing.T) {
-	t.Run("when the first has waited", func(t *testing.T) {
+	t.Run("after the maximum wait", func(t *testing.T) {
 		plane := newCrowdedPlane(t, 8)
 		plane.handle(plane.releaser, packetOf(1, wordOthers, "1"), arrival{at: time.Now()})
 		plane.handle(plane.releaser, packetOf(1, wordOthers, "2"), arrival{at: time.Now().Add(time.Hour)})
@@ -143,7 +144,7 @@
 		assert.Equal(t, plane.counters.dropped[token.ReasonCopy].Load(), uint64(1))
 		assert.Equal(t, len(plane.unacknowledged()), 0)
 	})
-	t.Run("when there is room for a later one", func(t *testing.T) {
+	t.Run("when there is capacity for a later segment", func(t *testing.T) {
 		plane := newCrowdedPlane(t, 8)
 		plane.comes(1, wordOthers, "1")
 		plane.comes(1, wordOthers, "2")
@@ -186,7 +187,7 @@
 }
 
 func TestWhoWaitsGoesBeforeWhoComes(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) { // no time passes between the two
+	synctest.Test(t, func(t *testing.T) { // no time passes between the two packets
 		plane := newCrowdedPlane(t, 8)
 		plane.handle(plane.releaser, packetOf(1, wordOpen, ""), arrival{at: time.Now().Add(time.Hour)})
 		assert.DeepEqual(t, plane.sentOn(), []string{})
@@ -209,8 +210,8 @@
 	assert.Equal(t, plane.counters.crowded.Load(), uint64(1))
 }
 
-// TestDataThatWaitsSaysThatItsTargetLivedWhenItWasLastAsked: what it acknowledges may have come
-// long before, and the target may have died since.
+// Guards against counting the acknowledgement in a queued packet as current activity: the data it
+// acknowledges may have arrived long before, and the target may have died since.
 func TestDataThatWaitsSaysThatItsTargetLivedWhenItWasLastAsked(t *testing.T) {
 	plane := newCrowdedPlane(t, 8)
 	packet := &token.Packet{Source: crowdedCaller(1), Destination: followedRoute, Token: token.WordAt(followedRoute, 77), PayloadLength: 1}
--- a/internal/storenode/early_test.go
+++ b/internal/storenode/early_test.go
@@ -15,8 +15,8 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// longStore is a store whose whole content is too long for a slow link: of calls that want
-// it, only those for targets alone are answered.
+// longStore is a store whose snapshot is too long for a slow link: it answers only list calls
+// restricted to targets.
 type longStore struct{ target storeview.Target }
 
 func (s *longStore) Do(ctx context.Context, call *followed.Call) followed.Answer {
@@ -32,8 +32,8 @@
 	return followed.Answer{Number: call.Number, Outcome: followed.OutcomeFailed}
 }
 
-// TestOpenFlowsGoOnBeforeTheConfigurationIsKnown: a packet of an open flow is forwarded, one
-// of a new flow waits, and nothing is refused.
+// With targets but no routes known, packets of open flows are forwarded, new flows are held, and
+// nothing is refused.
 func TestOpenFlowsGoOnBeforeTheConfigurationIsKnown(t *testing.T) {
 	site := newFollowedSite(t)
 	store := &longStore{target: storeview.Target{Identifier: 77, Service: "s", Address: site.targetAddress(), Zone: "zone", Slots: 2}}
@@ -46,7 +46,7 @@
 	t.Cleanup(node.Kill)
 	nodetest.WaitFor(t, "targets", func() bool { return node.plane.table.Load() != nil })
 	assert.Assert(t, !node.plane.isConfigured())
-	assert.Assert(t, node.Ready() != "", "new flows are for daemons that know routes")
+	assert.Assert(t, node.Ready() != "", "not ready for new flows without routes")
 	site.send(t, 1, 0, wordOpen)
 	nodetest.WaitFor(t, "a held packet", func() bool { return node.plane.counters.held.Load() == 1 })
 	site.send(t, 1, token.WordAt(followedRoute, 77), wordOthers)
--- a/internal/storenode/held.go
+++ b/internal/storenode/held.go
@@ -8,19 +8,16 @@
 	"github.com/passtray/passtray/internal/steering/token"
 )
 
-// heldPacket is a packet whose target is not known yet.
+// heldPacket is a packet that waits for its target to become known.
 type heldPacket struct {
 	at     time.Time
 	until  time.Time
 	buffer []byte
 }
 
-// release decides once more for the packets that are held. The newest go first: under
-// more than can be served it is better to be in time for some than late for all, and
-// who waits for long sends a copy. Only the control loop calls it.
-//
-// While there is no configuration little can be decided. To take the packets out and hold
-// them again would let those that come meanwhile have their places.
+// release decides again on the held packets once there is a configuration. Before that few could be
+// decided, and holding them again would lose their places to packets that arrive meanwhile. Only the
+// control loop calls it.
 func (p *tokenPlane) release(now time.Time) {
 	if !p.isConfigured() {
 		return
@@ -28,7 +25,8 @@
 	p.releaseAll(now)
 }
 
-// releaseAll decides once more for the packets that are held, whatever the table knows.
+// releaseAll decides again on the held packets, newest first: under overload it is better to serve
+// some in time than all too late, and callers that waited for long retransmit anyway.
 func (p *tokenPlane) releaseAll(now time.Time) {
 	p.mutex.Lock()
 	waiting := p.held
@@ -48,9 +46,9 @@
 	p.mutex.Unlock()
 }
 
-// hold keeps a packet that came at a time until more is known. While there is no
-// table, or its target may only be missing in it, silence is the only answer that
-// breaks nothing; it costs the caller less if its packet goes on as soon as may be.
+// hold keeps a packet that arrived at cameAt until more is known. Without a table, or with a table
+// that may lack the target, any answer could break a flow. Forwarding the packet as soon as possible
+// saves its caller a retransmission.
 func (p *tokenPlane) hold(worker *forwarding.Worker, inbound *forwarding.Inbound, packet *token.Packet, cameAt time.Time) {
 	until := cameAt.Add(dataHeldFor)
 	if packet.IsOpening {
--- a/internal/storenode/liveness.go
+++ b/internal/storenode/liveness.go
@@ -12,26 +12,27 @@
 )
 
 const (
-	messageDead  = "target held for dead"
-	messageAlive = "target alive after all"
+	messageDead  = "target declared dead"
+	messageAlive = "dead target found alive"
 
-	messageSilentZone = "zone held for silent"
+	messageSilentZone = "zone declared unresponsive"
 
-	// probeTimeout is how long a target may take to answer a probe. It is the time that
-	// other daemons have to object, and many round trips.
+	// probeTimeout is how long a target may take to answer a probe: many round trips, and the time
+	// that other daemons have to object.
 	probeTimeout = 150 * time.Millisecond
-	// earlyProbeTimeout is how long it may take to answer the first one. If it does not, all
-	// are asked, and it is probed again.
+	// earlyProbeTimeout is the timeout of the first probe. If it fails, other daemons are queried and
+	// the target is probed again.
 	earlyProbeTimeout = 50 * time.Millisecond
-	// deadProbation is how long after a verdict has run out a target's share of new flows
-	// grows back, the same as after an ejection.
+	// deadProbation is how long a target ramps up to its full share of new flows after its verdict
+	// expired, the same as after an ejection.
 	deadProbation = 10 * time.Second
 )
 
-// livenessDirectory is what the detector of dead targets is told.
+// livenessDirectory is what the failure detector knows about targets.
 type livenessDirectory struct{ *directory }
 
-// ExpectedRate takes each answer for a sign of life.
+// ExpectedRate returns the expected responses per second of all targets of a subject; each counts as
+// activity.
 func (d livenessDirectory) ExpectedRate(subject liveness.Subject) float64 {
 	rate := 0.0
 	for service, targets := range d.ServicesOf(subject) {
@@ -40,14 +41,14 @@
 	return rate
 }
 
-// LastAnswered serves liveness.Directory.
+// LastAnswered implements liveness.Directory.
 func (d livenessDirectory) LastAnswered() time.Time { return time.Unix(0, d.plane.lastAnswered.Load()) }
 
 func (n *Node) livenessDirectory(now time.Time, table *token.Table) livenessDirectory {
 	return livenessDirectory{n.directory(now, table)}
 }
 
-// watchLives takes what callers sent again to the detector of dead targets.
+// watchLives reports the retransmissions of callers to the failure detector.
 func (n *Node) watchLives(now time.Time, table *token.Table) {
 	targets := n.livenessDirectory(now, table)
 	for _, data := range n.plane.unacknowledged() {
@@ -56,15 +57,16 @@
 	n.carryLives(now, table, n.lives.Tick(now, targets))
 }
 
-// takeLives takes in what other daemons say of targets' lives.
+// takeLives handles liveness reports of other daemons.
 func (n *Node) takeLives(now time.Time, reports []liveness.Received) {
 	if table := n.plane.table.Load(); table != nil && len(reports) > 0 {
 		n.carryLives(now, table, n.lives.Hear(now, n.livenessDirectory(now, table), reports))
 	}
 }
 
-// carryLives puts verdicts into force: flows of dead targets are reset at once, those whose
-// callers wait before those that rest, and what came past other daemons with its next packet.
+// carryLives applies verdicts. Flows of dead targets are reset at once, those with waiting callers
+// before idle ones. Flows that were forwarded by other daemons are reset when their next packet
+// arrives.
 func (n *Node) carryLives(now time.Time, table *token.Table, output liveness.Output) {
 	for _, verdict := range output.Dead {
 		n.plane.change(func() {
@@ -98,7 +100,7 @@
 	}
 }
 
-// probe asks whether a target accepts connections. It sends nothing on them.
+// probe checks whether a target accepts TCP connections. It sends no data on them.
 func (n *Node) probe(probe liveness.Probe, address netip.AddrPort) {
 	defer n.Waiting.Done()
 	timeout := probeTimeout
@@ -109,7 +111,7 @@
 	n.Enqueue(func(now time.Time) {
 		n.lives.Probed(now, probe, hasAnswered)
 		if table := n.plane.table.Load(); table != nil {
-			n.watchLives(now, table) // the next step need not wait for a tick
+			n.watchLives(now, table) // act on the result without waiting for the next tick
 		}
 	})
 }
@@ -118,7 +120,7 @@
 	dialer := net.Dialer{Timeout: timeout}
 	connection, err := dialer.DialContext(n.Context(), "tcp", address.String())
 	if err != nil {
-		return false // dead or cut off: which of both does not matter here
+		return false // dead or unreachable
 	}
 	_ = connection.Close()
 	return true
--- a/internal/storenode/liveness_test.go
+++ b/internal/storenode/liveness_test.go
@@ -16,8 +16,8 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// TestCallersOfADeadTargetAreReset: the one that waits at the verdict, and the one that
-// rested with its next packet. After a sign of life flows go on.
+// Callers of a dead target are reset: those waiting for a response at the verdict, idle ones at the
+// latest with their next packet. After the target was found alive, flows continue.
 func TestCallersOfADeadTargetAreReset(t *testing.T) {
 	lines := &logLines{}
 	site, node := startReady(t, lines.logger())
@@ -34,37 +34,36 @@
 		close(done)
 	})
 	<-done
-	assert.Equal(t, receive(t, site.caller)[16], byte(wordReset), "the caller that waits")
+	assert.Equal(t, receive(t, site.caller)[16], byte(wordReset), "waiting caller")
 	assert.Assert(t, lines.contains(messageDead))
 	site.send(t, 0, value, wordOthers)
-	assert.Equal(t, receive(t, site.caller)[16], byte(wordReset), "the caller that rested")
+	assert.Equal(t, receive(t, site.caller)[16], byte(wordReset), "idle caller")
 
 	node.Enqueue(func(now time.Time) {
 		node.carryLives(now, node.plane.table.Load(), liveness.Output{Alive: []uint64{77}})
 	})
-	nodetest.WaitFor(t, "the verdict to be taken back", func() bool { return lines.contains(messageAlive) })
+	nodetest.WaitFor(t, "the verdict to be revoked", func() bool { return lines.contains(messageAlive) })
 	site.send(t, 0, value, wordOthers)
 	assert.Equal(t, binary.BigEndian.Uint64(receive(t, site.target)), uint64(77))
 }
 
-// TestAProbeTellsWhoListens, as no stand-in of a target does over TCP here.
 func TestAProbeTellsWhoListens(t *testing.T) {
 	site, node := startReady(t, logr.Discard())
-	assert.Assert(t, node.reaches(site.nodes[0].settings.Telemetry, probeTimeout), "the daemon's own listener")
-	assert.Assert(t, !node.reaches(nodetest.Address(110, 9), probeTimeout), "a port where nobody listens")
+	assert.Assert(t, node.reaches(site.nodes[0].settings.Telemetry, probeTimeout), "listener of the daemon")
+	assert.Assert(t, !node.reaches(nodetest.Address(110, 9), probeTimeout), "port without a listener")
 }
 
-// TestACallerThatRestsIsReset before it sends again, at a verdict and when another target is seen
-// at the address.
+// An idle caller is reset before it sends again, after a verdict and after another target was seen at
+// the address.
 func TestACallerThatRestsIsReset(t *testing.T) {
 	for name, end := range map[string]func(site *followedSite, node *Node){
-		"at a verdict": func(_ *followedSite, node *Node) {
+		"target declared dead": func(_ *followedSite, node *Node) {
 			node.Enqueue(func(now time.Time) {
 				verdict := liveness.Verdict{Subject: liveness.Subject{Target: 77}, Until: now.Add(time.Hour)}
 				node.carryLives(now, node.plane.table.Load(), liveness.Output{Dead: []liveness.Verdict{verdict}})
 			})
 		},
-		"when it is superseded": func(site *followedSite, _ *Node) {
+		"target superseded": func(site *followedSite, _ *Node) {
 			address := site.target.LocalAddr().(*net.UDPAddr).AddrPort()
 			site.store.Put(storeview.Entry{Key: "target-2", Target: &storeview.Target{Identifier: 78, Service: "s", Address: address, Zone: "zone", Slots: 2}})
 		},
@@ -77,7 +76,7 @@
 			end(site, node)
 			assert.Equal(t, receive(t, site.caller)[16], byte(wordReset))
 			nodetest.WaitFor(t, "the log line", func() bool { return lines.contains(messageRestingReset) })
-			assert.Assert(t, lines.contains(token.ReasonAtRest.String()), "the flow's own line")
+			assert.Assert(t, lines.contains(token.ReasonAtRest.String()), "log line of the flow")
 			status, _ := node.Status()
 			assert.Equal(t, status.Flows.ResetAtRest, uint64(1))
 			assert.Equal(t, status.Flows.Held, 0)
@@ -85,7 +84,7 @@
 	}
 }
 
-// TestResetsAtRestArePaced: what is over the bound of a step is reset in the next.
+// Resets of idle flows beyond the limit of a tick are sent in the next tick.
 func TestResetsAtRestArePaced(t *testing.T) {
 	site, node := startReady(t, logr.Discard())
 	sources := site.callerAddress().Addr()
--- a/internal/storenode/loads.go
+++ b/internal/storenode/loads.go
@@ -6,13 +6,12 @@
 	"github.com/passtray/passtray/internal/loadshare"
 )
 
-// totalsInterval is how often what the zone's daemons told is added up, a part of the
-// interval in which they renew it.
+// totalsInterval is how often the reports of the daemons in the zone are summed.
 const totalsInterval = loadshare.ReportInterval / 4
 
-// shareLoads tells the zone's daemons of the flows that are open here, and the targets'
-// signals of those that are open through all of them. If that cannot be told, as daemons
-// have many flows each, this daemon's own have to do.
+// shareLoads reports the open flows of this daemon to the zone and updates the load of each target
+// with the sum over all daemons. If the reports are incomplete, because daemons have too many flows to
+// report, it uses the flows of this daemon alone.
 func (n *Node) shareLoads(now time.Time) {
 	if now.Before(n.nextTotals) {
 		return
@@ -34,15 +33,15 @@
 	n.shareSpeeds(now, table)
 }
 
-// toldOpen is what targets' signals were told of open flows: this daemon's own by token, or those
-// of the zone by mark.
+// toldOpen are the open-flow counts last set on the targets: those of this daemon by token, those of
+// the zone by mark.
 type toldOpen struct {
 	own    map[uint32]int
 	totals map[loadshare.Mark]int
 }
 
-// putChanges puts counts into force that differ from those before, and returns them. What is not
-// counted any more is 0.
+// putChanges calls put for each count that differs from before, with 0 for keys that are no longer
+// present, and returns counts.
 func putChanges[K comparable](before, counts map[K]int, put func(of K, count int)) map[K]int {
 	for of := range before {
 		if _, isCounted := counts[of]; !isCounted {
@@ -57,7 +56,7 @@
 	return counts
 }
 
-// takeLoads takes in what daemons of the zone told of open flows, and of speeds behind that.
+// takeLoads handles messages from daemons in the zone: open flows, followed by speeds.
 func (n *Node) takeLoads(now time.Time, messages [][]byte) {
 	for _, message := range messages {
 		others := message[len(message)-n.loads.Hear(now, message):]
--- a/internal/storenode/memory_bench_test.go
+++ b/internal/storenode/memory_bench_test.go
@@ -17,10 +17,8 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// deploymentSize is what a daemon knows of.
 type deploymentSize struct{ targets, members, routes int }
 
-// String names a benchmark.
 func (s deploymentSize) String() string {
 	return fmt.Sprintf("targets=%d,members=%d,routes=%d", s.targets, s.members, s.routes)
 }
@@ -29,7 +27,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, block, byte(index >> 8), byte(index)}), 8080)
 }
 
-// content is what the store holds, as it comes from a peer.
+// content returns the entries of the store.
 func (s deploymentSize) content() []storeview.Entry {
 	configuration := &storeview.Configuration{Version: 1, Services: []storeview.Service{{Name: "service-a", MaximumFlows: 2000}, {Name: "service-b", MaximumFlows: 2000}}}
 	for index := range s.routes {
@@ -49,14 +47,14 @@
 	return entries
 }
 
-// state is what a daemon keeps of a deployment, made as it is in a daemon that learned
-// from a peer.
+// state is what a daemon keeps in memory about a deployment.
 type state struct {
 	fleet   *followed.Fleet
 	builder *token.Builder
 	table   *token.Table
 }
 
+// learn builds the state as in a daemon that received it from a peer.
 func (s deploymentSize) learn(tb testing.TB) *state {
 	tb.Helper()
 	now := time.Unix(1_800_000_000, 0)
@@ -89,7 +87,7 @@
 	return others
 }
 
-// heapOf returns the bytes in use on the heap for what is kept of a deployment.
+// heapOf returns the heap bytes in use for the state of a deployment.
 func (s deploymentSize) heapOf(tb testing.TB) int64 {
 	tb.Helper()
 	before := heapInUse()
@@ -107,8 +105,8 @@
 	return int64(memory.HeapAlloc)
 }
 
-// BenchmarkState reports what a daemon keeps, in bytes for each target, member and
-// route, at the size of today's largest deployment and at the one to come.
+// BenchmarkState reports the heap bytes of the state per target, member and route, for a current and a
+// larger deployment.
 func BenchmarkState(b *testing.B) {
 	for _, size := range []deploymentSize{{600, 350, 1_700}, {15_000, 1_400, 4_400}} {
 		b.Run(size.String(), func(b *testing.B) {
--- a/internal/storenode/orders.go
+++ b/internal/storenode/orders.go
@@ -7,11 +7,11 @@
 	"github.com/passtray/passtray/internal/telemetry"
 )
 
-// messageOrder is the log message of an order that came into force or was withdrawn.
+// messageOrder is logged when an operator order takes effect or is withdrawn.
 const messageOrder = "order changed"
 
-// noteOrders takes in what became of orders. The age in a log line is how long before it
-// whoever read the store learned the news.
+// noteOrders logs changed orders and updates those in force. The logged age counts from when the
+// daemon that read the store learned of the order.
 func (n *Node) noteOrders(now time.Time, changed []storeview.KnownOrder) {
 	inForce := n.fleet.View().Orders()
 	n.orders.Store(&inForce)
--- a/internal/storenode/overload.go
+++ b/internal/storenode/overload.go
@@ -13,32 +13,31 @@
 	"github.com/passtray/passtray/internal/telemetry"
 )
 
-// newBuilder makes the builder of tables.
 func newBuilder(given settings.Followed) *token.Builder {
 	builder := token.NewBuilder(given.Data.Retention)
 	builder.SetOverload(overload.Config(given.Overload))
 	return builder
 }
 
-// crowdedPacket is a packet that waits for its service to have room.
+// crowdedPacket is a packet queued until its service has capacity.
 type crowdedPacket struct {
 	head   token.Packet
 	buffer []byte
-	// service is which one was chosen for it, if it opens a flow.
+	// service is the service chosen for the first packet of a flow.
 	service string
 }
 
-// arrival is when a packet came.
+// arrival is when a packet arrived and what happened to it since.
 type arrival struct {
 	at time.Time
-	// isReleased says that it waited for its service to have room, and may go on.
+	// isReleased means that it left the queue of its overloaded service.
 	isReleased bool
-	// service is which one it waited for, if it opens a flow.
+	// service is the service whose queue the first packet of a flow left.
 	service string
 }
 
-// waited returns for how long the packet has waited for its service to have room. One of an
-// open flow that may go on waits no more: there was room for it, or its time is over.
+// waited returns how long the packet has waited for capacity. A released packet of an open flow does
+// not wait again: there was capacity for it, or its wait is over.
 func (a arrival) waited(now time.Time, packet *token.Packet) time.Duration {
 	if a.isReleased && !packet.IsOpening {
 		return math.MaxInt64
@@ -46,26 +45,26 @@
 	return now.Sub(a.at)
 }
 
-// flowOf names the flow of a packet among those that wait.
+// flowOf returns the key of a packet in the queue.
 func flowOf(packet *token.Packet) overload.Flow {
 	return overload.Flow{Source: packet.Source, Destination: packet.Destination, IsOpening: packet.IsOpening}
 }
 
-// isCopyOf reports whether a packet says nothing that another did not.
+// isCopyOf reports whether a packet is a retransmission of an earlier one.
 func isCopyOf(earlier, packet *token.Packet) bool {
 	return packet.Sequence == earlier.Sequence && packet.PayloadLength == earlier.PayloadLength && packet.IsClosing == earlier.IsClosing
 }
 
-// hasCopy reports whether a packet waits already. The mutex is held.
+// hasCopy reports whether a copy of the packet is queued. The mutex must be held.
 func (p *tokenPlane) hasCopy(packet *token.Packet) bool {
 	first := p.crowded.Of(flowOf(packet))
 	return first != nil && (isCopyOf(&first.Packet.head, packet) ||
 		slices.ContainsFunc(first.Behind, func(held crowdedPacket) bool { return isCopyOf(&held.head, packet) }))
 }
 
-// waitBehind turns the decision to forward a packet of an open flow into one to hold it while
-// earlier ones of the flow wait: a target that gets them in another order takes them for lost.
-// The mutex is held.
+// waitBehind changes the decision to forward a packet of an open flow into one to hold it while
+// earlier packets of the flow are queued: a target that receives them out of order would treat them as
+// lost. The mutex must be held.
 func (p *tokenPlane) waitBehind(decision token.Decision, packet *token.Packet, came arrival) token.Decision {
 	hasContent := packet.PayloadLength > 0 || packet.IsClosing
 	if decision.Action == token.Forward && hasContent && !came.isReleased && p.crowded.Of(flowOf(packet)) != nil {
@@ -74,8 +73,8 @@
 	return decision
 }
 
-// forgetReset takes out what waits of a flow that its caller resets: it is of use to nobody,
-// and a target has nothing to answer. The mutex is held.
+// forgetReset drops the queued packets of a flow that its caller resets, which need no response any
+// more. The mutex must be held.
 func (p *tokenPlane) forgetReset(packet *token.Packet) {
 	flow := flowOf(packet)
 	for _, flow.IsOpening = range []bool{false, true} {
@@ -85,9 +84,9 @@
 	}
 }
 
-// holdCrowded keeps a packet until its service has room. A new flow for which room is not
-// expected in time is refused at once: its caller can use the time. Data of an open flow for
-// which there is no place goes on as if it had waited.
+// holdCrowded queues a packet until its service has capacity. A new flow that is not expected to get
+// any in time is refused at once, so that its caller has time to retry. Data of an open flow is
+// forwarded if the queue is full.
 func (p *tokenPlane) holdCrowded(worker *forwarding.Worker, inbound *forwarding.Inbound, packet *token.Packet, decision *token.Decision, came arrival) {
 	now, load, rank := time.Now(), decision.Load(), decision.Route.Rank()
 	p.mutex.Lock()
@@ -116,7 +115,7 @@
 	}
 }
 
-// passCrowd lets a packet of an open flow go on, after those of the flow that wait.
+// passCrowd forwards a packet of an open flow after the queued packets of that flow.
 func (p *tokenPlane) passCrowd(worker *forwarding.Worker, inbound *forwarding.Inbound, packet *token.Packet, came arrival) {
 	p.mutex.Lock()
 	earlier, found := p.crowded.TakeFlow(flowOf(packet))
@@ -127,7 +126,7 @@
 	p.handle(worker, inbound, arrival{at: came.at, isReleased: true})
 }
 
-// letGo decides once more for a packet that waited, and for those behind it.
+// letGo decides again on a packet taken from the queue and on those behind it.
 func (p *tokenPlane) letGo(worker *forwarding.Worker, taken *overload.Waiting[crowdedPacket]) {
 	came := arrival{at: taken.At, isReleased: true, service: taken.Packet.service}
 	p.handle(worker, &forwarding.Inbound{Buffer: taken.Packet.buffer}, came)
@@ -136,8 +135,8 @@
 	}
 }
 
-// releaseCrowded decides once more for the packets that may go on or have waited for too
-// long.
+// releaseCrowded decides again on the queued packets for which there is capacity or whose wait is
+// over.
 func (p *tokenPlane) releaseCrowded(worker *forwarding.Worker, now time.Time) {
 	for {
 		p.mutex.Lock()
@@ -150,8 +149,8 @@
 	}
 }
 
-// handleCrowded decides on one datagram while others wait. They go before it where there is
-// room, and have what room it makes.
+// handleCrowded decides on a datagram while others are queued. Those go first if there is capacity,
+// and also get the capacity that the datagram frees.
 func (p *tokenPlane) handleCrowded(worker *forwarding.Worker, inbound *forwarding.Inbound, now time.Time) {
 	p.releasing.Lock()
 	defer p.releasing.Unlock()
@@ -160,8 +159,7 @@
 	p.releaseCrowded(worker, now)
 }
 
-// tickCrowded lets go what has waited for too long, while no packet comes. Only the control
-// loop calls it.
+// tickCrowded releases packets whose wait is over while none arrives. Only the control loop calls it.
 func (p *tokenPlane) tickCrowded(now time.Time, daemons int) {
 	p.mutex.Lock()
 	if table := p.table.Load(); table != nil {
@@ -180,16 +178,16 @@
 	p.isCrowded.Store(p.crowded.Len() > 0)
 }
 
-// serviceLoad is what one service has in progress through this daemon.
+// serviceLoad is the number of requests in progress at a service through this daemon.
 type serviceLoad struct {
 	service             string
 	preferred, ordinary float64
-	// bound is what is let through while isBounded.
+	// bound is the limit in force if isBounded.
 	bound     float64
 	isBounded bool
 }
 
-// serviceLoads returns the load of each service, by name.
+// serviceLoads returns the loads ordered by service.
 func (p *tokenPlane) serviceLoads(now time.Time) []serviceLoad {
 	table := p.table.Load()
 	if table == nil {
@@ -209,11 +207,11 @@
 	return loads
 }
 
-// overloadLineInterval is how often it is looked whether to say that a service has more work
-// than its targets can do, or no longer: a line a second for each service at most.
+// overloadLineInterval is how often services are checked for a change to be logged, at most one line
+// per service each.
 const overloadLineInterval = time.Second
 
-// sayOverload writes when the work of a service begins to be bounded, and when that ends.
+// sayOverload logs when the limit on requests in progress at a service starts and stops to apply.
 func (n *Node) sayOverload(now time.Time) {
 	if now.Before(n.nextOverloadLine) {
 		return
@@ -225,15 +223,14 @@
 		}
 		if load.isBounded {
 			n.overloaded[load.service] = true
-			n.log.Info("targets turn requests away, work is bounded", telemetry.FieldService, load.service, telemetry.FieldBound, load.bound)
+			n.log.Info("targets reject requests, limiting requests in progress", telemetry.FieldService, load.service, telemetry.FieldBound, load.bound)
 			continue
 		}
 		delete(n.overloaded, load.service)
-		n.log.Info("work is no longer bounded", telemetry.FieldService, load.service)
+		n.log.Info("requests in progress no longer limited", telemetry.FieldService, load.service)
 	}
 }
 
-// loadStatus is what operators are shown of the services.
 func (n *Node) loadStatus(now time.Time) []telemetry.LoadStatus {
 	status := []telemetry.LoadStatus{}
 	for _, load := range n.plane.serviceLoads(now) {
--- a/internal/storenode/overload_test.go
+++ b/internal/storenode/overload_test.go
@@ -10,8 +10,8 @@
 	"github.com/passtray/passtray/internal/overload"
 )
 
-// crowd makes a daemon's one service turn requests away, with more in progress than is let
-// through. The rejections lie ahead, so that nothing depends on how long the test takes.
+// crowd overloads the only service of a daemon: its targets reject requests, and more are in progress
+// than the limit allows. The rejections are in the future, so that they cannot expire during the test.
 func crowd(t *testing.T, node *Node, inProgress int) (load *overload.Controller) {
 	t.Helper()
 	node.plane.mutex.Lock()
@@ -33,7 +33,7 @@
 	lines := &logLines{}
 	site, node := startReady(t, lines.logger())
 	load := crowd(t, node, 100)
-	nodetest.WaitFor(t, "the bound, from when shares are known on", func() bool {
+	nodetest.WaitFor(t, "the limit, which applies once shares are known", func() bool {
 		status, _ := node.Status()
 		return status.Loads[0].IsBounded
 	})
@@ -41,8 +41,8 @@
 	refused := receive(t, site.caller)
 	assert.Equal(t, refused[wordHead-1], byte(wordReset))
 	assert.Equal(t, node.plane.counters.crowded.Load(), uint64(1))
-	nodetest.WaitFor(t, "a line", func() bool { return lines.contains("work is bounded") })
-	t.Run("and goes on once there is room", func(t *testing.T) {
+	nodetest.WaitFor(t, "the log line", func() bool { return lines.contains("limiting requests in progress") })
+	t.Run("and is forwarded once there is capacity", func(t *testing.T) {
 		node.plane.mutex.Lock()
 		for range 100 {
 			load.End(overload.Preferred)
--- a/internal/storenode/pull.go
+++ b/internal/storenode/pull.go
@@ -16,7 +16,7 @@
 	"github.com/passtray/passtray/internal/followed"
 )
 
-// readPull reads a peer's question.
+// readPull parses the pull request of a peer.
 func readPull(request *http.Request) (*followed.Pull, error) {
 	query := request.URL.Query()
 	since, err := strconv.ParseUint(query.Get(sinceQuery), 10, 64)
@@ -59,7 +59,7 @@
 	}
 	fingerprints, err := io.ReadAll(io.LimitReader(request.Body, maximumFingerprints))
 	if err != nil {
-		return nil, eris.Wrap(err, "fingerprints")
+		return nil, eris.Wrap(err, "read fingerprints")
 	}
 	if len(fingerprints) > 0 {
 		pull.Fingerprints = fingerprints
@@ -89,7 +89,9 @@
 	return "http://" + pull.From.String() + deltaPath + "?" + query.Encode(), nil
 }
 
-// pull asks a peer; nil means that there was no answer.
+// pull requests a delta from a peer. It returns nil on any failure. With a hold, that is while this
+// daemon has no configuration, it cancels a request that is still waiting once another long answer
+// begins to arrive, and returns when that has ended.
 func (l *peerLink) pull(ctx context.Context, pull *followed.Pull) *followed.Delta {
 	ctx, cancel := context.WithTimeout(ctx, pull.Timeout)
 	defer cancel()
@@ -145,7 +147,7 @@
 	return delta
 }
 
-// shortAnswer is up to how many bytes an answer counts as short, as a redirect is.
+// shortAnswer is the maximum size in bytes of a short answer, such as a redirect.
 const shortAnswer = 4 << 10
 
 func isShort(response *http.Response) bool {
--- a/internal/storenode/resets.go
+++ b/internal/storenode/resets.go
@@ -8,16 +8,15 @@
 )
 
 const (
-	messageRestingReset = "flows at rest reset"
+	messageRestingReset = "idle flows reset"
 
-	// mostRestingResets bounds the resets of flows at rest in a tick: 5,000 a second of
-	// some 60 bytes are a quarter of a link of 10 Mbit/s. Callers that wait go first, and
-	// are not bounded by it.
+	// mostRestingResets bounds the resets of idle flows per tick: 5,000 per second of some 60 bytes
+	// use a quarter of a 10 Mbit/s link. Flows with waiting callers are reset first and not bounded.
 	mostRestingResets = 256
 )
 
-// resetWaiting resets the flows whose callers wait for targets that are dead, and returns how
-// many. Only the control loop calls it.
+// resetWaiting resets the flows whose callers wait for responses of dead targets, and returns their
+// number. Only the control loop calls it.
 func (p *tokenPlane) resetWaiting(isDead func(target uint64) bool) int {
 	p.mutex.Lock()
 	waiting := p.requests.TakeWaiting(isDead)
@@ -27,9 +26,9 @@
 	return len(waiting)
 }
 
-// resetResting resets flows that rest at targets that were found dead, and returns how many.
-// Their callers learn of it before they send a request that may not be repeated. What is over
-// the bound waits for the next call. Only the control loop calls it.
+// resetResting resets idle flows of dead targets, and returns their number. Callers thus learn of it
+// before they send a request that may not be repeated. Flows beyond the bound are left for the next
+// call. Only the control loop calls it.
 func (p *tokenPlane) resetResting(now time.Time, table *token.Table) int {
 	if !p.mayRest {
 		return 0
@@ -53,21 +52,21 @@
 	p.releaser.Flush()
 }
 
-// setIdle says after how long of rest a flow may be forgotten.
+// setIdle sets after how long without packets a flow may be forgotten.
 func (p *tokenPlane) setIdle(idle time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.requests.SetIdle(idle)
 }
 
-// heldFlows returns what is kept of open flows.
+// heldFlows returns the number and size of the open flows tracked.
 func (p *tokenPlane) heldFlows() token.HeldFlows {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.requests.HeldFlows()
 }
 
-// resetResting resets what rests at dead targets, and says so.
+// resetResting resets idle flows of dead targets and logs their number.
 func (n *Node) resetResting(now time.Time, table *token.Table) {
 	if reset := n.plane.resetResting(now, table); reset > 0 {
 		n.counters().resting.Add(uint64(reset))
--- a/internal/storenode/speeds.go
+++ b/internal/storenode/speeds.go
@@ -8,24 +8,23 @@
 )
 
 const (
-	// estimatesInterval is how often what was told of speeds is put together: observations fade
-	// over many seconds.
+	// estimatesInterval is the minimum interval between updates of the speed estimates. Observations
+	// decay over many seconds.
 	estimatesInterval = time.Second
-	// estimatesPerTarget is how much later that is for each target of which something was told. To
-	// put together what 61 daemons told of 650 targets takes 5.4 ms of a core, which grows with
-	// the zone; so it stays below some 0.4 % of one, and 2,000 targets' speeds are 5 s old at most.
+	// estimatesPerTarget extends that interval per target with an estimate. This bounds the processor
+	// time spent on merging reports, which grows with the zone.
 	estimatesPerTarget = 2 * time.Millisecond
 )
 
-// nearMessage is what the zone's daemons are told: of speeds, and of open flows in what is
-// left.
+// nearMessage returns the message to the daemons in the zone: open flows in the space that the speeds
+// leave, followed by the speeds.
 func (n *Node) nearMessage(now time.Time) []byte {
 	speeds := n.speeds.Message(now)
 	return append(n.loads.MessageWithin(now, loadshare.MaximumBytes-len(speeds)), speeds...)
 }
 
-// shareSpeeds tells the zone's daemons how fast targets answered here, and the targets'
-// signals how fast they work by what all of them saw.
+// shareSpeeds reports the response times observed here to the zone, and sets the speeds of targets
+// from the observations of all daemons in it.
 func (n *Node) shareSpeeds(now time.Time, table *token.Table) {
 	for _, answered := range n.plane.answered() {
 		n.speeds.Note(now, loadshare.MarkOf(answered.Token), answered.Times)
@@ -45,8 +44,8 @@
 	n.toldSpeeds = speeds
 }
 
-// speedOf returns a target's speed as the choice uses it, and on how many answers it rests,
-// 0 and 0 if nothing is known.
+// speedOf returns the speed of a target as target selection uses it, and the number of observations
+// behind it; 0 and 0 if unknown.
 func (n *Node) speedOf(now time.Time, identifier uint64) (speed, answers float64) {
 	estimate, isKnown := n.estimates[loadshare.MarkOf(token.Of(identifier))]
 	table := n.plane.table.Load()
--- a/internal/storenode/speeds_test.go
+++ b/internal/storenode/speeds_test.go
@@ -11,8 +11,8 @@
 	"github.com/passtray/passtray/internal/targetspeed"
 )
 
-// TestAMessageToTheZoneHoldsSpeedsBehindOpenFlows within the bound of both, and is read
-// whole.
+// The message to the zone stays within the size limit and decodes completely, with speeds behind open
+// flows.
 func TestAMessageToTheZoneHoldsSpeedsBehindOpenFlows(t *testing.T) {
 	now := time.Now()
 	daemonAt := func(number byte) *Node {
--- a/internal/storenode/start_bench_test.go
+++ b/internal/storenode/start_bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// newLongContent is what a store holds with so many routes and targets behind two services.
+// newLongContent returns the entries of a store with the given numbers of routes and targets.
 func newLongContent(routes, targets int) []storeview.Entry {
 	configuration := &storeview.Configuration{
 		Version: 7, Services: []storeview.Service{{Name: "campaign", MaximumFlows: 2000}, {Name: "parcels", MaximumFlows: 2000}},
@@ -38,7 +38,7 @@
 	return &followed.Delta{Until: 1000, Entries: newLongContent(routes, targets)}
 }
 
-// BenchmarkStart does what stands between a snapshot's arrival and the first followed packet.
+// BenchmarkStart measures the steps between the arrival of a snapshot and the first forwarded packet.
 func BenchmarkStart(b *testing.B) {
 	for _, routes := range []int{40, 1440, 4400} {
 		encoded, err := (&deltaCache{}).encode(time.Now(), newWholeDelta(routes, 150))
--- a/internal/storenode/traffic.go
+++ b/internal/storenode/traffic.go
@@ -6,12 +6,12 @@
 	"github.com/passtray/passtray/internal/followed"
 )
 
-// trafficKind is what bytes between daemons are for.
+// trafficKind is the purpose of messages between daemons.
 type trafficKind uint8
 
 const (
-	// trafficGossip is datagrams, trafficWhole whole contents for daemons that start,
-	// trafficChanges what others lack, trafficRedirect names of other daemons to ask.
+	// trafficGossip is datagrams, trafficWhole snapshots for starting daemons, trafficChanges
+	// incremental deltas, trafficRedirect redirects to other daemons.
 	trafficGossip trafficKind = iota
 	trafficWhole
 	trafficChanges
@@ -19,15 +19,15 @@
 	trafficKinds
 )
 
-// trafficNames are the metric's labels.
+// trafficNames are the label values of the metric.
 var trafficNames = [trafficKinds]string{"gossip", "whole", "changes", "redirect"}
 
-// peerTraffic counts the bytes of messages between daemons, without headers.
+// peerTraffic counts the payload bytes of messages between daemons.
 type peerTraffic struct {
 	sent, received [trafficKinds]atomic.Uint64
 }
 
-// trafficOf says what the answer to a pull is.
+// trafficOf returns the kind of the answer to a pull.
 func trafficOf(delta *followed.Delta) trafficKind {
 	switch {
 	case delta.IsRedirect:
--- a/internal/storenode/transfer.go
+++ b/internal/storenode/transfer.go
@@ -5,15 +5,15 @@
 	"sync"
 )
 
-// transfers sees to it that one long answer comes at a time while nothing is known: several
-// share the link, and each comes later. It is safe for concurrent use.
+// transfers limits a daemon without a configuration to one long answer at a time: several would share
+// the link and all arrive later. It is safe for concurrent use.
 type transfers struct {
-	// place is held by the answer that comes.
+	// place is a semaphore held while a long answer is received.
 	place chan struct{}
 
 	mutex sync.Mutex
-	// begun ends once an answer begins to come. Questions that wait for their answers are
-	// taken back then: of 7.3 MB that a fleet of 88 gave out 3.1 MB were for nobody.
+	// begun is done once a long answer begins to arrive. Pulls still waiting for an answer are
+	// canceled then, since it would not be used.
 	begun context.Context
 	begin context.CancelFunc
 }
@@ -24,15 +24,15 @@
 	return made
 }
 
-// untilBegun returns what ends once an answer begins to come.
+// untilBegun returns a context that is done once a long answer begins to arrive.
 func (t *transfers) untilBegun() context.Context {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.begun
 }
 
-// start takes the place of the one long answer. While another one comes it waits for that
-// to fail, and reports false if it does not.
+// start acquires the semaphore for a long answer. If another answer is being received it waits for
+// that to fail, and reports false if ctx is done first.
 func (t *transfers) start(ctx context.Context) bool {
 	select {
 	case t.place <- struct{}{}:
@@ -45,7 +45,7 @@
 	return true
 }
 
-// end gives the place back. Whoever asks from now on may wait for an answer again.
+// end releases the semaphore. Pulls that start from now on may wait for an answer again.
 func (t *transfers) end() {
 	t.mutex.Lock()
 	t.begun, t.begin = context.WithCancel(context.Background())
@@ -53,7 +53,7 @@
 	<-t.place
 }
 
-// wait returns once no answer comes any more.
+// wait returns once no long answer is being received.
 func (t *transfers) wait(ctx context.Context) {
 	select {
 	case t.place <- struct{}{}:
--- a/internal/storenode/transfer_test.go
+++ b/internal/storenode/transfer_test.go
@@ -15,14 +15,14 @@
 	"github.com/passtray/passtray/internal/followed"
 )
 
-// newAskingLink is a link that knows nothing and asks peers.
+// newAskingLink returns a link without a configuration that can pull from peers.
 func newAskingLink() *peerLink {
 	link := newTestLink()
 	link.client, link.startClient = newPullClient(20*time.Second), newPullClient(20*time.Second)
 	return link
 }
 
-// peer starts a stand-in that answers pulls, and returns a pull from it.
+// peer starts a fake peer and returns a pull from it.
 func peer(t *testing.T, handle http.HandlerFunc) *followed.Pull {
 	t.Helper()
 	server := httptest.NewServer(handle)
@@ -31,8 +31,8 @@
 	return &followed.Pull{From: address, Hold: time.Second, FirstByte: time.Hour, Timeout: time.Hour}
 }
 
-// TestQuestionsAreTakenBackOnceAnAnswerComes: else each peer that is asked sends a whole
-// content, and one is read. The first answer goes on when the other question is taken back.
+// Waiting pulls are canceled once an answer begins to arrive; otherwise each peer sends a snapshot and
+// only one is used. The first answer must survive that cancellation.
 func TestQuestionsAreTakenBackOnceAnAnswerComes(t *testing.T) {
 	content, err := (&deltaCache{}).encode(time.Now(), newWholeDelta(4400, 150))
 	assert.NilError(t, err)
@@ -57,7 +57,6 @@
 	assert.Assert(t, <-ended == nil)
 }
 
-// TestAfterAnAnswerThatFailedPeersAreAskedAgain.
 func TestAfterAnAnswerThatFailedPeersAreAskedAgain(t *testing.T) {
 	content, err := (&deltaCache{}).encode(time.Now(), newWholeDelta(4400, 150))
 	assert.NilError(t, err)
--- a/internal/storenode/unrouted.go
+++ b/internal/storenode/unrouted.go
@@ -6,8 +6,8 @@
 	"github.com/passtray/passtray/internal/steering/token"
 )
 
-// resetDropped resets the flows whose route was dropped, as the store has confirmed of the
-// table at a time. Only the control loop calls it, with a table of all that it confirmed.
+// resetDropped resets the flows whose route was removed, given when the store confirmed the table.
+// Only the control loop calls it, with a table of everything confirmed.
 func (p *tokenPlane) resetDropped(now, confirmedAt time.Time) {
 	table := p.table.Load()
 	if table == nil {
--- a/internal/storenode/unrouted_test.go
+++ b/internal/storenode/unrouted_test.go
@@ -11,8 +11,8 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// TestADaemonThatNeverKnewARouteResetsItsFlows once the store has confirmed that it is
-// gone, and says so. A packet with a word of nobody gets no answer.
+// A daemon that never knew a route resets its flows once the store has confirmed that the route is
+// gone, and logs it. A packet whose token is not valid at its address is dropped silently.
 func TestADaemonThatNeverKnewARouteResetsItsFlows(t *testing.T) {
 	site := newFollowedSite(t)
 	site.store.Put(storeview.Entry{Key: "config", Configuration: &storeview.Configuration{
