--- a/internal/storenode/changes.go
+++ b/internal/storenode/changes.go
@@ -9,34 +9,34 @@
 )
 
 const (
-	// targetsLineInterval is the minimum interval between log lines about changed targets. In a large
+	// minTargetLogInterval is the minimum interval between log lines about changed targets. In a large
 	// fleet hundreds change per second, each in an update of its own.
-	targetsLineInterval = 250 * time.Millisecond
-	// mostNamedTargets bounds the targets listed in one log line.
-	mostNamedTargets = 20
+	minTargetLogInterval = 250 * time.Millisecond
+	// maxLoggedTargets bounds the targets listed in one log line.
+	maxLoggedTargets = 20
 )
 
 // changedTargets collects the changes to targets since the last log line about them.
 type changedTargets struct {
-	details []string
-	omitted int
-	nextAt  time.Time
+	details   []string
+	omitted   int
+	nextLogAt time.Time
 }
 
 func (c *changedTargets) add(change *storeview.Change) {
-	room := max(0, mostNamedTargets-len(c.details))
-	named := change.Details[:min(room, len(change.Details))]
-	c.details = append(c.details, named...)
-	c.omitted += change.Omitted + len(change.Details) - len(named)
+	room := max(0, maxLoggedTargets-len(c.details))
+	logged := change.Details[:min(room, len(change.Details))]
+	c.details = append(c.details, logged...)
+	c.omitted += change.Omitted + len(change.Details) - len(logged)
 }
 
-// sayTargets logs the collected changes, at most once per targetsLineInterval.
-func (n *Node) sayTargets(now time.Time) {
+// logChangedTargets logs the collected changes, at most once per minTargetLogInterval.
+func (n *Node) logChangedTargets(now time.Time) {
 	changed := &n.changedTargets
-	if len(changed.details) == 0 || now.Before(changed.nextAt) {
+	if len(changed.details) == 0 || now.Before(changed.nextLogAt) {
 		return
 	}
 	n.log.Info("targets changed", telemetry.FieldDetail, strings.Join(changed.details, ", "),
 		telemetry.FieldOmitted, changed.omitted, telemetry.FieldRevision, storeview.NumberOf(n.fleet.View().Revision()))
-	*changed = changedTargets{nextAt: now.Add(targetsLineInterval)}
+	*changed = changedTargets{nextLogAt: now.Add(minTargetLogInterval)}
 }
--- a/internal/storenode/changes_test.go
+++ b/internal/storenode/changes_test.go
@@ -9,12 +9,12 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-func TestALineNamesFewOfTheTargetsThatChanged(t *testing.T) {
+func TestLogLineListsBoundedNumberOfTargets(t *testing.T) {
 	var changed changedTargets
 	for number := range 30 {
 		changed.add(&storeview.Change{Details: []string{fmt.Sprint("target-", number, " open")}, Omitted: 1})
 	}
-	assert.Equal(t, len(changed.details), mostNamedTargets)
+	assert.Equal(t, len(changed.details), maxLoggedTargets)
 	assert.Equal(t, changed.details[0], "target-0 open")
 	assert.Equal(t, changed.omitted, 30+10)
 }
--- a/internal/storenode/counters.go
+++ b/internal/storenode/counters.go
@@ -17,8 +17,8 @@
 	refused   [token.ReasonCount]atomic.Uint64
 	dropped   [token.ReasonCount]atomic.Uint64
 	held      atomic.Uint64
-	// crowded counts packets queued because their service was overloaded.
-	crowded atomic.Uint64
+	// queued counts packets queued because their service was overloaded.
+	queued atomic.Uint64
 	// unanswered counts unanswered requests and first packets of flows by strength of
 	// evidence, ejections the targets ejected as outliers.
 	unanswered [outlier.Strong + 1]atomic.Uint64
@@ -26,10 +26,10 @@
 	// dead counts targets declared dead, revived those later found to be alive.
 	dead    atomic.Uint64
 	revived atomic.Uint64
-	// resting counts idle flows that were reset because their target was dead or superseded.
-	resting atomic.Uint64
-	// loadsUnread counts messages about open flows and speeds that could not be decoded completely.
-	loadsUnread atomic.Uint64
+	// idleResets counts idle flows that were reset because their target was dead or superseded.
+	idleResets atomic.Uint64
+	// undecoded counts messages about open flows and speeds that could not be decoded completely.
+	loadsUndecoded atomic.Uint64
 	// speedAnswers counts responses used to estimate the speed of their target.
 	speedAnswers atomic.Uint64
 
--- /dev/null
+++ b/internal/storenode/decision_log.go
@@ -0,0 +1,84 @@
+package storenode
+
+import (
+	"strconv"
+	"time"
+
+	"github.com/go-logr/logr"
+
+	"github.com/passtray/passtray/internal/steering/token"
+	"github.com/passtray/passtray/internal/telemetry"
+)
+
+const (
+	// logLinesPerSecond and logLineBurst limit the log lines about decisions, per reason.
+	logLinesPerSecond = 20
+	logLineBurst      = 100
+	// suppressedInterval is how often the number of suppressed lines is logged.
+	suppressedInterval = 10 * time.Second
+
+	messageDecision   = "packet decided"
+	messageSuppressed = "log lines suppressed"
+)
+
+// decisionLog logs each decision other than to forward a packet of an established flow, within a rate
+// limit per reason.
+type decisionLog struct {
+	log              logr.Logger
+	budget           *telemetry.Budget
+	nextSuppressedAt time.Time
+}
+
+func newDecisionLog(log logr.Logger) *decisionLog {
+	return &decisionLog{log: log, budget: telemetry.NewBudget(int(token.ReasonCount), logLinesPerSecond, logLineBurst)}
+}
+
+var actionNames = map[token.Action]string{
+	token.Drop: "drop", token.Forward: "forward", token.Refuse: "refuse", token.Hold: "hold",
+}
+
+// logDecision logs the decision on a packet and what it was based on.
+func (l *decisionLog) logDecision(table *token.Table, packet *token.Packet, decision *token.Decision, confirmedUntil int64) {
+	isRoutine := decision.Action == token.Forward && decision.Reason == token.ReasonNone
+	if isRoutine || !l.budget.Allow(int(decision.Reason)) {
+		return
+	}
+	target := ""
+	if decision.Target != nil {
+		target = strconv.FormatUint(decision.Target.Identifier, 16)
+	}
+	l.log.Info(messageDecision,
+		telemetry.FieldFlow, flowName(packet),
+		telemetry.FieldAction, actionNames[decision.Action],
+		telemetry.FieldReason, decision.Reason.String(),
+		telemetry.FieldTarget, target,
+		telemetry.FieldVersion, table.Version,
+		telemetry.FieldConfirmed, millisecondsSinceConfirmed(confirmedUntil),
+	)
+}
+
+// millisecondsSinceConfirmed returns how many milliseconds ago the store confirmed the view, given the
+// Unix nanoseconds until which that confirmation is valid; -1 if the store has not confirmed it yet.
+func millisecondsSinceConfirmed(until int64) int64 {
+	if until == 0 {
+		return -1
+	}
+	return (time.Since(time.Unix(0, until)) + confirmationLifetime).Milliseconds()
+}
+
+func flowName(packet *token.Packet) string {
+	return packet.Source.String() + ">" + packet.Destination.String()
+}
+
+// logSuppressed logs the number of suppressed lines, at most once per suppressedInterval.
+func (l *decisionLog) logSuppressed(now time.Time) {
+	if now.Before(l.nextSuppressedAt) {
+		return
+	}
+	l.nextSuppressedAt = now.Add(suppressedInterval)
+	for reason := range token.ReasonCount {
+		if count := l.budget.TakeLeftOut(int(reason)); count > 0 {
+			l.log.Info(messageSuppressed, telemetry.FieldReason, reason.String(), telemetry.FieldCount, count)
+		}
+	}
+}
--- a/internal/storenode/held.go
+++ b/internal/storenode/held.go
@@ -29,42 +29,42 @@
 // some in time than all too late, and callers that waited for long retransmit anyway.
 func (p *tokenPlane) releaseAll(now time.Time) {
 	p.mutex.Lock()
-	waiting := p.held
+	packets := p.held
 	p.held = nil
 	p.mutex.Unlock()
-	if len(waiting) == 0 {
+	if len(packets) == 0 {
 		return
 	}
-	for index := range slices.Backward(waiting) {
-		if now.Before(waiting[index].until) {
-			p.handle(p.releaser, &forwarding.Inbound{Buffer: waiting[index].buffer}, arrival{at: waiting[index].at})
+	for index := range slices.Backward(packets) {
+		if now.Before(packets[index].until) {
+			p.handle(p.releaseWorker, &forwarding.Inbound{Buffer: packets[index].buffer}, arrival{at: packets[index].at})
 		}
 	}
-	p.releaser.Flush()
+	p.releaseWorker.Flush()
 	p.mutex.Lock()
 	slices.SortStableFunc(p.held, func(a, b heldPacket) int { return a.at.Compare(b.at) })
 	p.mutex.Unlock()
 }
 
-// hold keeps a packet that arrived at cameAt until more is known. Without a table, or with a table
+// hold keeps a packet that arrived at arrivedAt until more is known. Without a table, or with a table
 // that may lack the target, any answer could break a flow. Forwarding the packet as soon as possible
 // saves its caller a retransmission.
-func (p *tokenPlane) hold(worker *forwarding.Worker, inbound *forwarding.Inbound, packet *token.Packet, cameAt time.Time) {
-	until := cameAt.Add(dataHeldFor)
+func (p *tokenPlane) hold(worker *forwarding.Worker, inbound *forwarding.Inbound, packet *token.Packet, arrivedAt time.Time) {
+	until := arrivedAt.Add(maxDataHold)
 	if packet.IsOpening {
-		until = cameAt.Add(openingHeldFor)
+		until = arrivedAt.Add(maxFirstPacketHold)
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if len(p.held) >= p.most {
+	if len(p.held) >= p.maxHeld {
 		p.held = slices.DeleteFunc(p.held, func(packet heldPacket) bool { return !time.Now().Before(packet.until) })
 	}
-	if len(p.held) >= p.most {
+	if len(p.held) >= p.maxHeld {
 		p.counters.dropped[token.ReasonNotReady].Add(1)
 		return
 	}
-	if worker != p.releaser {
+	if worker != p.releaseWorker {
 		p.counters.held.Add(1)
 	}
-	p.held = append(p.held, heldPacket{at: cameAt, until: until, buffer: append([]byte(nil), inbound.Buffer...)})
+	p.held = append(p.held, heldPacket{at: arrivedAt, until: until, buffer: append([]byte(nil), inbound.Buffer...)})
 }
--- a/internal/storenode/liveness.go
+++ b/internal/storenode/liveness.go
@@ -15,12 +15,12 @@
 	messageDead  = "target declared dead"
 	messageAlive = "dead target found alive"
 
-	messageSilentZone = "zone declared unresponsive"
+	messageUnresponsiveZone = "zone declared unresponsive"
 
 	// probeTimeout is how long a target may take to answer a probe: many round trips, and the time
-	// that other daemons have to object.
+	// that other daemons have to refute the suspicion.
 	probeTimeout = 150 * time.Millisecond
-	// earlyProbeTimeout is the timeout of the first probe. If it fails, other daemons are queried and
+	// earlyProbeTimeout is the timeout of the first probe. If it fails, the suspicion is broadcast and
 	// the target is probed again.
 	earlyProbeTimeout = 50 * time.Millisecond
 	// deadProbation is how long a target ramps up to its full share of new flows after its verdict
@@ -29,47 +29,49 @@
 )
 
 // livenessDirectory is what the failure detector knows about targets.
-type livenessDirectory struct{ *directory }
+type livenessDirectory struct{ *outlierDirectory }
 
 // ExpectedRate returns the expected responses per second of all targets of a subject; each counts as
 // activity.
 func (d livenessDirectory) ExpectedRate(subject liveness.Subject) float64 {
 	rate := 0.0
 	for service, targets := range d.ServicesOf(subject) {
-		rate += float64(targets) * d.directory.ExpectedRate(service)
+		rate += float64(targets) * d.outlierDirectory.ExpectedRate(service)
 	}
 	return rate
 }
 
 // LastAnswered implements liveness.Directory.
-func (d livenessDirectory) LastAnswered() time.Time { return time.Unix(0, d.plane.lastAnswered.Load()) }
+func (d livenessDirectory) LastAnswered() time.Time {
+	return time.Unix(0, d.plane.lastAnsweredSend.Load())
+}
 
 func (n *Node) livenessDirectory(now time.Time, table *token.Table) livenessDirectory {
-	return livenessDirectory{n.directory(now, table)}
+	return livenessDirectory{n.outlierDirectory(now, table)}
 }
 
-// watchLives reports the retransmissions of callers to the failure detector.
-func (n *Node) watchLives(now time.Time, table *token.Table) {
+// detectFailures reports the retransmissions of callers to the failure detector.
+func (n *Node) detectFailures(now time.Time, table *token.Table) {
 	targets := n.livenessDirectory(now, table)
-	for _, data := range n.plane.unacknowledged() {
-		n.lives.Observe(now, targets, data.Target, data.Flow, data.Since)
+	for _, data := range n.plane.retransmissions() {
+		n.failureDetector.Observe(now, targets, data.Target, data.Flow, data.Since)
 	}
-	n.carryLives(now, table, n.lives.Tick(now, targets))
+	n.applyVerdicts(now, table, n.failureDetector.Tick(now, targets))
 }
 
-// takeLives handles liveness reports of other daemons.
-func (n *Node) takeLives(now time.Time, reports []liveness.Received) {
+// handleLivenessReports handles liveness reports of other daemons.
+func (n *Node) handleLivenessReports(now time.Time, reports []liveness.Received) {
 	if table := n.plane.table.Load(); table != nil && len(reports) > 0 {
-		n.carryLives(now, table, n.lives.Hear(now, n.livenessDirectory(now, table), reports))
+		n.applyVerdicts(now, table, n.failureDetector.Hear(now, n.livenessDirectory(now, table), reports))
 	}
 }
 
-// carryLives applies verdicts. Flows of dead targets are reset at once, those with waiting callers
+// applyVerdicts applies verdicts. Flows of dead targets are reset at once, those with waiting callers
 // before idle ones. Flows that were forwarded by other daemons are reset when their next packet
 // arrives.
-func (n *Node) carryLives(now time.Time, table *token.Table, output liveness.Output) {
+func (n *Node) applyVerdicts(now time.Time, table *token.Table, output liveness.Output) {
 	for _, verdict := range output.Dead {
-		n.plane.change(func() {
+		n.plane.withLock(func() {
 			table.SetDead(verdict.Subject.Target, verdict.Until, verdict.Until.Add(deadProbation))
 		})
 		reset := n.plane.resetWaiting(func(target uint64) bool { return table.IsDead(now, target) })
@@ -82,14 +84,14 @@
 			telemetry.FieldCount, reset,
 		)
 	}
-	n.resetResting(now, table)
+	n.resetIdle(now, table)
 	for _, target := range output.Alive {
 		table.SetAlive(target)
 		n.counters().revived.Add(1)
 		n.log.Info(messageAlive, telemetry.FieldTarget, strconv.FormatUint(target, 16))
 	}
 	for _, verdict := range output.Silent {
-		n.log.Info(messageSilentZone, telemetry.FieldZone, verdict.Subject.Zone, telemetry.FieldSpan, verdict.Silence.String())
+		n.log.Info(messageUnresponsiveZone, telemetry.FieldZone, verdict.Subject.Zone, telemetry.FieldSpan, verdict.Silence.String())
 	}
 	n.link.send(n.fleet.TellLiveness(output.Reports))
 	for _, probe := range output.Probes {
@@ -107,16 +109,16 @@
 	if probe.IsEarly {
 		timeout = earlyProbeTimeout
 	}
-	hasAnswered := n.reaches(address, timeout)
+	hasAnswered := n.isReachable(address, timeout)
 	n.Enqueue(func(now time.Time) {
-		n.lives.Probed(now, probe, hasAnswered)
+		n.failureDetector.Probed(now, probe, hasAnswered)
 		if table := n.plane.table.Load(); table != nil {
-			n.watchLives(now, table) // act on the result without waiting for the next tick
+			n.detectFailures(now, table) // act on the result without waiting for the next tick
 		}
 	})
 }
 
-func (n *Node) reaches(address netip.AddrPort, timeout time.Duration) bool {
+func (n *Node) isReachable(address netip.AddrPort, timeout time.Duration) bool {
 	dialer := net.Dialer{Timeout: timeout}
 	connection, err := dialer.DialContext(n.Context(), "tcp", address.String())
 	if err != nil {
--- a/internal/storenode/memory_bench_test.go
+++ b/internal/storenode/memory_bench_test.go
@@ -27,8 +27,8 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, block, byte(index >> 8), byte(index)}), 8080)
 }
 
-// content returns the entries of the store.
-func (s deploymentSize) content() []storeview.Entry {
+// storeEntries returns the entries of the store.
+func (s deploymentSize) storeEntries() []storeview.Entry {
 	configuration := &storeview.Configuration{Version: 1, Services: []storeview.Service{{Name: "service-a", MaximumFlows: 2000}, {Name: "service-b", MaximumFlows: 2000}}}
 	for index := range s.routes {
 		configuration.Routes = append(configuration.Routes, storeview.Route{
@@ -47,53 +47,53 @@
 	return entries
 }
 
-// state is what a daemon keeps in memory about a deployment.
-type state struct {
+// daemonState is what a daemon keeps in memory about a deployment.
+type daemonState struct {
 	fleet   *followed.Fleet
 	builder *token.Builder
 	table   *token.Table
 }
 
-// learn builds the state as in a daemon that received it from a peer.
-func (s deploymentSize) learn(tb testing.TB) *state {
+// newState builds the state as in a daemon that received it from a peer.
+func (s deploymentSize) newState(tb testing.TB) *daemonState {
 	tb.Helper()
 	now := time.Unix(1_800_000_000, 0)
 	self := membership.Member{Identity: identity.Identity{Address: addressOf(1, 0), Start: identity.NewStart(1, 1)}, Zone: "zone-a"}
-	held := &state{
+	state := &daemonState{
 		fleet:   followed.NewFleet(followed.DefaultFleetConfig(), self, []netip.AddrPort{addressOf(1, 1)}, rand.New(rand.NewPCG(1, 2))),
 		builder: token.NewBuilder(time.Minute),
 	}
-	pull := held.fleet.Tick(now).Pulls[0]
+	pull := state.fleet.Tick(now).Pulls[0]
 	var cache deltaCache
-	encoded, err := cache.encode(now, &followed.Delta{Until: uint64(s.targets + 2), Entries: s.content(), Members: s.others()})
+	encoded, err := cache.encode(now, &followed.Delta{Until: uint64(s.targets + 2), Entries: s.storeEntries(), Members: s.otherMembers()})
 	assert.NilError(tb, err)
 	delta, err := decodeDelta(encoded)
 	assert.NilError(tb, err)
-	held.fleet.StepDelta(now, pull.Number, delta)
-	held.table = held.builder.Build(now, held.fleet.View())
-	assert.Equal(tb, held.table.OpenTargets(), s.targets)
-	assert.Equal(tb, len(held.fleet.Live()), s.members)
-	return held
+	state.fleet.StepDelta(now, pull.Number, delta)
+	state.table = state.builder.Build(now, state.fleet.View())
+	assert.Equal(tb, state.table.OpenTargets(), s.targets)
+	assert.Equal(tb, len(state.fleet.Live()), s.members)
+	return state
 }
 
-func (s deploymentSize) others() []membership.Member {
-	var others []membership.Member
+func (s deploymentSize) otherMembers() []membership.Member {
+	var otherMembers []membership.Member
 	for index := range s.members - 1 {
-		others = append(others, membership.Member{
+		otherMembers = append(otherMembers, membership.Member{
 			Identity:    identity.Identity{Address: addressOf(1, index+1), Start: identity.NewStart(1, uint64(index))},
 			DataAddress: addressOf(2, index+1), Zone: "zone-a", Status: membership.Alive, Link: 20,
 		})
 	}
-	return others
+	return otherMembers
 }
 
-// heapOf returns the heap bytes in use for the state of a deployment.
-func (s deploymentSize) heapOf(tb testing.TB) int64 {
+// heapBytes returns the heap bytes in use for the state of a deployment.
+func (s deploymentSize) heapBytes(tb testing.TB) int64 {
 	tb.Helper()
 	before := heapInUse()
-	held := s.learn(tb)
+	state := s.newState(tb)
 	after := heapInUse()
-	runtime.KeepAlive(held)
+	runtime.KeepAlive(state)
 	return after - before
 }
 
@@ -110,16 +110,16 @@
 func BenchmarkState(b *testing.B) {
 	for _, size := range []deploymentSize{{600, 350, 1_700}, {15_000, 1_400, 4_400}} {
 		b.Run(size.String(), func(b *testing.B) {
-			var whole, targets, members, routes float64
+			var bytes, targets, members, routes float64
 			for range b.N {
-				total := size.heapOf(b)
-				whole += float64(total)
-				targets += float64(total - deploymentSize{1, size.members, size.routes}.heapOf(b))
-				members += float64(total - deploymentSize{size.targets, 1, size.routes}.heapOf(b))
-				routes += float64(total - deploymentSize{size.targets, size.members, 1}.heapOf(b))
+				total := size.heapBytes(b)
+				bytes += float64(total)
+				targets += float64(total - deploymentSize{1, size.members, size.routes}.heapBytes(b))
+				members += float64(total - deploymentSize{size.targets, 1, size.routes}.heapBytes(b))
+				routes += float64(total - deploymentSize{size.targets, size.members, 1}.heapBytes(b))
 			}
 			n := float64(b.N)
-			b.ReportMetric(whole/n, "B")
+			b.ReportMetric(bytes/n, "B")
 			b.ReportMetric(targets/n/float64(size.targets), "B/target")
 			b.ReportMetric(members/n/float64(size.members), "B/member")
 			b.ReportMetric(routes/n/float64(size.routes), "B/route")
--- a/internal/storenode/orders.go
+++ b/internal/storenode/orders.go
@@ -10,9 +10,9 @@
 // messageOrder is logged when an operator order takes effect or is withdrawn.
 const messageOrder = "order changed"
 
-// noteOrders logs changed orders and updates those in force. The logged age counts from when the
+// updateOrders logs changed orders and updates those in force. The logged age counts from when the
 // daemon that read the store learned of the order.
-func (n *Node) noteOrders(now time.Time, changed []storeview.KnownOrder) {
+func (n *Node) updateOrders(now time.Time, changed []storeview.KnownOrder) {
 	inForce := n.fleet.View().Orders()
 	n.orders.Store(&inForce)
 	for index := range changed {
--- a/internal/storenode/overload_test.go
+++ b/internal/storenode/overload_test.go
@@ -10,9 +10,10 @@
 	"github.com/passtray/passtray/internal/overload"
 )
 
-// crowd overloads the only service of a daemon: its targets reject requests, and more are in progress
-// than the limit allows. The rejections are in the future, so that they cannot expire during the test.
-func crowd(t *testing.T, node *Node, inProgress int) (load *overload.Controller) {
+// overloadService overloads the only service of a daemon: its targets reject requests, and more are in
+// progress than the limit allows. The rejections are in the future, so that they cannot expire during
+// the test.
+func overloadService(t *testing.T, node *Node, inProgress int) (load *overload.Controller) {
 	t.Helper()
 	node.plane.mutex.Lock()
 	defer node.plane.mutex.Unlock()
@@ -29,18 +30,18 @@
 	return load
 }
 
-func TestAFlowThatFindsNoRoomWaitsAndIsThenRefused(t *testing.T) {
-	lines := &logLines{}
+func TestFlowWithoutCapacityIsQueuedThenRefused(t *testing.T) {
+	lines := &logRecorder{}
 	site, node := startReady(t, lines.logger())
-	load := crowd(t, node, 100)
+	load := overloadService(t, node, 100)
 	nodetest.WaitFor(t, "the limit, which applies once shares are known", func() bool {
 		status, _ := node.Status()
 		return status.Loads[0].IsBounded
 	})
-	site.send(t, 0, 0, wordOpen)
-	refused := receive(t, site.caller)
-	assert.Equal(t, refused[wordHead-1], byte(wordReset))
-	assert.Equal(t, node.plane.counters.crowded.Load(), uint64(1))
+	site.send(t, 0, 0, kindFirst)
+	reset := receive(t, site.caller)
+	assert.Equal(t, reset[testHeaderBytes-1], byte(kindReset))
+	assert.Equal(t, node.plane.counters.queued.Load(), uint64(1))
 	nodetest.WaitFor(t, "the log line", func() bool { return lines.contains("limiting requests in progress") })
 	t.Run("and is forwarded once there is capacity", func(t *testing.T) {
 		node.plane.mutex.Lock()
@@ -48,7 +49,7 @@
 			load.End(overload.Preferred)
 		}
 		node.plane.mutex.Unlock()
-		site.send(t, 0, 0, wordOpen)
+		site.send(t, 0, 0, kindFirst)
 		assert.Assert(t, len(receive(t, site.target)) > 0)
 	})
 }
--- a/internal/storenode/pull.go
+++ b/internal/storenode/pull.go
@@ -24,40 +24,40 @@
 		return nil, eris.Errorf("%s: %q is not a revision", sinceQuery, query.Get(sinceQuery))
 	}
 	pull := &followed.Pull{Since: since}
-	if given := query.Get(configurationQuery); given != "" {
-		if pull.Held.Revision, err = strconv.ParseUint(given, 10, 64); err != nil {
-			return nil, eris.Errorf("%s: %q is not a revision", configurationQuery, given)
+	if value := query.Get(configurationRevisionQuery); value != "" {
+		if pull.Held.Revision, err = strconv.ParseUint(value, 10, 64); err != nil {
+			return nil, eris.Errorf("%s: %q is not a revision", configurationRevisionQuery, value)
 		}
 	}
-	if given := query.Get(versionQuery); given != "" {
-		if pull.Held.Version, err = strconv.ParseUint(given, 10, 64); err != nil {
-			return nil, eris.Errorf("%s: %q is not a version", versionQuery, given)
+	if value := query.Get(configurationVersionQuery); value != "" {
+		if pull.Held.Version, err = strconv.ParseUint(value, 10, 64); err != nil {
+			return nil, eris.Errorf("%s: %q is not a version", configurationVersionQuery, value)
 		}
 	}
-	if given := query.Get(memberQuery); given != "" {
-		encoded, err := base64.RawURLEncoding.DecodeString(given)
+	if value := query.Get(memberQuery); value != "" {
+		encoded, err := base64.RawURLEncoding.DecodeString(value)
 		if err == nil {
 			err = cbor.Unmarshal(encoded, &pull.Asker)
 		}
 		if err != nil {
-			return nil, eris.Wrapf(err, "%s: %q is not a member", memberQuery, given)
+			return nil, eris.Wrapf(err, "%s: %q is not a member", memberQuery, value)
 		}
 	}
-	if given := query.Get(holdQuery); given != "" {
-		milliseconds, err := strconv.ParseUint(given, 10, 16)
+	if value := query.Get(holdQuery); value != "" {
+		milliseconds, err := strconv.ParseUint(value, 10, 16)
 		if err != nil {
-			return nil, eris.Errorf("%s: %q is not a number of milliseconds", holdQuery, given)
+			return nil, eris.Errorf("%s: %q is not a number of milliseconds", holdQuery, value)
 		}
-		pull.Hold = min(time.Duration(milliseconds)*time.Millisecond, maximumHold)
+		pull.Hold = min(time.Duration(milliseconds)*time.Millisecond, maxHold)
 	}
-	if given := query.Get(redirectsQuery); given != "" {
-		redirects, err := strconv.ParseUint(given, 10, 16)
+	if value := query.Get(redirectsQuery); value != "" {
+		redirects, err := strconv.ParseUint(value, 10, 16)
 		if err != nil {
-			return nil, eris.Errorf("%s: %q is not a number", redirectsQuery, given)
+			return nil, eris.Errorf("%s: %q is not a number", redirectsQuery, value)
 		}
 		pull.Redirects = int(redirects)
 	}
-	fingerprints, err := io.ReadAll(io.LimitReader(request.Body, maximumFingerprints))
+	fingerprints, err := io.ReadAll(io.LimitReader(request.Body, maxFingerprintBytes))
 	if err != nil {
 		return nil, eris.Wrap(err, "read fingerprints")
 	}
@@ -67,18 +67,18 @@
 	return pull, nil
 }
 
-func pullTarget(pull *followed.Pull) (string, error) {
-	asker, err := cbor.Marshal(pull.Asker)
+func pullURL(pull *followed.Pull) (string, error) {
+	requester, err := cbor.Marshal(pull.Asker)
 	if err != nil {
 		return "", eris.Wrap(err, memberQuery)
 	}
 	query := url.Values{
 		sinceQuery:  {strconv.FormatUint(pull.Since, 10)},
-		memberQuery: {base64.RawURLEncoding.EncodeToString(asker)},
+		memberQuery: {base64.RawURLEncoding.EncodeToString(requester)},
 	}
 	if pull.Held.Revision > 0 {
-		query.Set(configurationQuery, strconv.FormatUint(pull.Held.Revision, 10))
-		query.Set(versionQuery, strconv.FormatUint(pull.Held.Version, 10))
+		query.Set(configurationRevisionQuery, strconv.FormatUint(pull.Held.Revision, 10))
+		query.Set(configurationVersionQuery, strconv.FormatUint(pull.Held.Version, 10))
 	}
 	if pull.Redirects > 0 {
 		query.Set(redirectsQuery, strconv.Itoa(pull.Redirects))
@@ -100,28 +100,28 @@
 		client = l.startClient
 		defer context.AfterFunc(l.configured, cancel)()
 	}
-	asking, takeBack := context.WithCancel(ctx)
-	defer takeBack()
-	begun := context.Background()
+	requestCtx, cancelRequest := context.WithCancel(ctx)
+	defer cancelRequest()
+	otherStarted := context.Background()
 	if pull.Hold > 0 {
-		begun = l.transfers.untilBegun()
+		otherStarted = l.transfers.untilStarted()
 	}
-	isWaiting := context.AfterFunc(begun, takeBack)
-	target, err := pullTarget(pull)
+	stopWaiting := context.AfterFunc(otherStarted, cancelRequest)
+	pullAddress, err := pullURL(pull)
 	if err != nil {
 		return nil
 	}
-	request, err := http.NewRequestWithContext(asking, http.MethodPost, target, bytes.NewReader(pull.Fingerprints))
+	request, err := http.NewRequestWithContext(requestCtx, http.MethodPost, pullAddress, bytes.NewReader(pull.Fingerprints))
 	if err != nil {
 		return nil
 	}
-	isSilent := time.AfterFunc(pull.FirstByte, cancel)
+	firstByteTimer := time.AfterFunc(pull.FirstByte, cancel)
 	response, err := client.Do(request)
-	isSilent.Stop()
-	isWaiting()
+	firstByteTimer.Stop()
+	stopWaiting()
 	if err != nil {
-		if begun.Err() != nil {
-			l.transfers.wait(ctx)
+		if otherStarted.Err() != nil {
+			l.transfers.waitIdle(ctx)
 		}
 		return nil
 	}
@@ -129,14 +129,14 @@
 	if response.StatusCode != http.StatusOK {
 		return nil
 	}
-	if pull.Hold > 0 && !isShort(response) {
-		if !l.transfers.start(ctx) {
+	if pull.Hold > 0 && !isShortAnswer(response) {
+		if !l.transfers.acquire(ctx) {
 			return nil
 		}
-		defer l.transfers.end()
+		defer l.transfers.release()
 	}
 	var body bytes.Buffer
-	if _, err := io.Copy(&body, io.LimitReader(response.Body, maximumDelta)); err != nil {
+	if _, err := io.Copy(&body, io.LimitReader(response.Body, maxDeltaBytes)); err != nil {
 		return nil
 	}
 	delta, err := decodeDelta(body.Bytes())
@@ -147,9 +147,9 @@
 	return delta
 }
 
-// shortAnswer is the maximum size in bytes of a short answer, such as a redirect.
-const shortAnswer = 4 << 10
+// maxShortAnswerBytes is the maximum size in bytes of a short answer, such as a redirect.
+const maxShortAnswerBytes = 4 << 10
 
-func isShort(response *http.Response) bool {
-	return response.ContentLength >= 0 && response.ContentLength <= shortAnswer
+func isShortAnswer(response *http.Response) bool {
+	return response.ContentLength >= 0 && response.ContentLength <= maxShortAnswerBytes
 }
--- a/internal/storenode/resets.go
+++ b/internal/storenode/resets.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	messageRestingReset = "idle flows reset"
+	messageIdleReset = "idle flows reset"
 
-	// mostRestingResets bounds the resets of idle flows per tick: 5,000 per second of some 60 bytes
+	// maxIdleResets bounds the resets of idle flows per tick: 5,000 per second of some 60 bytes
 	// use a quarter of a 10 Mbit/s link. Flows with waiting callers are reset first and not bounded.
-	mostRestingResets = 256
+	maxIdleResets = 256
 )
 
 // resetWaiting resets the flows whose callers wait for responses of dead targets, and returns their
@@ -22,38 +22,38 @@
 	waiting := p.requests.TakeWaiting(isDead)
 	p.mutex.Unlock()
 	p.resetAll(waiting, token.ReasonDeadTarget)
-	p.mayRest = true
+	p.mayHaveIdleResets = true
 	return len(waiting)
 }
 
-// resetResting resets idle flows of dead targets, and returns their number. Callers thus learn of it
+// resetIdle resets idle flows of dead targets, and returns their number. Callers thus learn of it
 // before they send a request that may not be repeated. Flows beyond the bound are left for the next
 // call. Only the control loop calls it.
-func (p *tokenPlane) resetResting(now time.Time, table *token.Table) int {
-	if !p.mayRest {
+func (p *tokenPlane) resetIdle(now time.Time, table *token.Table) int {
+	if !p.mayHaveIdleResets {
 		return 0
 	}
 	p.mutex.Lock()
-	resting := p.requests.TakeResting(func(target uint32) bool { return table.IsDeadToken(now, target) }, mostRestingResets)
+	idle := p.requests.TakeResting(func(target uint32) bool { return table.IsDeadToken(now, target) }, maxIdleResets)
 	p.mutex.Unlock()
-	p.resetAll(resting, token.ReasonAtRest)
-	p.mayRest = len(resting) == mostRestingResets
-	for index := range resting {
-		decision := token.Decision{Action: token.Refuse, Reason: token.ReasonAtRest, Target: table.TargetOf(resting[index].Token)}
-		p.explainer.explain(table, &resting[index], &decision, p.confirmedUntil.Load())
+	p.resetAll(idle, token.ReasonAtRest)
+	p.mayHaveIdleResets = len(idle) == maxIdleResets
+	for index := range idle {
+		decision := token.Decision{Action: token.Refuse, Reason: token.ReasonAtRest, Target: table.TargetOf(idle[index].Token)}
+		p.decisionLog.logDecision(table, &idle[index], &decision, p.confirmedUntil.Load())
 	}
-	return len(resting)
+	return len(idle)
 }
 
 func (p *tokenPlane) resetAll(heads []token.Packet, reason token.Reason) {
 	for index := range heads {
-		p.sendReset(p.releaser, &heads[index], reason, p.codec.Reset(&heads[index]))
+		p.sendReset(p.releaseWorker, &heads[index], reason, p.codec.Reset(&heads[index]))
 	}
-	p.releaser.Flush()
+	p.releaseWorker.Flush()
 }
 
-// setIdle sets after how long without packets a flow may be forgotten.
-func (p *tokenPlane) setIdle(idle time.Duration) {
+// setIdleTimeout sets after how long without packets a flow may be forgotten.
+func (p *tokenPlane) setIdleTimeout(idle time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.requests.SetIdle(idle)
@@ -66,10 +66,10 @@
 	return p.requests.HeldFlows()
 }
 
-// resetResting resets idle flows of dead targets and logs their number.
-func (n *Node) resetResting(now time.Time, table *token.Table) {
-	if reset := n.plane.resetResting(now, table); reset > 0 {
-		n.counters().resting.Add(uint64(reset))
-		n.log.Info(messageRestingReset, telemetry.FieldCount, reset)
+// resetIdle resets idle flows of dead targets and logs their number.
+func (n *Node) resetIdle(now time.Time, table *token.Table) {
+	if reset := n.plane.resetIdle(now, table); reset > 0 {
+		n.counters().idleResets.Add(uint64(reset))
+		n.log.Info(messageIdleReset, telemetry.FieldCount, reset)
 	}
 }
--- a/internal/storenode/cold.go
+++ b/internal/storenode/slow_start.go
@@ -7,10 +7,10 @@
 	"github.com/passtray/passtray/internal/coldshare"
 )
 
-// shareCold sets how many new flows per second this daemon may send to each target in slow start. The
-// limit is zero until the other members are known, as the shares of all daemons together must stay
-// within what the target can take.
-func (n *Node) shareCold(now time.Time) {
+// setSlowStartShares sets how many new flows per second this daemon may send to each target in slow
+// start. The limit is zero until the other members are known, as the shares of all daemons together
+// must stay within what the target can take.
+func (n *Node) setSlowStartShares(now time.Time) {
 	table := n.plane.table.Load()
 	if table == nil {
 		return
@@ -26,7 +26,7 @@
 				daemons = append(daemons, member.Identity.Address)
 			}
 		}
-		bound := rate*n.settings.Bounds.ColdExcess + n.settings.Bounds.ColdSlack
-		return coldshare.Of(identifier, bound, n.settings.Control, daemons)
+		limit := rate*n.settings.Bounds.ColdExcess + n.settings.Bounds.ColdSlack
+		return coldshare.Of(identifier, limit, n.settings.Control, daemons)
 	})
 }
--- a/internal/storenode/speeds.go
+++ b/internal/storenode/speeds.go
@@ -16,32 +16,32 @@
 	estimatesPerTarget = 2 * time.Millisecond
 )
 
-// nearMessage returns the message to the daemons in the zone: open flows in the space that the speeds
+// zoneMessage returns the message to the daemons in the zone: open flows in the space that the speeds
 // leave, followed by the speeds.
-func (n *Node) nearMessage(now time.Time) []byte {
+func (n *Node) zoneMessage(now time.Time) []byte {
 	speeds := n.speeds.Message(now)
 	return append(n.loads.MessageWithin(now, loadshare.MaximumBytes-len(speeds)), speeds...)
 }
 
-// shareSpeeds reports the response times observed here to the zone, and sets the speeds of targets
+// exchangeSpeeds reports the response times observed here to the zone, and sets the speeds of targets
 // from the observations of all daemons in it.
-func (n *Node) shareSpeeds(now time.Time, table *token.Table) {
+func (n *Node) exchangeSpeeds(now time.Time, table *token.Table) {
 	for _, answered := range n.plane.answered() {
 		n.speeds.Note(now, loadshare.MarkOf(answered.Token), answered.Times)
 		n.counters().speedAnswers.Add(1)
 	}
 	n.speeds.Tick(now)
-	if now.Before(n.nextEstimates) {
+	if now.Before(n.nextEstimatesAt) {
 		return
 	}
 	n.estimates = n.speeds.Estimates(now)
-	n.nextEstimates = now.Add(estimatesInterval + time.Duration(len(n.estimates))*estimatesPerTarget)
+	n.nextEstimatesAt = now.Add(estimatesInterval + time.Duration(len(n.estimates))*estimatesPerTarget)
 	speeds := make(map[loadshare.Mark]float64, len(n.estimates))
 	for mark, estimate := range n.estimates {
 		speeds[mark] = estimate.Speed
 	}
-	table.SetSpeeds(now, n.toldSpeeds, speeds)
-	n.toldSpeeds = speeds
+	table.SetSpeeds(now, n.appliedSpeeds, speeds)
+	n.appliedSpeeds = speeds
 }
 
 // speedOf returns the speed of a target as target selection uses it, and the number of observations
--- a/internal/storenode/speeds_test.go
+++ b/internal/storenode/speeds_test.go
@@ -13,7 +13,7 @@
 
 // The message to the zone stays within the size limit and decodes completely, with speeds behind open
 // flows.
-func TestAMessageToTheZoneHoldsSpeedsBehindOpenFlows(t *testing.T) {
+func TestZoneMessageCarriesOpenFlowsAndSpeeds(t *testing.T) {
 	now := time.Now()
 	daemonAt := func(number byte) *Node {
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{192, 0, 2, number}), 7000)
@@ -25,32 +25,32 @@
 	const slow = loadshare.Mark(3)
 	first, last := daemonAt(100), daemonAt(101)
 	for number := range byte(20) {
-		teller := daemonAt(number)
+		sender := daemonAt(number)
 		for target := range loadshare.Mark(16) {
 			for range 10 {
-				teller.speeds.Note(now, target, 1)
+				sender.speeds.Note(now, target, 1)
 			}
 		}
 		for range 90 {
-			teller.speeds.Note(now, slow, 4)
+			sender.speeds.Note(now, slow, 4)
 		}
-		teller.speeds.Tick(now)
-		teller.loads.Tick(now, func() map[uint32]int { return map[uint32]int{uint32(slow) << 16: 2} })
-		message := teller.nearMessage(now)
+		sender.speeds.Tick(now)
+		sender.loads.Tick(now, func() map[uint32]int { return map[uint32]int{uint32(slow) << 16: 2} })
+		message := sender.zoneMessage(now)
 		assert.Assert(t, len(message) <= loadshare.MaximumBytes)
-		first.takeLoads(now, [][]byte{message})
+		first.handleZoneMessages(now, [][]byte{message})
 	}
 	for range 20 {
-		message := first.nearMessage(now)
+		message := first.zoneMessage(now)
 		assert.Assert(t, len(message) <= loadshare.MaximumBytes)
-		last.takeLoads(now, [][]byte{message})
+		last.handleZoneMessages(now, [][]byte{message})
 	}
-	totals, areWhole := last.loads.Totals(now)
-	assert.Assert(t, areWhole)
+	totals, isComplete := last.loads.Totals(now)
+	assert.Assert(t, isComplete)
 	assert.Equal(t, totals[slow], 40)
 	estimates := last.speeds.Estimates(now)
 	assert.Assert(t, estimates[slow].Speed < 0.5 && estimates[slow+1].Speed == 1)
-	assert.Equal(t, last.counters().loadsUnread.Load(), uint64(0))
-	last.takeLoads(now, [][]byte{{1, 2, 3}})
-	assert.Equal(t, last.counters().loadsUnread.Load(), uint64(1))
+	assert.Equal(t, last.counters().loadsUndecoded.Load(), uint64(0))
+	last.handleZoneMessages(now, [][]byte{{1, 2, 3}})
+	assert.Equal(t, last.counters().loadsUndecoded.Load(), uint64(1))
 }
--- a/internal/storenode/start_bench_test.go
+++ b/internal/storenode/start_bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// newLongContent returns the entries of a store with the given numbers of routes and targets.
-func newLongContent(routes, targets int) []storeview.Entry {
+// newStoreEntries returns the entries of a store with the given numbers of routes and targets.
+func newStoreEntries(routes, targets int) []storeview.Entry {
 	configuration := &storeview.Configuration{
 		Version: 7, Services: []storeview.Service{{Name: "campaign", MaximumFlows: 2000}, {Name: "parcels", MaximumFlows: 2000}},
 	}
@@ -34,14 +34,14 @@
 	return entries
 }
 
-func newWholeDelta(routes, targets int) *followed.Delta {
-	return &followed.Delta{Until: 1000, Entries: newLongContent(routes, targets)}
+func newSnapshot(routes, targets int) *followed.Delta {
+	return &followed.Delta{Until: 1000, Entries: newStoreEntries(routes, targets)}
 }
 
 // BenchmarkStart measures the steps between the arrival of a snapshot and the first forwarded packet.
 func BenchmarkStart(b *testing.B) {
 	for _, routes := range []int{40, 1440, 4400} {
-		encoded, err := (&deltaCache{}).encode(time.Now(), newWholeDelta(routes, 150))
+		encoded, err := (&deltaCache{}).encode(time.Now(), newSnapshot(routes, 150))
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/storenode/early_test.go
+++ b/internal/storenode/targets_only_test.go
@@ -15,11 +15,11 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// longStore is a store whose snapshot is too long for a slow link: it answers only list calls
+// targetsOnlyStore is a store whose snapshot is too long for a slow link: it answers only list calls
 // restricted to targets.
-type longStore struct{ target storeview.Target }
+type targetsOnlyStore struct{ target storeview.Target }
 
-func (s *longStore) Do(ctx context.Context, call *followed.Call) followed.Answer {
+func (s *targetsOnlyStore) Do(ctx context.Context, call *followed.Call) followed.Answer {
 	if call.Kind == followed.CallList && call.TargetsOnly {
 		return followed.Answer{Number: call.Number, Outcome: followed.OutcomeAnswered, Revision: 9, Entries: []storeview.Entry{
 			{Key: "target-1", Revision: 7, Target: &s.target},
@@ -34,22 +34,22 @@
 
 // With targets but no routes known, packets of open flows are forwarded, new flows are held, and
 // nothing is refused.
-func TestOpenFlowsGoOnBeforeTheConfigurationIsKnown(t *testing.T) {
-	site := newFollowedSite(t)
-	store := &longStore{target: storeview.Target{Identifier: 77, Service: "s", Address: site.targetAddress(), Zone: "zone", Slots: 2}}
-	given := followedSettings(1)
-	given.Limits.Link = 10
-	node, err := Start(given, logr.Discard(), Parts{
-		Store: store, Codec: wordCodec{}, Reload: func() (settings.Followed, error) { return given, nil },
+func TestOpenFlowsAreForwardedBeforeConfigurationIsKnown(t *testing.T) {
+	site := newTestSite(t)
+	store := &targetsOnlyStore{target: storeview.Target{Identifier: 77, Service: "s", Address: site.targetAddress(), Zone: "zone", Slots: 2}}
+	cfg := newTestSettings(1)
+	cfg.Limits.Link = 10
+	node, err := Start(cfg, logr.Discard(), Parts{
+		Store: store, Codec: testCodec{}, Reload: func() (settings.Followed, error) { return cfg, nil },
 	})
 	assert.NilError(t, err)
 	t.Cleanup(node.Kill)
 	nodetest.WaitFor(t, "targets", func() bool { return node.plane.table.Load() != nil })
 	assert.Assert(t, !node.plane.isConfigured())
 	assert.Assert(t, node.Ready() != "", "not ready for new flows without routes")
-	site.send(t, 1, 0, wordOpen)
+	site.send(t, 1, 0, kindFirst)
 	nodetest.WaitFor(t, "a held packet", func() bool { return node.plane.counters.held.Load() == 1 })
-	site.send(t, 1, token.WordAt(followedRoute, 77), wordOthers)
+	site.send(t, 1, token.WordAt(testRoute, 77), kindData)
 	assert.Equal(t, binary.BigEndian.Uint64(receive(t, site.target)), uint64(77))
 	for reason := range token.ReasonCount {
 		assert.Equal(t, node.plane.counters.refused[reason].Load(), uint64(0))
--- a/internal/storenode/traffic.go
+++ b/internal/storenode/traffic.go
@@ -10,21 +10,21 @@
 type trafficKind uint8
 
 const (
-	// trafficGossip is datagrams, trafficWhole snapshots for starting daemons, trafficChanges
+	// trafficGossip is datagrams, trafficSnapshot snapshots for starting daemons, trafficChanges
 	// incremental deltas, trafficRedirect redirects to other daemons.
 	trafficGossip trafficKind = iota
-	trafficWhole
+	trafficSnapshot
 	trafficChanges
 	trafficRedirect
-	trafficKinds
+	trafficKindCount
 )
 
 // trafficNames are the label values of the metric.
-var trafficNames = [trafficKinds]string{"gossip", "whole", "changes", "redirect"}
+var trafficNames = [trafficKindCount]string{"gossip", "whole", "changes", "redirect"}
 
 // peerTraffic counts the payload bytes of messages between daemons.
 type peerTraffic struct {
-	sent, received [trafficKinds]atomic.Uint64
+	sent, received [trafficKindCount]atomic.Uint64
 }
 
 // trafficOf returns the kind of the answer to a pull.
@@ -33,7 +33,7 @@
 	case delta.IsRedirect:
 		return trafficRedirect
 	case delta.Since == 0:
-		return trafficWhole
+		return trafficSnapshot
 	}
 	return trafficChanges
 }
--- a/internal/storenode/transfer.go
+++ b/internal/storenode/transfer.go
@@ -8,56 +8,56 @@
 // transfers limits a daemon without a configuration to one long answer at a time: several would share
 // the link and all arrive later. It is safe for concurrent use.
 type transfers struct {
-	// place is a semaphore held while a long answer is received.
-	place chan struct{}
+	// semaphore is held while a long answer is received.
+	semaphore chan struct{}
 
 	mutex sync.Mutex
-	// begun is done once a long answer begins to arrive. Pulls still waiting for an answer are
-	// canceled then, since it would not be used.
-	begun context.Context
-	begin context.CancelFunc
+	// started is done once a long answer begins to arrive. Pulls still waiting for their answers are
+	// canceled then, since those would not be used.
+	started    context.Context
+	setStarted context.CancelFunc
 }
 
 func newTransfers() *transfers {
-	made := &transfers{place: make(chan struct{}, 1)}
-	made.begun, made.begin = context.WithCancel(context.Background())
-	return made
+	t := &transfers{semaphore: make(chan struct{}, 1)}
+	t.started, t.setStarted = context.WithCancel(context.Background())
+	return t
 }
 
-// untilBegun returns a context that is done once a long answer begins to arrive.
-func (t *transfers) untilBegun() context.Context {
+// untilStarted returns a context that is done once a long answer begins to arrive.
+func (t *transfers) untilStarted() context.Context {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.begun
+	return t.started
 }
 
-// start acquires the semaphore for a long answer. If another answer is being received it waits for
+// acquire acquires the semaphore for a long answer. If another answer is being received it waits for
 // that to fail, and reports false if ctx is done first.
-func (t *transfers) start(ctx context.Context) bool {
+func (t *transfers) acquire(ctx context.Context) bool {
 	select {
-	case t.place <- struct{}{}:
+	case t.semaphore <- struct{}{}:
 	case <-ctx.Done():
 		return false
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.begin()
+	t.setStarted()
 	return true
 }
 
-// end releases the semaphore. Pulls that start from now on may wait for an answer again.
-func (t *transfers) end() {
+// release releases the semaphore. Pulls that start from now on may wait for an answer again.
+func (t *transfers) release() {
 	t.mutex.Lock()
-	t.begun, t.begin = context.WithCancel(context.Background())
+	t.started, t.setStarted = context.WithCancel(context.Background())
 	t.mutex.Unlock()
-	<-t.place
+	<-t.semaphore
 }
 
-// wait returns once no long answer is being received.
-func (t *transfers) wait(ctx context.Context) {
+// waitIdle returns once no long answer is being received or ctx is done.
+func (t *transfers) waitIdle(ctx context.Context) {
 	select {
-	case t.place <- struct{}{}:
-		<-t.place
+	case t.semaphore <- struct{}{}:
+		<-t.semaphore
 	case <-ctx.Done():
 	}
 }
--- a/internal/storenode/transfer_test.go
+++ b/internal/storenode/transfer_test.go
@@ -15,15 +15,15 @@
 	"github.com/passtray/passtray/internal/followed"
 )
 
-// newAskingLink returns a link without a configuration that can pull from peers.
-func newAskingLink() *peerLink {
+// newPullingLink returns a link without a configuration that can pull from peers.
+func newPullingLink() *peerLink {
 	link := newTestLink()
 	link.client, link.startClient = newPullClient(20*time.Second), newPullClient(20*time.Second)
 	return link
 }
 
-// peer starts a fake peer and returns a pull from it.
-func peer(t *testing.T, handle http.HandlerFunc) *followed.Pull {
+// newFakePeer starts a fake peer and returns a pull from it.
+func newFakePeer(t *testing.T, handle http.HandlerFunc) *followed.Pull {
 	t.Helper()
 	server := httptest.NewServer(handle)
 	t.Cleanup(server.Close)
@@ -33,39 +33,39 @@
 
 // Waiting pulls are canceled once an answer begins to arrive; otherwise each peer sends a snapshot and
 // only one is used. The first answer must survive that cancellation.
-func TestQuestionsAreTakenBackOnceAnAnswerComes(t *testing.T) {
-	content, err := (&deltaCache{}).encode(time.Now(), newWholeDelta(4400, 150))
+func TestWaitingPullsAreCanceledByAnswer(t *testing.T) {
+	content, err := (&deltaCache{}).encode(time.Now(), newSnapshot(4400, 150))
 	assert.NilError(t, err)
-	asked, takenBack := make(chan struct{}), make(chan struct{})
-	waiting := peer(t, func(_ http.ResponseWriter, request *http.Request) {
-		close(asked)
+	requested, canceled := make(chan struct{}), make(chan struct{})
+	waiting := newFakePeer(t, func(_ http.ResponseWriter, request *http.Request) {
+		close(requested)
 		<-request.Context().Done()
-		close(takenBack)
+		close(canceled)
 	})
-	answering := peer(t, func(writer http.ResponseWriter, _ *http.Request) {
-		<-asked
+	answering := newFakePeer(t, func(writer http.ResponseWriter, _ *http.Request) {
+		<-requested
 		writer.Header().Set("Content-Length", strconv.Itoa(len(content)))
 		_, _ = writer.Write(content[:1])
 		writer.(http.Flusher).Flush()
-		<-takenBack
+		<-canceled
 		_, _ = writer.Write(content[1:])
 	})
-	link := newAskingLink()
+	link := newPullingLink()
 	ended := make(chan *followed.Delta)
 	go func() { ended <- link.pull(context.Background(), waiting) }()
 	assert.Assert(t, link.pull(t.Context(), answering) != nil)
 	assert.Assert(t, <-ended == nil)
 }
 
-func TestAfterAnAnswerThatFailedPeersAreAskedAgain(t *testing.T) {
-	content, err := (&deltaCache{}).encode(time.Now(), newWholeDelta(4400, 150))
+func TestPullSucceedsAfterFailedAnswer(t *testing.T) {
+	content, err := (&deltaCache{}).encode(time.Now(), newSnapshot(4400, 150))
 	assert.NilError(t, err)
-	failing := peer(t, func(writer http.ResponseWriter, _ *http.Request) {
+	failing := newFakePeer(t, func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set("Content-Length", strconv.Itoa(len(content)))
 		_, _ = writer.Write(content[:1])
 	})
-	working := peer(t, func(writer http.ResponseWriter, _ *http.Request) { _, _ = writer.Write(content) })
-	link := newAskingLink()
+	working := newFakePeer(t, func(writer http.ResponseWriter, _ *http.Request) { _, _ = writer.Write(content) })
+	link := newPullingLink()
 	assert.Assert(t, link.pull(t.Context(), failing) == nil)
 	assert.Assert(t, link.pull(t.Context(), working) != nil)
 }
--- a/internal/storenode/unrouted.go
+++ b/internal/storenode/unrouted.go
@@ -6,9 +6,9 @@
 	"github.com/passtray/passtray/internal/steering/token"
 )
 
-// resetDropped resets the flows whose route was removed, given when the store confirmed the table.
+// resetUnrouted resets the flows whose route was removed, given when the store confirmed the table.
 // Only the control loop calls it, with a table of everything confirmed.
-func (p *tokenPlane) resetDropped(now, confirmedAt time.Time) {
+func (p *tokenPlane) resetUnrouted(now, confirmedAt time.Time) {
 	table := p.table.Load()
 	if table == nil {
 		return
@@ -21,7 +21,7 @@
 	p.mutex.Unlock()
 	decision := token.Decision{Action: token.Refuse, Reason: token.ReasonDroppedRoute}
 	for index := range dropped {
-		p.explainer.explain(table, &dropped[index], &decision, p.confirmedUntil.Load())
+		p.decisionLog.logDecision(table, &dropped[index], &decision, p.confirmedUntil.Load())
 	}
 	p.resetAll(dropped, decision.Reason)
 }
