--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,24 +1,25 @@
-// Package pause notices that a process stood still, because it was suspended or got no processor time.
-// What was sent to it meanwhile arrives at once when it wakes, and looks as if it were new.
+// Package pause detects that the process was paused, because it was suspended or not scheduled, from
+// the time between two of its steps. What was sent to it during the pause is read afterwards and looks
+// recent although it may be old.
 package pause
 
 import "time"
 
 const (
-	// After is how long after a step without the next one a process must have stood still: a daemon
-	// ticks several times as often.
+	// After is the time between two steps from which a process counts as paused. Daemons tick several
+	// times as often.
 	After = 400 * time.Millisecond
-	// backlogFor is how long after that what arrives may have waited meanwhile.
+	// backlogFor is how long after a pause received messages may have waited during it.
 	backlogFor = 300 * time.Millisecond
 )
 
-// Detector watches the steps of one part of a process.
+// Detector detects pauses from the steps of one component. It is not safe for concurrent use.
 type Detector struct {
 	lastStep time.Time
 	oldUntil time.Time
 }
 
-// Note takes in that a step begins, and reports whether the process stood still before it.
+// Note records the start of a step and reports whether the process was paused before it.
 func (d *Detector) Note(now time.Time) bool {
 	stoodStill := d.isLate(now)
 	d.lastStep = now
@@ -28,11 +29,11 @@
 	return stoodStill
 }
 
-// MayBeOld reports whether what arrives now may have waited for long. It may arrive before the first step
-// after a pause.
+// MayBeOld reports whether a message received now may have waited during a pause. It also detects a
+// pause before the first step after it.
 func (d *Detector) MayBeOld(now time.Time) bool { return now.Before(d.oldUntil) || d.isLate(now) }
 
-// isLate reports whether the next step should have come by now.
+// isLate reports whether the next step is overdue.
 func (d *Detector) isLate(now time.Time) bool {
 	return !d.lastStep.IsZero() && now.Sub(d.lastStep) > After
 }
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -10,7 +10,7 @@
 func TestWhatArrivesAfterAPauseMayBeOldForAWhile(t *testing.T) {
 	var detector Detector
 	now := time.Unix(1_800_000_000, 0)
-	assert.Assert(t, !detector.Note(now), "the first step follows on none")
+	assert.Assert(t, !detector.Note(now), "no pause before the first step")
 	now = now.Add(After)
 	assert.Assert(t, !detector.Note(now))
 	assert.Assert(t, !detector.MayBeOld(now))
@@ -19,5 +19,5 @@
 	assert.Assert(t, detector.Note(now))
 	assert.Assert(t, detector.MayBeOld(now.Add(backlogFor-1)))
 	assert.Assert(t, !detector.MayBeOld(now.Add(backlogFor)))
-	assert.Assert(t, !detector.Note(now.Add(1)), "it is noted once")
+	assert.Assert(t, !detector.Note(now.Add(1)), "a pause is reported once")
 }
