--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -6,34 +6,33 @@
 import "time"
 
 const (
-	// After is the time between two steps from which a process counts as paused. Daemons tick several
+	// After is the maximum time between two steps that does not count as a pause. Daemons tick several
 	// times as often.
 	After = 400 * time.Millisecond
-	// backlogFor is how long after a pause received messages may have waited during it.
-	backlogFor = 300 * time.Millisecond
+	// backlogDuration is how long after a pause received messages may have waited during it.
+	backlogDuration = 300 * time.Millisecond
 )
 
 // Detector detects pauses from the steps of one component. It is not safe for concurrent use.
 type Detector struct {
-	lastStep time.Time
-	oldUntil time.Time
+	lastStep   time.Time
+	staleUntil time.Time
 }
 
 // Note records the start of a step and reports whether the process was paused before it.
 func (d *Detector) Note(now time.Time) bool {
-	stoodStill := d.isLate(now)
+	wasPaused := d.isOverdue(now)
 	d.lastStep = now
-	if stoodStill {
-		d.oldUntil = now.Add(backlogFor)
+	if wasPaused {
+		d.staleUntil = now.Add(backlogDuration)
 	}
-	return stoodStill
+	return wasPaused
 }
 
 // MayBeOld reports whether a message received now may have waited during a pause. It also detects a
 // pause before the first step after it.
-func (d *Detector) MayBeOld(now time.Time) bool { return now.Before(d.oldUntil) || d.isLate(now) }
+func (d *Detector) MayBeOld(now time.Time) bool { return now.Before(d.staleUntil) || d.isOverdue(now) }
 
-// isLate reports whether the next step is overdue.
-func (d *Detector) isLate(now time.Time) bool {
+func (d *Detector) isOverdue(now time.Time) bool {
 	return !d.lastStep.IsZero() && now.Sub(d.lastStep) > After
 }
