--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestAProcessKnowsThatItStoodStill when it wakes, before its loop turns and after.
+// A pause is reported before the first tick after it and for a while after that.
 func TestAProcessKnowsThatItStoodStill(t *testing.T) {
 	held := New()
 	defer held.cancel()
--- a/internal/loop/quiet.go
+++ b/internal/loop/quiet.go
@@ -10,7 +10,8 @@
 	"github.com/passtray/passtray/internal/telemetry"
 )
 
-// WaitForQuiet returns once no packet came for a while, or at the bound.
+// WaitForQuiet returns once no packet has been received for the duration quiet, at the latest after
+// maximum. lastReceived is in Unix nanoseconds.
 func WaitForQuiet(ctx context.Context, log logr.Logger, quiet, maximum time.Duration, lastReceived *atomic.Int64) {
 	started := time.Now()
 	ticker := time.NewTicker(TickInterval)
