--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -8,19 +8,19 @@
 )
 
 // A pause is reported before the first tick after it and for a while after that.
-func TestAProcessKnowsThatItStoodStill(t *testing.T) {
-	held := New()
-	defer held.cancel()
-	begun := time.Now()
-	held.NoteTick(begun)
-	assert.Equal(t, held.StoodStill(begun.Add(TickInterval)), time.Duration(0))
-	woke := begun.Add(4 * time.Second)
-	assert.Equal(t, held.StoodStill(woke), 4*time.Second)
-	held.NoteTick(woke)
-	for after := TickInterval; after < wokeLately; after += TickInterval {
-		held.NoteTick(woke.Add(after))
-		assert.Equal(t, held.StoodStill(woke.Add(after)), 4*time.Second)
+func TestPauseIsReportedAfterResume(t *testing.T) {
+	l := New()
+	defer l.cancel()
+	start := time.Now()
+	l.NoteTick(start)
+	assert.Equal(t, l.StoodStill(start.Add(TickInterval)), time.Duration(0))
+	resumed := start.Add(4 * time.Second)
+	assert.Equal(t, l.StoodStill(resumed), 4*time.Second)
+	l.NoteTick(resumed)
+	for after := TickInterval; after < pauseBacklog; after += TickInterval {
+		l.NoteTick(resumed.Add(after))
+		assert.Equal(t, l.StoodStill(resumed.Add(after)), 4*time.Second)
 	}
-	held.NoteTick(woke.Add(wokeLately))
-	assert.Equal(t, held.StoodStill(woke.Add(wokeLately)), time.Duration(0))
+	l.NoteTick(resumed.Add(pauseBacklog))
+	assert.Equal(t, l.StoodStill(resumed.Add(pauseBacklog)), time.Duration(0))
 }
--- a/internal/loop/quiet.go
+++ b/internal/loop/quiet.go
@@ -11,8 +11,8 @@
 )
 
 // WaitForQuiet returns once no packet has been received for the duration quiet, at the latest after
-// maximum. lastReceived is in Unix nanoseconds.
-func WaitForQuiet(ctx context.Context, log logr.Logger, quiet, maximum time.Duration, lastReceived *atomic.Int64) {
+// maxWait. lastReceived is in Unix nanoseconds.
+func WaitForQuiet(ctx context.Context, log logr.Logger, quiet, maxWait time.Duration, lastReceived *atomic.Int64) {
 	started := time.Now()
 	ticker := time.NewTicker(TickInterval)
 	defer ticker.Stop()
@@ -24,7 +24,7 @@
 		}
 		quietSince := time.Unix(0, max(lastReceived.Load(), started.UnixNano()))
 		isQuiet := time.Since(quietSince) >= quiet
-		if isQuiet || time.Since(started) >= maximum {
+		if isQuiet || time.Since(started) >= maxWait {
 			log.Info("drained", telemetry.FieldDetail, time.Since(started).String())
 			return
 		}
