--- a/internal/nodetest/nodetest.go
+++ b/internal/nodetest/nodetest.go
@@ -1,4 +1,4 @@
-// Package nodetest is what tests of both kinds of daemon share.
+// Package nodetest has helpers for the tests of both kinds of daemon.
 package nodetest
 
 import (
@@ -8,14 +8,15 @@
 	"time"
 )
 
-// Address is one for a part of a site. It differs between test processes, so that several may run at once.
+// Address returns a loopback address for a daemon or another part of a test site. It differs between
+// test processes, so that several can run at once.
 func Address(daemon, port int) netip.AddrPort {
 	process := os.Getpid()
 	address := netip.AddrFrom4([4]byte{127, byte(32 + process/256%28), byte(process), byte(10 + daemon)})
 	return netip.AddrPortFrom(address, uint16(port))
 }
 
-// WaitFor waits for half a minute at most.
+// WaitFor polls until done returns true, and fails the test after 30 s.
 func WaitFor(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	for range 1500 {
@@ -24,5 +25,5 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Fatalf("waited in vain for %s", what)
+	t.Fatalf("timed out after 30 s waiting for %s", what)
 }
