--- a/internal/storenode/orders.go
+++ b/internal/storenode/orders.go
@@ -7,10 +7,10 @@
 	"github.com/passtray/passtray/internal/telemetry"
 )
 
-// messageOrder is logged when an operator order takes effect or is withdrawn.
+// messageOrder is logged when an operator order becomes active or is withdrawn.
 const messageOrder = "order changed"
 
-// updateOrders logs changed orders and updates those in force. The logged age counts from when the
+// updateOrders logs changed orders and updates the active ones. The logged age counts from when the
 // daemon that read the store learned of the order.
 func (n *Node) updateOrders(now time.Time, changed []storeview.KnownOrder) {
 	inForce := n.fleet.View().Orders()
--- a/internal/storenode/overload.go
+++ b/internal/storenode/overload.go
@@ -182,7 +182,7 @@
 type serviceLoad struct {
 	service             string
 	preferred, ordinary float64
-	// limit is the limit in force if isLimited.
+	// limit applies if isLimited.
 	limit     float64
 	isLimited bool
 }
--- a/internal/storenode/overload_queue_test.go
+++ b/internal/storenode/overload_queue_test.go
@@ -128,7 +128,7 @@
 	return sent
 }
 
-// expireWaits advances the clock beyond the longest wait.
+// expireWaits ticks the queue at a time after the longest wait.
 func (p *overloadedPlane) expireWaits() { p.tickQueue(time.Now().Add(time.Second), 88) }
 
 // Guards against reordered segments: the target would treat those in between as lost, and the
--- a/internal/storenode/resets.go
+++ b/internal/storenode/resets.go
@@ -26,9 +26,9 @@
 	return len(waiting)
 }
 
-// resetIdle resets idle flows of dead targets, and returns their number. Callers thus learn of it
-// before they send a request that may not be repeated. Flows beyond the bound are left for the next
-// call. Only the control loop calls it.
+// resetIdle resets idle flows of dead or superseded targets, and returns their number. Callers thus
+// learn of it before they send a request that may not be repeated. Flows beyond the bound are left for
+// the next call. Only the control loop calls it.
 func (p *tokenPlane) resetIdle(now time.Time, table *token.Table) int {
 	if !p.mayHaveIdleResets {
 		return 0
@@ -66,7 +66,7 @@
 	return p.requests.HeldFlows()
 }
 
-// resetIdle resets idle flows of dead targets and logs their number.
+// resetIdle resets idle flows of dead or superseded targets and logs their number.
 func (n *Node) resetIdle(now time.Time, table *token.Table) {
 	if reset := n.plane.resetIdle(now, table); reset > 0 {
 		n.counters().idleResets.Add(uint64(reset))
--- a/internal/storenode/transfer.go
+++ b/internal/storenode/transfer.go
@@ -31,8 +31,8 @@
 	return t.started
 }
 
-// acquire acquires the semaphore for a long answer. If another answer is being received it waits for
-// that to fail, and reports false if ctx is done first.
+// acquire acquires the semaphore for a long answer. While another one is being received it waits for
+// that to end, and reports false if ctx is done first.
 func (t *transfers) acquire(ctx context.Context) bool {
 	select {
 	case t.semaphore <- struct{}{}:
