--- a/internal/storenode/counters.go
+++ b/internal/storenode/counters.go
@@ -30,8 +30,8 @@
 	idleResets atomic.Uint64
 	// undecoded counts messages about open flows and speeds that could not be decoded completely.
 	loadsUndecoded atomic.Uint64
-	// speedAnswers counts responses used to estimate the speed of their target.
-	speedAnswers atomic.Uint64
+	// speedResponses counts responses used to estimate the speed of their target.
+	speedResponses atomic.Uint64
 
 	mutex sync.Mutex
 	calls map[storeCall]uint64
--- a/internal/storenode/overload_queue_test.go
+++ b/internal/storenode/overload_queue_test.go
@@ -218,12 +218,12 @@
 	packet := &token.Packet{Source: callerOf(1), Destination: testRoute, Token: token.WordAt(testRoute, 77), PayloadLength: 1}
 	first := plane.decide(plane.table.Load(), packet, arrival{at: time.Now().Add(-time.Hour)})
 	assert.Equal(t, first.Action, token.Forward)
-	sentBy := time.Now()
+	sentBefore := time.Now()
 	next := *packet
 	next.Sequence, next.Acknowledgement = 1, 1000
 	held := plane.decide(plane.table.Load(), &next, arrival{at: time.Now()})
 	assert.Equal(t, held.Action, token.Hold)
 	activity := held.Target.Signal.LastLife()
-	assert.Assert(t, !activity.IsZero() && !activity.After(sentBy), "%v after the request was sent", activity.Sub(sentBy))
+	assert.Assert(t, !activity.IsZero() && !activity.After(sentBefore), "%v after the request was sent", activity.Sub(sentBefore))
 	assert.Equal(t, next.PayloadLength, 1)
 }
--- a/internal/storenode/pull.go
+++ b/internal/storenode/pull.go
@@ -107,11 +107,11 @@
 		otherStarted = l.transfers.untilStarted()
 	}
 	stopWaiting := context.AfterFunc(otherStarted, cancelRequest)
-	pullAddress, err := pullURL(pull)
+	requestURL, err := pullURL(pull)
 	if err != nil {
 		return nil
 	}
-	request, err := http.NewRequestWithContext(requestCtx, http.MethodPost, pullAddress, bytes.NewReader(pull.Fingerprints))
+	request, err := http.NewRequestWithContext(requestCtx, http.MethodPost, requestURL, bytes.NewReader(pull.Fingerprints))
 	if err != nil {
 		return nil
 	}
--- a/internal/storenode/resets.go
+++ b/internal/storenode/resets.go
@@ -45,18 +45,18 @@
 	return len(idle)
 }
 
-func (p *tokenPlane) resetAll(heads []token.Packet, reason token.Reason) {
-	for index := range heads {
-		p.sendReset(p.releaseWorker, &heads[index], reason, p.codec.Reset(&heads[index]))
+func (p *tokenPlane) resetAll(packets []token.Packet, reason token.Reason) {
+	for index := range packets {
+		p.sendReset(p.releaseWorker, &packets[index], reason, p.codec.Reset(&packets[index]))
 	}
 	p.releaseWorker.Flush()
 }
 
 // setIdleTimeout sets after how long without packets a flow may be forgotten.
-func (p *tokenPlane) setIdleTimeout(idle time.Duration) {
+func (p *tokenPlane) setIdleTimeout(timeout time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.requests.SetIdle(idle)
+	p.requests.SetIdle(timeout)
 }
 
 // heldFlows returns the number and size of the open flows tracked.
--- a/internal/storenode/speeds.go
+++ b/internal/storenode/speeds.go
@@ -28,7 +28,7 @@
 func (n *Node) exchangeSpeeds(now time.Time, table *token.Table) {
 	for _, answered := range n.plane.answered() {
 		n.speeds.Note(now, loadshare.MarkOf(answered.Token), answered.Times)
-		n.counters().speedAnswers.Add(1)
+		n.counters().speedResponses.Add(1)
 	}
 	n.speeds.Tick(now)
 	if now.Before(n.nextEstimatesAt) {
@@ -46,7 +46,7 @@
 
 // speedOf returns the speed of a target as target selection uses it, and the number of observations
 // behind it; 0 and 0 if unknown.
-func (n *Node) speedOf(now time.Time, identifier uint64) (speed, answers float64) {
+func (n *Node) speedOf(now time.Time, identifier uint64) (speed, observations float64) {
 	estimate, isKnown := n.estimates[loadshare.MarkOf(token.Of(identifier))]
 	table := n.plane.table.Load()
 	if !isKnown || table == nil {
