--- a/internal/storenode/held.go
+++ b/internal/storenode/held.go
@@ -8,19 +8,16 @@
 	"github.com/passtray/passtray/internal/steering/token"
 )
 
-// heldPacket is a packet whose target is not known yet.
+// heldPacket is a packet that waits for its target to become known.
 type heldPacket struct {
 	at     time.Time
 	until  time.Time
 	buffer []byte
 }
 
-// release decides once more for the packets that are held. The newest go first: under
-// more than can be served it is better to be in time for some than late for all, and
-// who waits for long sends a copy. Only the control loop calls it.
-//
-// While there is no configuration little can be decided. To take the packets out and hold
-// them again would let those that come meanwhile have their places.
+// release decides again on the held packets once there is a configuration. Before that few could be
+// decided, and holding them again would lose their places to packets that arrive meanwhile. Only the
+// control loop calls it.
 func (p *tokenPlane) release(now time.Time) {
 	if !p.isConfigured() {
 		return
@@ -28,45 +25,46 @@
 	p.releaseAll(now)
 }
 
-// releaseAll decides once more for the packets that are held, whatever the table knows.
+// releaseAll decides again on the held packets, newest first: under overload it is better to serve
+// some in time than all too late, and callers that waited for long retransmit anyway.
 func (p *tokenPlane) releaseAll(now time.Time) {
 	p.mutex.Lock()
-	waiting := p.held
+	packets := p.held
 	p.held = nil
 	p.mutex.Unlock()
-	if len(waiting) == 0 {
+	if len(packets) == 0 {
 		return
 	}
-	for index := range slices.Backward(waiting) {
-		if now.Before(waiting[index].until) {
-			p.handle(p.releaser, &forwarding.Inbound{Buffer: waiting[index].buffer}, arrival{at: waiting[index].at})
+	for index := range slices.Backward(packets) {
+		if now.Before(packets[index].until) {
+			p.handle(p.releaseWorker, &forwarding.Inbound{Buffer: packets[index].buffer}, arrival{at: packets[index].at})
 		}
 	}
-	p.releaser.Flush()
+	p.releaseWorker.Flush()
 	p.mutex.Lock()
 	slices.SortStableFunc(p.held, func(a, b heldPacket) int { return a.at.Compare(b.at) })
 	p.mutex.Unlock()
 }
 
-// hold keeps a packet that came at a time until more is known. While there is no
-// table, or its target may only be missing in it, silence is the only answer that
-// breaks nothing; it costs the caller less if its packet goes on as soon as may be.
-func (p *tokenPlane) hold(worker *forwarding.Worker, inbound *forwarding.Inbound, packet *token.Packet, cameAt time.Time) {
-	until := cameAt.Add(dataHeldFor)
+// hold keeps a packet that arrived at arrivedAt until more is known. Without a table, or with a table
+// that may lack the target, any answer could break a flow. Forwarding the packet as soon as possible
+// saves its caller a retransmission.
+func (p *tokenPlane) hold(worker *forwarding.Worker, inbound *forwarding.Inbound, packet *token.Packet, arrivedAt time.Time) {
+	until := arrivedAt.Add(maxDataHold)
 	if packet.IsOpening {
-		until = cameAt.Add(openingHeldFor)
+		until = arrivedAt.Add(maxFirstPacketHold)
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if len(p.held) >= p.most {
+	if len(p.held) >= p.maxHeld {
 		p.held = slices.DeleteFunc(p.held, func(packet heldPacket) bool { return !time.Now().Before(packet.until) })
 	}
-	if len(p.held) >= p.most {
+	if len(p.held) >= p.maxHeld {
 		p.counters.dropped[token.ReasonNotReady].Add(1)
 		return
 	}
-	if worker != p.releaser {
+	if worker != p.releaseWorker {
 		p.counters.held.Add(1)
 	}
-	p.held = append(p.held, heldPacket{at: cameAt, until: until, buffer: append([]byte(nil), inbound.Buffer...)})
+	p.held = append(p.held, heldPacket{at: arrivedAt, until: until, buffer: append([]byte(nil), inbound.Buffer...)})
 }
