--- a/internal/followed/backoff_test.go
+++ b/internal/followed/backoff_test.go
@@ -7,7 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A store whose lists and watches disagree about its history or its epoch for good.
+// The history or epoch reported by the store's lists and watches contradict each other
+// permanently; the follower must back off.
 func TestAStoreThatContradictsItselfIsAskedLessAndLess(t *testing.T) {
 	for name, contradict := range map[string]func(watch *Call) *Answer{
 		"history": func(watch *Call) *Answer { return ended(watch, OutcomeHistoryGone) },
@@ -31,7 +32,7 @@
 					calls++
 				}
 			}
-			assert.Assert(t, calls <= 60, "%d calls in 10 s: two each pause, of which all but the first few are long", calls)
+			assert.Assert(t, calls <= 60, "%d calls in 10 s: expected two per backoff period", calls)
 		})
 	}
 }
--- a/internal/followed/budget.go
+++ b/internal/followed/budget.go
@@ -3,39 +3,40 @@
 import "time"
 
 const (
-	// answersShare is how much of its link a daemon gives to whole contents for daemons
-	// that start, on average: 150 KB/s of 200 Mbit/s, 7.5 KB/s of 10 Mbit/s.
+	// answersShare is the average share of its link that a daemon spends on sending snapshots
+	// to starting daemons.
 	answersShare = 0.006
-	// MostRedirects is how often an asker is sent on before it is answered all the same.
+	// MostRedirects is the number of redirects after which a request for a snapshot is answered
+	// even if the budget is exhausted.
 	MostRedirects = 3
 )
 
-// answerBudget bounds the bytes of whole contents that a daemon gives out (a token bucket).
-// An answer may overdraw it: its length is known once it is given.
+// answerBudget is a token bucket that limits the bytes of snapshots sent to other daemons. An
+// answer may overdraw it, as its size is known only once it is encoded.
 type answerBudget struct {
 	bytesPerSecond float64
-	// burst is how much of the link may be given at once; 0 is no bound.
+	// burst is the share of link time that may be spent at once; 0 means no limit.
 	burst time.Duration
 	spent float64
 	at    time.Time
-	// last is how many bytes the last whole content had.
+	// last is the size of the last snapshot in bytes.
 	last float64
 }
 
-// isSpent reports whether no more is to be given now.
+// isSpent reports whether no snapshot may be sent now.
 func (b *answerBudget) isSpent(now time.Time) bool {
 	b.refill(now)
 	most := b.bytesPerSecond * b.burst.Seconds()
 	return most > 0 && b.spent >= most
 }
 
-// give takes in that a whole content is given, as long as the last one was.
+// give charges the bucket for a snapshot, estimated at the size of the last one.
 func (b *answerBudget) give(now time.Time) {
 	b.refill(now)
 	b.spent += b.last
 }
 
-// note takes in how long a whole content became, in bytes.
+// note records the size of an encoded snapshot in bytes.
 func (b *answerBudget) note(bytes int) {
 	if b.last == 0 {
 		b.spent += float64(bytes)
--- a/internal/followed/claim.go
+++ b/internal/followed/claim.go
@@ -2,34 +2,33 @@
 
 import "time"
 
-// claim is a daemon's statement that it reads the store for all. It is renewed by
-// nothing but that daemon's own confirmations, so that daemons that only repeat to
-// each other what they once heard do not count as supply: a claim that nobody renews
-// runs out (a lease: Gray, Cheriton, "Leases", 1989).
+// claim is a lease held by the daemon that reads the store on behalf of the group (Gray,
+// Cheriton, "Leases", 1989). Only answers of the store to the holder renew it; daemons that
+// merely repeat what they received cannot extend it.
 type claim struct {
-	// rank orders readers and names them: see rankOf. 0 is nobody.
+	// rank identifies the holder and orders candidates; 0 means no holder. See readerRank.
 	rank uint64
-	// at is when the store last answered that reader.
+	// at is when the store last answered the holder.
 	at time.Time
 }
 
-// strongRank is set in the rank of a strong daemon, to which another one gives way.
+// strongRank is the bit that ranks daemons with enough capacity above all others.
 const strongRank = 1 << 63
 
-// isAlive reports whether the reader was answered lately enough.
+// isAlive reports whether the lease has not expired.
 func (c *claim) isAlive(now time.Time, lifetime time.Duration) bool {
 	return c.rank != 0 && now.Sub(c.at) < lifetime
 }
 
-// isOf reports whether a claim is that of the daemon with a rank, however its strength
-// was judged.
+// isOf reports whether the daemon of the given rank holds the lease, ignoring strongRank, which
+// changes with the known members.
 func (c *claim) isOf(rank uint64) bool { return c.rank&^strongRank == rank&^strongRank }
 
-// isStrong reports whether the reader is strong.
+// isStrong reports whether the holder has enough capacity for the role.
 func (c *claim) isStrong() bool { return c.rank&strongRank != 0 }
 
-// offer takes a claim that was heard if it renews or outranks the one that is held,
-// or if that one has run out.
+// offer adopts a received lease if it renews or outranks the local one, or if the local one has
+// expired.
 func (c *claim) offer(now time.Time, other claim, lifetime time.Duration) {
 	switch {
 	case !other.isAlive(now, lifetime):
--- a/internal/followed/claim_test.go
+++ b/internal/followed/claim_test.go
@@ -12,38 +12,38 @@
 func TestAClaimIsALease(t *testing.T) {
 	const lifetime = time.Second
 	now := testStart
-	t.Run("it runs out unless its reader renews it", func(t *testing.T) {
+	t.Run("it expires unless the holder renews it", func(t *testing.T) {
 		held := claim{rank: 5, at: now}
 		assert.Assert(t, held.isAlive(now.Add(lifetime-1), lifetime))
 		assert.Assert(t, !held.isAlive(now.Add(lifetime), lifetime))
 	})
-	t.Run("a better one replaces it, a worse one does not", func(t *testing.T) {
+	t.Run("a higher rank replaces it, a lower one does not", func(t *testing.T) {
 		held := claim{rank: 5, at: now}
 		held.offer(now, claim{rank: 4, at: now}, lifetime)
 		assert.Equal(t, held.rank, uint64(5))
 		held.offer(now, claim{rank: 6, at: now.Add(-lifetime / 2)}, lifetime)
 		assert.Equal(t, held.rank, uint64(6))
 	})
-	t.Run("a worse one replaces it once it has run out", func(t *testing.T) {
+	t.Run("a lower rank replaces it after it expires", func(t *testing.T) {
 		held := claim{rank: 5, at: now}
 		later := now.Add(lifetime)
 		held.offer(later, claim{rank: 4, at: later}, lifetime)
 		assert.Equal(t, held.rank, uint64(4))
 	})
-	t.Run("an old word renews nothing", func(t *testing.T) {
+	t.Run("an older renewal is ignored", func(t *testing.T) {
 		held := claim{rank: 5, at: now}
 		held.offer(now, claim{rank: 5, at: now.Add(-lifetime / 2)}, lifetime)
 		assert.Equal(t, held.at, now)
 	})
-	t.Run("a daemon whose link is judged anew keeps its claim", func(t *testing.T) {
+	t.Run("the holder keeps it when its capacity is reassessed", func(t *testing.T) {
 		held := claim{rank: 5, at: now}
 		held.offer(now, claim{rank: 5 | strongRank, at: now}, lifetime)
 		assert.Assert(t, held.isOf(5))
 	})
 }
 
-// TestWhatWaitedWhileADaemonStoodStillIsNotFresh: a peer's word that lay in the
-// socket for seconds says that the store answered just now.
+// A peer's digest that waited in the socket during a pause must not count as a recent
+// confirmation.
 func TestWhatWaitedWhileADaemonStoodStillIsNotFresh(t *testing.T) {
 	heard := func(t *testing.T, pause time.Duration) *Fleet {
 		t.Helper()
@@ -60,7 +60,7 @@
 	assert.Assert(t, fleet.suppliedAt.IsZero())
 }
 
-// TestAnAnswerThatWaitedConfirmsFromItsCall: when the store gave it is not known.
+// An answer that waited during a pause confirms the view only as of the time of the call.
 func TestAnAnswerThatWaitedConfirmsFromItsCall(t *testing.T) {
 	fleet := newTestFleet(DefaultFleetConfig())
 	fleet.isSeed = true
@@ -71,7 +71,8 @@
 	assert.Equal(t, fleet.ConfirmedAt(), testStart)
 }
 
-// TestAPeerThatToldAllIsNotAskedAgain while another one knows more.
+// After a peer has answered a pull with all it has, the next pull goes to another peer that is
+// ahead.
 func TestAPeerThatToldAllIsNotAskedAgain(t *testing.T) {
 	config := DefaultFleetConfig()
 	fleet := newTestFleet(config)
@@ -100,8 +101,8 @@
 	assert.Equal(t, pullAfter(config.PullRetry+config.PullDelay).From, peerAddress(2))
 }
 
-// TestAReaderWhoseWatchWasCutAsksAgainAtOnce, and goes on until its claim has run out: the others
-// wait until then.
+// A reader whose watch fails retries at once and keeps reading until its lease expires, since
+// the other daemons wait until then.
 func TestAReaderWhoseWatchWasCutAsksAgainAtOnce(t *testing.T) {
 	fleet := newTestFleet(DefaultFleetConfig())
 	fleet.isSeed = true
@@ -109,7 +110,7 @@
 	confirming := fleet.StepAnswer(testStart, answered(listing, 1, configurationEntry(1, 1))).Call
 	watch := fleet.StepAnswer(testStart, answered(confirming, 1)).Call
 	assert.Assert(t, watch.Wait > 0 && fleet.holdsClaim(testStart))
-	fleet.ranksFirst = false // others would be chosen before it
+	fleet.ranksFirst = false // other daemons rank higher
 	fail := func(call *Call, at time.Time) {
 		fleet.suppliedAt = at
 		fleet.StepAnswer(at, &Answer{Number: call.Number, Outcome: OutcomeFailed, Detail: "cut"})
@@ -118,7 +119,7 @@
 	fail(watch, now)
 	assert.Assert(t, fleet.IsReading())
 	again := fleet.Tick(now.Add(100 * time.Millisecond)).Call
-	assert.Assert(t, again != nil && again.Kind == CallWatch && again.Wait == 0, "what was missed is asked for without waiting")
+	assert.Assert(t, again != nil && again.Kind == CallWatch && again.Wait == 0, "missed changes are requested without waiting")
 	fail(again, now.Add(200*time.Millisecond))
 	assert.Assert(t, fleet.IsReading())
 	ranOut := testStart.Add(fleet.config.ClaimFor)
--- a/internal/followed/congestion.go
+++ b/internal/followed/congestion.go
@@ -3,17 +3,15 @@
 import "time"
 
 const (
-	// congestionSpread is over how many times as long as the store's last answer took to begin daemons that know
-	// nothing spread what they ask next. So long an answer waits behind those of all who asked as this daemon
-	// did, and the next answers are longer.
+	// congestionSpread is the multiple of the store's last latency over which starting daemons
+	// spread their next requests.
 	congestionSpread = 8
-	// congestedFrom is from what delay on the store counts as congested. One that is well answers within
-	// some round trips.
+	// congestedFrom is the latency from which the store counts as congested.
 	congestedFrom = 50 * time.Millisecond
 )
 
-// noteDelay takes in how long the store took to begin an answer. One that was not given in time says
-// so only of a store that answers: another may be silent.
+// noteDelay records how long the store took to begin an answer. A timeout counts only if the
+// store has answered before; otherwise it may be unreachable rather than slow.
 func (f *Follower) noteDelay(call *Call, answer *Answer) {
 	switch {
 	case answer.BeganAfter > 0 && answer.Outcome != OutcomeFailed:
@@ -23,9 +21,9 @@
 	}
 }
 
-// congestionDelay draws for how long a daemon that knows nothing leaves a congested store alone: where a thousand
-// start at once and each asks again as soon as its answer is late, the store's link is full of answers
-// that nobody awaits any more. A few begin early, and tell the rest.
+// congestionDelay draws the time for which a daemon without a configuration sends no request to
+// a congested store. It prevents a retry storm when many daemons start at once; the few that
+// read early supply the others.
 func (f *Follower) congestionDelay() time.Duration {
 	if !f.yields || f.view.Configuration() != nil || f.storeDelay < congestedFrom {
 		return 0
--- a/internal/followed/congestion_test.go
+++ b/internal/followed/congestion_test.go
@@ -7,7 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// congestedFollower knows nothing, and the store's last answer took a while to begin.
+// congestedFollower returns a follower without a configuration whose last answer from the store
+// had the given latency.
 func congestedFollower(beganAfter time.Duration) *Follower {
 	follower := newTestFollower()
 	follower.yields = true
@@ -15,7 +16,7 @@
 	return follower
 }
 
-// meanDelay is how long a daemon leaves the store alone, over many draws.
+// meanDelay returns the mean of many draws of the congestion delay.
 func meanDelay(follower *Follower) time.Duration {
 	const draws = 1000
 	var sum time.Duration
@@ -26,40 +27,40 @@
 }
 
 func TestWhoKnowsNothingLeavesACongestedStoreAlone(t *testing.T) {
-	t.Run("for longer the longer its answers take, up to a bound", func(t *testing.T) {
+	t.Run("the delay grows with the latency, up to a bound", func(t *testing.T) {
 		short, long := meanDelay(congestedFollower(100*time.Millisecond)), meanDelay(congestedFollower(300*time.Millisecond))
 		assert.Assert(t, short > 400*time.Millisecond && short < 800*time.Millisecond, "%s", short)
 		assert.Assert(t, long > 2*short, "%s, %s", short, long)
 		assert.Assert(t, meanDelay(congestedFollower(time.Minute)) < DefaultConfig().PagedSpread.Most)
 	})
-	t.Run("not one that answers at once", func(t *testing.T) {
+	t.Run("no delay at low latency", func(t *testing.T) {
 		assert.Equal(t, congestedFollower(10*time.Millisecond).congestionDelay(), time.Duration(0))
 	})
-	t.Run("nor one that never answered", func(t *testing.T) {
+	t.Run("no delay before the first answer", func(t *testing.T) {
 		follower := newTestFollower()
 		follower.yields = true
 		follower.noteDelay(&Call{Timeout: time.Second}, &Answer{Outcome: OutcomeFailed})
 		assert.Equal(t, follower.congestionDelay(), time.Duration(0))
 	})
-	t.Run("nor if all others ask this daemon first", func(t *testing.T) {
+	t.Run("no delay on seeds", func(t *testing.T) {
 		follower := congestedFollower(time.Second)
 		follower.yields = false
 		assert.Equal(t, follower.congestionDelay(), time.Duration(0))
 	})
-	t.Run("nor once it has a configuration", func(t *testing.T) {
+	t.Run("no delay with a configuration", func(t *testing.T) {
 		follower := congestedFollower(time.Second)
 		follower.Learn(testStart, wholeDelta())
 		assert.Equal(t, follower.congestionDelay(), time.Duration(0))
 	})
-	t.Run("a store that answered and does no longer counts with the time that it was given", func(t *testing.T) {
+	t.Run("a timeout after an answer counts as latency", func(t *testing.T) {
 		follower := congestedFollower(10 * time.Millisecond)
 		follower.noteDelay(&Call{Timeout: time.Second}, &Answer{Outcome: OutcomeFailed})
 		assert.Assert(t, meanDelay(follower) > 2*time.Second)
 	})
 }
 
-// The wait for the next page of a congested store is drawn, too: fifty pages, each behind those of
-// all others, are read by nobody.
+// When the store is congested, the delay before the next page spreads the daemons, so that only
+// a few read on.
 func TestPagesOfACongestedStoreAreReadByFew(t *testing.T) {
 	const daemons = 1000
 	early := 0
--- a/internal/followed/contacts.go
+++ b/internal/followed/contacts.go
@@ -9,19 +9,17 @@
 )
 
 const (
-	// contactLifetime is for how long after a datagram its sender counts as a contact:
-	// several intervals of gossip.
+	// contactLifetime covers several gossip intervals.
 	contactLifetime = 2 * time.Second
-	// maximumContacts bounds how many are remembered.
 	maximumContacts = 64
 )
 
-// contacts are the peers that this daemon heard from lately: those that can supply it.
+// contacts are the peers from which a datagram arrived recently, which can therefore supply
+// this daemon.
 type contacts struct {
 	byPeer map[netip.AddrPort]contact
 }
 
-// contact is one peer: when it was heard from last, and its rank among readers.
 type contact struct {
 	heardAt time.Time
 	rank    uint64
@@ -49,7 +47,7 @@
 	maps.DeleteFunc(c.byPeer, func(_ netip.AddrPort, held contact) bool { return now.Sub(held.heardAt) >= contactLifetime })
 }
 
-// ahead returns how many contacts there are, and how many of them rank above a daemon.
+// ahead returns the number of contacts, and how many of them rank above the given rank.
 func (c *contacts) ahead(now time.Time, rank uint64) (heard, above int) {
 	c.forget(now)
 	for _, held := range c.byPeer {
@@ -60,5 +58,5 @@
 	return len(c.byPeer), above
 }
 
-// rankAt is the rank among readers of the daemon at an address.
+// rankAt returns the rank among readers of the daemon at an address.
 func rankAt(address netip.AddrPort) uint64 { return xxhash.Sum64String(address.String()) }
--- a/internal/followed/contacts_test.go
+++ b/internal/followed/contacts_test.go
@@ -22,11 +22,11 @@
 	later := testStart.Add(contactLifetime)
 	held.note(later, peerAddress(200))
 	heard, _ = held.ahead(later, 0)
-	assert.Equal(t, heard, 1, "the others are silent")
+	assert.Equal(t, heard, 1, "the others have expired")
 }
 
-// TestWhoHearsPeersLeavesTheStoreToThoseAbove, each for a while, and who hears nobody
-// reads at once.
+// A daemon that receives messages leaves reading to each higher-ranked peer for a while; one
+// that receives none reads at once.
 func TestWhoHearsPeersLeavesTheStoreToThoseAbove(t *testing.T) {
 	fleet := newTestFleet(DefaultFleetConfig())
 	fleet.Tick(testStart)
@@ -44,5 +44,5 @@
 	}
 	heard, turn = fleet.turn(testStart)
 	assert.Equal(t, heard, 20)
-	assert.Equal(t, turn, time.Duration(above)*fleet.config.TurnPerMember, "it heard all that live")
+	assert.Equal(t, turn, time.Duration(above)*fleet.config.TurnPerMember, "all live peers are contacts")
 }
--- a/internal/followed/early_test.go
+++ b/internal/followed/early_test.go
@@ -8,7 +8,8 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// newSlowFollower has a link of 10 Mbit/s and peers that may tell it a long content.
+// newSlowFollower returns a follower with a link of 10 Mbit/s whose peers may supply large
+// content.
 func newSlowFollower(config Config) *Follower {
 	config.LinkBytes = 10 * megabit
 	follower := newTestFollower()
@@ -25,13 +26,13 @@
 	learned := follower.Step(testStart, answered(first, 30, targetEntry("a", 3), targetEntry("b", 7)))
 	assert.Assert(t, learned.Change.Targets && !learned.Change.Configuration)
 	assert.Equal(t, follower.View().Present(), 2)
-	assert.Equal(t, follower.View().Revision(), uint64(0), "what else there is stays unknown")
+	assert.Equal(t, follower.View().Revision(), uint64(0), "the rest of the content is still unknown")
 	rest := learned.Call
 	assert.Assert(t, rest.WithoutTargets && !rest.TargetsOnly)
 	assert.Equal(t, rest.AfterKey, "")
 	confirm := follower.Step(testStart, answered(rest, 30, configurationEntry(9, 1))).Call
 	assert.Equal(t, confirm.Kind, CallWatch)
-	assert.Equal(t, confirm.AfterRevision, uint64(7), "all of it is as old as its first part")
+	assert.Equal(t, confirm.AfterRevision, uint64(7), "the list is only as recent as its first part")
 }
 
 func TestOnAFastLinkTheContentIsOneList(t *testing.T) {
@@ -51,7 +52,8 @@
 	assert.Assert(t, !call.TargetsOnly)
 }
 
-// TestTheRestIsAwaitedFromPeersWhereItIsLong: the targets are not read again.
+// If the rest of the content is large, it is awaited from peers, and the targets are not read
+// again.
 func TestTheRestIsAwaitedFromPeersWhereItIsLong(t *testing.T) {
 	follower := newSlowFollower(DefaultConfig())
 	targets := follower.Tick(testStart).Call
@@ -63,7 +65,7 @@
 	assert.Assert(t, again.WithoutTargets && again.MostBytes == 0)
 }
 
-// TestTooManyTargetsAreReadWithTheRest: 300 daemons at once would keep the store's link.
+// Too many targets are not read early: 300 starting daemons would saturate the store's link.
 func TestTooManyTargetsAreReadWithTheRest(t *testing.T) {
 	follower := newSlowFollower(DefaultConfig())
 	targets := follower.Tick(testStart).Call
--- a/internal/followed/epoch.go
+++ b/internal/followed/epoch.go
@@ -7,7 +7,7 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// inEpoch returns the answer with revisions in the place of the numbers that the store tells.
+// inEpoch returns the answer with the epoch encoded into all revisions.
 func (a *Answer) inEpoch() *Answer {
 	if a.Epoch == 0 {
 		return a
@@ -22,36 +22,38 @@
 	return &stamped
 }
 
-// isOfEarlierEpoch reports whether an answer comes from before the store was restored last, as far
-// as is known here: it may have been on its way meanwhile.
+// isOfEarlierEpoch reports whether an answer precedes the last known restore of the store; it
+// may have been in flight during the restore.
 func (f *Follower) isOfEarlierEpoch(answer *Answer) bool {
 	return answer.tellsEpoch() && answer.Epoch < f.epoch()
 }
 
-// isOfLaterEpoch reports whether an answer is the first from a store that was restored.
+// isOfLaterEpoch reports whether an answer is the first from a restored store.
 func (f *Follower) isOfLaterEpoch(answer *Answer) bool {
 	return answer.tellsEpoch() && f.view.Revision() > 0 && answer.Epoch > f.epoch()
 }
 
-// isContinued reports whether an answer goes on from what was known when the call was made. What a
-// watch tells from a number of another epoch is no continuation, even where the store has that
-// number, and where peers have told of its epoch meanwhile. From the beginning all epochs go on.
+// isContinued reports whether an answer continues from the state at the time of the call. A
+// watch that started at a revision of another epoch is not a continuation, even if the store
+// has assigned that number again or peers have reported the epoch meanwhile. A list and a watch
+// from revision 0 always are.
 func (c *Call) isContinued(answer *Answer) bool {
 	isFromBeginning := c.Kind == CallList || c.AfterRevision == 0
 	return isFromBeginning || !answer.tellsEpoch() || storeview.EpochOf(c.AfterRevision) == answer.Epoch
 }
 
-// tellsEpoch reports whether an answer is the store's own: other refusals may come from whatever
-// stands before it.
+// tellsEpoch reports whether the store itself sent the answer. Other errors may come from a
+// proxy in front of it.
 func (a *Answer) tellsEpoch() bool {
 	return a.Outcome == OutcomeAnswered || a.Outcome == OutcomeHistoryGone
 }
 
-// epoch is that of what is known here.
+// epoch returns the epoch of the view.
 func (f *Follower) epoch() uint64 { return storeview.EpochOf(f.view.Revision()) }
 
-// noteRestored takes in that the store lost its last changes and numbers new ones from before them,
-// by the answer to a watch from before. Only a list says what it holds, or a peer that has read it.
+// noteRestored handles an answer that shows that the store was restored from a backup and
+// assigns the revisions after it again. A list, from the store or through a peer, must replace
+// the view.
 func (f *Follower) noteRestored(now time.Time, answer *Answer, output *Output) {
 	f.noteRegained(CallWatch, output)
 	f.nextAt = now
--- a/internal/followed/epoch_test.go
+++ b/internal/followed/epoch_test.go
@@ -10,7 +10,7 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// inEpoch is an answer of a store in one of its lives; its revisions are the store's numbers.
+// inEpoch sets the epoch of an answer; its revisions are plain store revisions.
 func inEpoch(epoch uint64, answer *Answer) *Answer {
 	answer.Epoch = epoch
 	return answer
@@ -19,20 +19,21 @@
 func TestRevisionsOrderChangesOfAllEpochs(t *testing.T) {
 	assert.Assert(t, storeview.RevisionIn(1, 2) > storeview.RevisionIn(0, 900))
 	assert.Assert(t, storeview.RevisionIn(1, 3) > storeview.RevisionIn(1, 2))
-	assert.Equal(t, storeview.RevisionIn(0, 7), uint64(7), "a store that tells no epoch has plain numbers")
+	assert.Equal(t, storeview.RevisionIn(0, 7), uint64(7), "a store without epochs has plain revisions")
 	assert.Equal(t, storeview.EpochOf(storeview.RevisionIn(storeview.MostEpochs, storeview.MostChanges)), uint64(storeview.MostEpochs))
 	assert.Equal(t, storeview.NumberOf(storeview.RevisionIn(storeview.MostEpochs, storeview.MostChanges)), uint64(storeview.MostChanges))
 }
 
-// The store's numbers had passed the one that the daemon held, so that the watch from there
-// succeeded and told only what was written after it: of changes 8 to 11 of the new epoch, 10 and 11.
+// After the restore the store's revisions had passed the daemon's, so that its watch succeeded
+// but delivered only changes written after that revision, without revisions 8 and 9 of the new
+// epoch.
 func TestAWatchThatARestoredStoreAnswersIsFollowedByAList(t *testing.T) {
 	follower := newTestFollower()
 	watch := watching(t, follower)
 	output := follower.Step(testStart, inEpoch(1, answered(watch, 11, targetEntry("b", 10), targetEntry("c", 11))))
-	assert.Equal(t, follower.View().Revision(), uint64(9), "what lies between is not known")
+	assert.Equal(t, follower.View().Revision(), uint64(9), "the changes between are unknown")
 	assert.Equal(t, output.Call.Kind, CallList)
-	assert.Assert(t, !output.Call.AllowStale, "a stale list may be of before the restoration")
+	assert.Assert(t, !output.Call.AllowStale, "a stale list may predate the restore")
 	output = follower.Step(testStart, inEpoch(1, answered(output.Call, 11,
 		configurationEntry(8, 2), targetEntry("a", 9), targetEntry("b", 10), targetEntry("c", 11))))
 	assert.Equal(t, follower.View().Configuration().Version, uint64(2))
@@ -42,9 +43,9 @@
 	assert.Equal(t, storeview.EpochOf(output.Call.AfterRevision), uint64(1))
 }
 
-// The daemon had learned from a peer of revision 4 of the next epoch when its watch from revision 9
-// of the epoch before was answered, up to revision 11. Taken for what follows on revision 4, that
-// answer hid revisions 5 to 9 from it and from all that it told.
+// The daemon learned from a peer of the new epoch while its watch in the old epoch was in
+// flight. The answer must not be taken for a continuation of the new epoch, or revisions 5 to 9
+// would be lost.
 func TestAWatchFromAnEpochBeforeTellsNothingOfTheNext(t *testing.T) {
 	follower := newTestFollower()
 	watch := watching(t, follower)
@@ -69,9 +70,8 @@
 	assert.Assert(t, !again.AllowStale)
 }
 
-// A store that had been restored before was still empty when the daemons started. A watch from its
-// very beginning was taken for one from before the restoration, and asked for again at once, some
-// 100 times a second by each daemon; none ever had a configuration.
+// A watch from revision 0 of an empty store in a later epoch must not be mistaken for one from
+// before the restore and retried endlessly.
 func TestAnEmptyStoreOfALaterEpochIsFollowed(t *testing.T) {
 	follower := newTestFollower()
 	list := follower.Tick(testStart).Call
@@ -96,9 +96,9 @@
 	watch := watching(t, follower)
 	follower.Learn(testStart, &Delta{Until: storeview.RevisionIn(1, 4), Entries: []storeview.Entry{configurationEntry(storeview.RevisionIn(1, 3), 2)}})
 	output := follower.Step(testStart, answered(watch, 12, configurationEntry(12, 7), targetEntry("x", 11)))
-	assert.Equal(t, follower.View().Configuration().Version, uint64(2), "that version is lost, unless it is written again")
+	assert.Equal(t, follower.View().Configuration().Version, uint64(2), "that version was lost in the restore")
 	assert.Equal(t, follower.View().Present(), 0)
-	assert.Equal(t, output.Events[0], Event{EventLost, "failed: an answer of epoch 0, while 1 is known"})
+	assert.Equal(t, output.Events[0], Event{EventLost, "failed: answer from epoch 0, but epoch 1 is known"})
 }
 
 func TestPagesOfTwoEpochsAreNoList(t *testing.T) {
@@ -109,13 +109,14 @@
 	second := follower.Step(testStart, first).Call
 	again := follower.Step(testStart, inEpoch(1, answered(second, 9, targetEntry("b", 8)))).Call
 	assert.Equal(t, again.Kind, CallList)
-	assert.Equal(t, again.AfterKey, "", "the list begins anew")
+	assert.Equal(t, again.AfterKey, "", "the list restarts")
 	confirm := follower.Step(testStart, inEpoch(1, answered(again, 9, configurationEntry(5, 1), targetEntry("b", 8)))).Call
 	assert.Equal(t, confirm.Kind, CallWatch)
-	assert.Equal(t, follower.View().Present(), 1, "a was read from what the store has lost")
+	assert.Equal(t, follower.View().Present(), 1, "target a was lost in the restore")
 }
 
-// A peer that learns of the restored store by gossip has not what lies between: it asks.
+// A gossiped change of a restored store does not include the changes before it, so they must be
+// requested.
 func TestNewsOfALaterEpochIsNotWhole(t *testing.T) {
 	follower := newTestFollower()
 	watching(t, follower)
@@ -123,7 +124,7 @@
 	_, isWhole := follower.Learn(testStart, &Delta{Since: since, Until: until, Entries: []storeview.Entry{configurationEntry(until, 3)}})
 	assert.Assert(t, !isWhole)
 	assert.Equal(t, follower.View().Revision(), uint64(9))
-	assert.Equal(t, follower.View().Configuration().Version, uint64(3), "what is known is in force at once")
+	assert.Equal(t, follower.View().Configuration().Version, uint64(3), "the known configuration is active at once")
 }
 
 func TestADaemonThatServesAPeerOfAnEarlierEpochTellsAll(t *testing.T) {
@@ -135,9 +136,8 @@
 	assert.Equal(t, len(delta.Entries), 1)
 }
 
-// The reader listed a restored store and told the version after by what it changes of the one that
-// it had listed there. Its peers held that from the epoch before, and each had to ask for all: of
-// 1,000 daemons the last had the version after 7.3 s.
+// A difference to a version that peers hold from the previous epoch applies to it, so that they
+// need not pull a full snapshot.
 func TestADifferenceOfAVersionOfAnotherEpochIsApplied(t *testing.T) {
 	routes := func(version uint64, ports ...uint16) *storeview.Configuration {
 		configuration := &storeview.Configuration{Version: version}
@@ -161,9 +161,9 @@
 	assert.Equal(t, other.Configuration().Version, uint64(2))
 }
 
-// A daemon listed a copy and heard of nothing after that: it stood still, or was cut off from the store and
-// from its peers. When the writers' time was over it took the copy for the last word, and gave new
-// flows to a target that had said again meanwhile that it leaves.
+// The daemon listed a restored store and received nothing afterwards, neither from the store
+// nor from peers. It must not take the backup's state for current when the writers' time is
+// over: the target had written again meanwhile that it is draining.
 func TestACopyIsNotTheLastWordWhileNothingIsConfirmed(t *testing.T) {
 	settled := testStart.Add(DefaultConfig().View.RestoredFor)
 	cutOff := func(t *testing.T) *Fleet {
--- a/internal/followed/followerconfig.go
+++ b/internal/followed/followerconfig.go
@@ -6,62 +6,58 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// Config holds a follower's timings.
+// Config holds the parameters of a Follower.
 type Config struct {
-	// Wait is how long a watch waits for changes. It bounds how long news may be
-	// missed on a connection that fell silent, and each watch is a call.
+	// Wait is how long a watch waits for changes. It bounds how long updates are missed on an
+	// unresponsive connection; each watch costs a call.
 	Wait time.Duration
 	// Slack is how much longer than its wait a watch may take.
 	Slack time.Duration
-	// MostTransfer is how long an answer that has begun may keep coming.
+	// MostTransfer is how long an answer that has begun may take to complete.
 	MostTransfer time.Duration
-	// ListTimeout is how long a page of a list may take to begin, ConfirmTimeout a
-	// watch that does not wait. Both grow with failures: a store that is slow must not
-	// count as lost for ever.
+	// ListTimeout is the time to first byte of a list page, ConfirmTimeout that of a watch that
+	// does not wait. Both grow with failures, so that a slow store does not count as lost
+	// forever.
 	ListTimeout    time.Duration
 	ConfirmTimeout time.Duration
-	// Gather is the least time from the start of one watch to the next, so that
-	// changes in quick succession come in one answer.
+	// Gather is the minimum interval between the starts of two watches, so that changes in
+	// quick succession arrive in one answer.
 	Gather time.Duration
-	// BackoffFirst and BackoffMost bound the pause after a failure; it doubles,
-	// and is drawn at random up to that.
+	// BackoffFirst and BackoffMost bound the exponential backoff with jitter after failures.
 	BackoffFirst time.Duration
 	BackoffMost  time.Duration
-	// BackoffPerMember raises the two to as much for each daemon that follows the store
-	// together with this one, unless it knows nothing: all of them together make some
-	// 50 calls a second then, whatever their number.
+	// BackoffPerMember raises both bounds by this much per daemon that follows the store,
+	// unless there is no configuration yet, so that the total call rate does not grow with
+	// their number.
 	BackoffPerMember time.Duration
-	// BackoffSupplied replaces BackoffMost while peers supply what the store does
-	// not tell this daemon.
+	// BackoffSupplied replaces BackoffMost while peers keep the view up to date.
 	BackoffSupplied time.Duration
-	// HedgeAfter is how long a daemon that knows nothing waits for a list before it
-	// asks once more beside it, HedgeMost how many lists it has under way at most (Dean,
-	// Barroso, "The Tail at Scale", 2013): a call that a silent store has swallowed is
-	// not answered when the store is back.
-	// HedgePerMember raises HedgeAfter for each daemon that starts beside this one.
+	// HedgeAfter is how long a daemon without a configuration waits for a list before it sends
+	// a hedged request, HedgeMost the maximum number of requests in flight (Dean, Barroso, "The
+	// Tail at Scale", 2013). A request sent while the store was unresponsive may never be
+	// answered. HedgePerMember raises HedgeAfter for each daemon in the group.
 	HedgeAfter     time.Duration
 	HedgePerMember time.Duration
 	HedgeMost      int
-	// ColdSpread is how much longer than a long list would take on its link a daemon
-	// that knows nothing waits for a peer's answer before it reads the list. Without it
-	// all of a large fleet begin at once, and the store's link is the bottleneck.
+	// ColdSpread is the delay, in addition to the transfer time of a long list, for which a
+	// daemon without a configuration waits for a peer's answer before it reads the list. It
+	// keeps a large group that starts at once from saturating the store's link.
 	ColdSpread SuppressionTimer
-	// PagedSpread is how long a daemon that knows nothing waits for a peer's answer once it has
-	// found the content to be long in pages, of which it does not know how many there are. Most
-	// begin late, as seeds read it meanwhile; a few begin early, as the seeds may be late.
+	// PagedSpread is the delay for which a daemon without a configuration waits for a peer's
+	// answer after finding that the content has many pages. Most daemons draw a long delay, as
+	// seeds supply them; a few read early in case no seed is up.
 	PagedSpread SuppressionTimer
-	// EarlyBytes is how long the targets may be for a daemon with a slow link to read them
-	// before all else; 0 is never to. With the default 300 daemons that start at once keep
-	// a store's link of 1 Gbit/s for 0.16 s; 250 targets have as much.
+	// EarlyBytes is the largest list of targets that a daemon with a slow link reads before all
+	// else; 0 disables it. The default keeps 300 daemons starting at once from occupying a
+	// store's link of 1 Gbit/s for more than 0.16 s; it holds some 250 targets.
 	EarlyBytes int64
-	// LinkBytes is how many bytes a second the daemon's link carries, 0 if that is
-	// not known.
+	// LinkBytes is the capacity of the daemon's link in bytes per second, 0 if unknown.
 	LinkBytes float64
-	// View is how long the view remembers what the store holds no more.
+	// View configures how long the view retains removed entries.
 	View storeview.Config
 }
 
-// transferTime is how long so many bytes take on the daemon's link.
+// transferTime returns the time to transfer bytes over the daemon's link.
 func (c *Config) transferTime(bytes int64) time.Duration {
 	if c.LinkBytes <= 0 {
 		return 0
@@ -69,7 +65,7 @@
 	return min(time.Duration(float64(bytes)/c.LinkBytes*float64(time.Second)), mostLinkTime)
 }
 
-// mostLinkTime bounds what a slow link makes a daemon wait for.
+// mostLinkTime bounds transferTime on slow links.
 const mostLinkTime = time.Second
 
 // DefaultConfig suits a store a few milliseconds away.
@@ -93,7 +89,6 @@
 		HedgePerMember:  20 * time.Millisecond,
 		HedgeMost:       6,
 
-		// Machines of a fleet start within 300 ms of each other.
 		ColdSpread: SuppressionTimer{Most: 300 * time.Millisecond, Crowd: 1000},
 
 		PagedSpread: SuppressionTimer{Most: 4 * time.Second, Crowd: 1000},
--- a/internal/followed/hedge.go
+++ b/internal/followed/hedge.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// hedgeTransfers is how many times as long as a long list takes on this daemon's link it
-// is waited for: the store's own link is shared, and asking again makes it slower.
+// hedgeTransfers is the minimum delay before a hedged request in transfer times of a long list.
+// The store's link is shared, and further requests slow it down.
 const hedgeTransfers = 3
 
-// hedgeDelays is how many times as long as the store's last answer took to begin one is waited for.
+// hedgeDelays is the same in multiples of the store's last latency.
 const hedgeDelays = 2
 
-// IsAwaited reports whether the answer to a call is still awaited.
+// IsAwaited reports whether the answer to a call is still needed.
 func (f *Follower) IsAwaited(number uint64) bool { return f.awaited(number) != nil }
 
 func (f *Follower) awaited(number uint64) *Call {
@@ -30,20 +30,19 @@
 	return nil
 }
 
-// isToHedge reports whether the list under way has taken so long, with nothing known
-// here, that it is asked for once more.
+// isToHedge reports whether the list in flight has taken so long that it is requested again.
+// Only a daemon without a configuration hedges.
 func (f *Follower) isToHedge(now time.Time) bool {
 	isCold := f.phase == phaseListing && f.isFirstPage() && f.view.Configuration() == nil
 	after := max(f.config.HedgeAfter, f.perMember(f.config.HedgePerMember), hedgeTransfers*f.config.transferTime(f.listBytes),
 		hedgeDelays*f.storeDelay)
 	if f.storeDelay > 0 {
-		after <<= len(f.hedged) // a store that answers is not silent, but has much to do
+		after <<= len(f.hedged) // a store that answered before is slow rather than unresponsive
 	}
 	return isCold && len(f.hedged)+1 < f.config.HedgeMost && now.Sub(f.startedAt) >= after
 }
 
-// dropHedged drops one of several calls for the same. It reports false if the call
-// was the only one.
+// dropHedged drops one of several equivalent calls. It reports false if there is only one.
 func (f *Follower) dropHedged(call *Call) bool {
 	if len(f.hedged) == 0 {
 		return false
@@ -55,7 +54,7 @@
 	return true
 }
 
-// forgetCalls awaits no answer any more.
+// forgetCalls abandons all calls in flight.
 func (f *Follower) forgetCalls() {
 	f.underWay = nil
 	f.hedged = nil
--- a/internal/followed/lapse.go
+++ b/internal/followed/lapse.go
@@ -6,15 +6,15 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// returnWatch notices that the store was away. Entries that their targets must renew
-// may have lapsed meanwhile, and come back with the next renewal.
+// returnWatch detects outages of the store. Entries that targets must renew may expire during
+// an outage and reappear with the next renewal.
 type returnWatch struct {
 	confirmedAt time.Time
 	returnedAt  time.Time
 	epoch       uint64
 }
 
-// noteEpoch takes in the epoch of what is known. A store that was restored was away, however short.
+// noteEpoch records the epoch of the view. A restore counts as an outage, however short.
 func (w *returnWatch) noteEpoch(now time.Time, epoch uint64) {
 	if epoch > w.epoch {
 		w.epoch = epoch
@@ -22,8 +22,8 @@
 	}
 }
 
-// note takes in when the store last confirmed the view. A gap of at least
-// away means that it was not to be had; before the first word it may have been.
+// note records when the store last confirmed the view. A gap of at least away counts as an
+// outage, and so does the time before the first confirmation.
 func (w *returnWatch) note(now, confirmedAt time.Time, away time.Duration) {
 	if !confirmedAt.After(w.confirmedAt) {
 		return
@@ -34,12 +34,12 @@
 	w.confirmedAt = confirmedAt
 }
 
-// lapseMargin is how long before this daemon heard of the store's return others may
-// have done so.
+// lapseMargin is how much earlier than this daemon others may have received the first
+// confirmation after an outage.
 const lapseMargin = time.Second
 
-// Lapse returns the span that holds now. Before the store's first word anything may
-// be missing.
+// Lapse returns the interval in which targets may be missing because their entries expired
+// during an outage. Before the store's first answer, any target may be missing.
 func (f *Fleet) Lapse(now time.Time) storeview.Lapse {
 	returned := f.storeReturn.returnedAt
 	if returned.IsZero() {
--- a/internal/followed/lapse_test.go
+++ b/internal/followed/lapse_test.go
@@ -16,27 +16,27 @@
 		watch.note(now, now, away)
 		return watch.returnedAt
 	}
-	assert.Equal(t, confirmAfter(0), testStart, "what lapsed before the first word is not known")
+	assert.Equal(t, confirmAfter(0), testStart, "entries may have expired before the first confirmation")
 	for range 10 {
-		assert.Equal(t, confirmAfter(away-1), testStart, "a store that answers now and then was not away")
+		assert.Equal(t, confirmAfter(away-1), testStart, "no outage while confirmations arrive often enough")
 	}
 	assert.Equal(t, confirmAfter(away), now)
 	returned := now
 	now = now.Add(time.Second)
 	watch.note(now, returned, away)
-	assert.Equal(t, watch.returnedAt, returned, "an old word tells nothing")
+	assert.Equal(t, watch.returnedAt, returned, "an old confirmation changes nothing")
 }
 
 func TestALapseIsASpanAfterTheReturn(t *testing.T) {
 	config := DefaultFleetConfig()
 	fleet := newTestFleet(config)
 	lapse := fleet.Lapse(testStart)
-	assert.Assert(t, lapse.Holds(testStart), "before the first word anything may be missing")
+	assert.Assert(t, lapse.Holds(testStart), "any target may be missing before the first confirmation")
 	fleet.storeReturn.note(testStart, testStart, config.FreshFor)
 	lapse = fleet.Lapse(testStart.Add(time.Hour))
 	ends := testStart.Add(config.ReturnWithin)
 	assert.Assert(t, lapse.Holds(ends.Add(-1)) && !lapse.Holds(ends))
 	assert.Assert(t, lapse.Covers(testStart, testStart))
-	assert.Assert(t, !lapse.Covers(testStart, testStart.Add(-time.Minute)), "that target had gone before the store was away")
-	assert.Assert(t, !lapse.Covers(ends, testStart), "who is still missing has gone")
+	assert.Assert(t, !lapse.Covers(testStart, testStart.Add(-time.Minute)), "the target was removed before the outage")
+	assert.Assert(t, !lapse.Covers(ends, testStart), "a target still missing afterwards is gone")
 }
--- a/internal/followed/list.go
+++ b/internal/followed/list.go
@@ -12,7 +12,7 @@
 	f.forgetPages()
 }
 
-// forgetPages makes the next page the first of a list.
+// forgetPages resets the list so that the next page is its first.
 func (f *Follower) forgetPages() {
 	f.pages = nil
 	f.pagesBytes = 0
@@ -21,14 +21,14 @@
 	f.afterKey = ""
 }
 
-// takePage gathers pages. They are not a snapshot: changes made while they were
-// read are watched for from the first page's revision. Of one that may be stale
-// only its entries' own revisions count, whatever revision the answer names; the
-// pages after it are exact.
+// takePage collects pages. They are not a snapshot: the watch that follows starts at the
+// revision of the first page and delivers changes made while the pages were read. A stale first
+// page is only as recent as the highest revision of its entries, whatever revision the answer
+// names; later pages are consistent.
 func (f *Follower) takePage(now time.Time, call *Call, answer *Answer, output *Output) {
 	isOfLostContent := len(f.pages) > 0 && answer.Epoch != f.listEpoch
 	if isOfLostContent || f.isOfLaterEpoch(answer) && call.AllowStale {
-		// A stale list may be older than the copy that the store was restored from.
+		// A stale list may predate the backup from which the store was restored.
 		f.exact = true
 		f.restartList()
 		f.nextAt = now
@@ -69,16 +69,15 @@
 	f.phase = phaseConfirming
 }
 
-// listDetail says which content of the store a list was of.
+// listDetail describes a completed list for the log.
 func (f *Follower) listDetail(call *Call, answer *Answer) string {
-	freshness := "exact"
+	freshness := "consistent"
 	if call.AllowStale {
 		freshness = "may be stale"
 	}
 	return fmt.Sprintf("revision %d, epoch %d, %s; ", storeview.NumberOf(f.listRevision), answer.Epoch, freshness) + listedDetail(len(f.pages), answer)
 }
 
-// listedDetail says how much was listed, and how long its last page took.
 func listedDetail(entries int, answer *Answer) string {
 	return fmt.Sprintf("%d entries; last page began after %s, took %s",
 		entries, answer.BeganAfter.Round(time.Millisecond), answer.TookFor.Round(time.Millisecond))
--- a/internal/followed/liveness.go
+++ b/internal/followed/liveness.go
@@ -13,12 +13,12 @@
 	"github.com/passtray/passtray/internal/rendezvous"
 )
 
-// mostReportsAtOnce bounds the reports of one datagram, some 20 bytes each.
+// mostReportsAtOnce bounds the reports in one datagram, at some 20 bytes each.
 const mostReportsAtOnce = 40
 
-// TellLiveness makes the datagrams that carry reports on targets' lives. They go straight to
-// whom they are for: gossip repeats each piece of news a dozen times at every daemon,
-// which a lost zone, with hundreds of silent targets, would fill for many seconds.
+// TellLiveness returns the datagrams that carry reports on the liveness of targets. They are
+// sent directly: gossip repeats each message many times at every daemon, and after the loss of
+// a zone the reports on hundreds of targets would delay other updates for seconds.
 func (f *Fleet) TellLiveness(reports []liveness.Outgoing) []membership.Datagram {
 	if len(reports) == 0 {
 		return nil
@@ -58,10 +58,10 @@
 	return datagrams
 }
 
-// isForAll reports whether a report is for all daemons alike.
+// isForAll reports whether a report is addressed to all daemons.
 func isForAll(report *liveness.Outgoing) bool { return !report.To.IsValid() && report.Judges == 0 }
 
-// allAddresses returns the addresses of the live daemons, this one among them.
+// allAddresses returns the addresses of the live daemons, including this one.
 func (f *Fleet) allAddresses() []netip.AddrPort {
 	live := f.group.Live()
 	all := make([]netip.AddrPort, len(live))
@@ -71,8 +71,8 @@
 	return all
 }
 
-// recipients returns the audience of a report that is not for all. If this daemon is one of the judges, the next one
-// judges, too: as many others then see more than it does.
+// recipients returns the daemons that a report is sent to. If this daemon is one of the judges,
+// the next-ranked one is added, so that as many other daemons judge.
 func (f *Fleet) recipients(report *liveness.Outgoing) []netip.AddrPort {
 	recipients := f.audience(report)
 	if report.Judges == 0 || !slices.Contains(recipients, f.self.Identity.Address) {
@@ -83,7 +83,7 @@
 	return f.audience(&more)
 }
 
-// audience returns the daemons that a report is for, this one perhaps among them.
+// audience returns the daemons that a report is addressed to, which may include this one.
 func (f *Fleet) audience(report *liveness.Outgoing) []netip.AddrPort {
 	if report.To.IsValid() {
 		return []netip.AddrPort{report.To}
@@ -91,7 +91,7 @@
 	return rendezvous.First(subjectKey(report.Subject), f.allAddresses(), report.Judges)
 }
 
-// subjectKey is a subject's for rendezvous hashing.
+// subjectKey returns the key of a subject for rendezvous hashing.
 func subjectKey(subject liveness.Subject) uint64 {
 	if subject.Zone != "" {
 		return xxhash.Sum64String(subject.Zone)
@@ -99,8 +99,8 @@
 	return subject.Target
 }
 
-// takeLiveness takes in reports on targets' lives. One that may be old says nothing: its age
-// counts from when it was sent.
+// takeLiveness handles reports on the liveness of targets. After a pause of the process they
+// are dropped: their ages count from when they were sent.
 func (f *Fleet) takeLiveness(now time.Time, messages []membership.DirectMessage, into *FleetOutput) {
 	if f.pause.MayBeOld(now) {
 		return
@@ -108,7 +108,7 @@
 	for _, message := range messages {
 		var reports []liveness.Report
 		if cbor.Unmarshal(message.Payload, &reports) != nil {
-			continue // of another version of the program
+			continue // from a different version of the program
 		}
 		for _, report := range reports {
 			into.Liveness = append(into.Liveness, liveness.Received{Report: report, From: message.From.Address})
--- a/internal/followed/liveness_test.go
+++ b/internal/followed/liveness_test.go
@@ -24,7 +24,7 @@
 	return membership.Member{Identity: identity.Identity{Address: livenessAddress(number), Start: identity.NewStart(1, uint64(number))}, Zone: "a", Status: membership.Alive}
 }
 
-// newLivenessFleet is one daemon that knows others.
+// newLivenessFleet returns a daemon that knows all others.
 func newLivenessFleet(self, daemons int) *Fleet {
 	fleet := NewFleet(DefaultFleetConfig(), livenessMember(self), nil, rand.New(rand.NewPCG(1, uint64(self))))
 	var members []membership.Member
@@ -47,10 +47,10 @@
 		}
 		chosen[first[0]] = true
 	}
-	assert.Assert(t, len(chosen) > daemons/2, "the targets' judges are spread")
+	assert.Assert(t, len(chosen) > daemons/2, "judges are spread over the daemons")
 }
 
-// TestReportsTravelInFewDatagrams, those for one daemon together.
+// Reports to one daemon are combined into one datagram.
 func TestReportsTravelInFewDatagrams(t *testing.T) {
 	sender, receiver := newLivenessFleet(0, 3), newLivenessFleet(1, 3)
 	reports := []liveness.Outgoing{
@@ -58,7 +58,7 @@
 		{Report: liveness.Report{Subject: liveness.Subject{Zone: "a"}, Kind: liveness.Alive}, To: livenessAddress(1)},
 	}
 	datagrams := sender.TellLiveness(reports)
-	assert.Equal(t, len(datagrams), 2, "one for each of the others")
+	assert.Equal(t, len(datagrams), 2, "one datagram per other daemon")
 	assert.Equal(t, datagrams[0].To, livenessAddress(1))
 	heard := receiver.StepDatagram(testStart, livenessAddress(0), datagrams[0].Bytes).Liveness
 	assert.DeepEqual(t, heard, []liveness.Received{
@@ -66,8 +66,8 @@
 	}, compareAddress)
 }
 
-// TestReportsThatWaitedInTheSocketSayNothing: the daemon stood still, and their ages are not
-// from now.
+// Reports that waited in the socket during a pause are dropped, since their ages count from
+// when they were sent.
 func TestReportsThatWaitedInTheSocketSayNothing(t *testing.T) {
 	sender, receiver := newLivenessFleet(0, 2), newLivenessFleet(1, 2)
 	datagrams := sender.TellLiveness([]liveness.Outgoing{{Report: liveness.Report{Subject: liveness.Subject{Target: 1}, Kind: liveness.Dead}}})
--- a/internal/followed/parts.go
+++ b/internal/followed/parts.go
@@ -5,26 +5,25 @@
 	"time"
 )
 
-// part is what of the store's content a page of a list is of.
+// part is the part of the store's content that a list page belongs to.
 type part uint8
 
 const (
-	// partWhole is all in the order of keys.
+	// partWhole is the full content in key order.
 	partWhole part = iota
-	// partTargets is the targets, partRest all else. Together they are a whole list, the
-	// second no older than the first: pages of one are no snapshot either.
+	// partTargets is the targets, partRest all else. Read in this order they form a complete
+	// list: the second part is no older than the first.
 	partTargets
 	partRest
 )
 
-// splitFrom is how long a list of EarlyBytes must take on a link for the content to be read
-// in two parts. On a faster one the second round trip costs more than the order gains.
+// splitFrom is the transfer time of EarlyBytes from which the content is read in two parts. On
+// a faster link the second round trip costs more than reading the targets first gains.
 const splitFrom = 10 * time.Millisecond
 
-// firstPart is where a list begins. A daemon that knows nothing reads the targets first if
-// its link is slow: an open flow needs no route to be followed. To ask for the whole first
-// and give it up for its length costs as much as the targets: what is on its way by then
-// occupies a link of 10 Mbit/s for some 60 ms.
+// firstPart returns the part that a list begins with. A daemon without a configuration on a
+// slow link reads the targets first, as existing flows need no route. Requesting the full
+// content and canceling it would cost as much bandwidth.
 func (f *Follower) firstPart() part {
 	isSlow := f.config.EarlyBytes > 0 && f.config.transferTime(f.config.EarlyBytes) >= splitFrom
 	if isSlow && f.view.Configuration() == nil && !f.isUnsplit {
@@ -33,9 +32,9 @@
 	return partWhole
 }
 
-// describeList makes a call the next page of the list. Only the first may be stale: each
-// stale answer is as old as it likes, and a later page that is older than the first would
-// lack changes that lie before the revision from which changes are watched for, for good.
+// describeList fills in the call for the next page of the list. Only the first page may be
+// stale: a later page that is older than the first would lack changes that precede the revision
+// at which the watch starts, and so lose them for good.
 func (f *Follower) describeList(call *Call) {
 	if f.part == partWhole && len(f.pages) == 0 {
 		f.part = f.firstPart()
@@ -54,14 +53,14 @@
 	}
 }
 
-// takeTargets takes in a page of targets alone at once. It says nothing of what is not
-// listed, and not up to which revision all is known: that is for the whole list to say.
+// takeTargets merges a page of targets without waiting for the rest of the list. It neither
+// removes entries nor advances the revision; only the complete list does.
 func (f *Follower) takeTargets(now time.Time, answer *Answer, output *Output) {
 	f.report(f.view.Merge(now, answer.Entries), output)
 	output.Events = append(output.Events, Event{EventTargetsListed, listedDetail(len(answer.Entries), answer)})
 }
 
-// nextPart begins the part after one that was read, and reports false if that was the last.
+// nextPart advances to the next part of the list and reports false if there is none.
 func (f *Follower) nextPart() bool {
 	if f.part != partTargets {
 		return false
@@ -69,18 +68,18 @@
 	f.afterKey = ""
 	f.part = partRest
 	if len(f.pages) == 0 {
-		// Without an entry there is no revision from which changes can be watched for.
+		// Without an entry there is no revision at which a watch could start.
 		f.isUnsplit = true
 		f.part = partWhole
 	}
 	return true
 }
 
-// isFirstPage reports whether the next page of the list is the first of its part.
+// isFirstPage reports whether the next page is the first of its part.
 func (f *Follower) isFirstPage() bool { return f.afterKey == "" }
 
-// noteLong takes in that a part is too long for the daemon's link while peers may tell it.
-// Of the whole the targets are read at once all the same.
+// noteLong handles a part that is too large for the daemon's link while peers may supply it. If
+// it was the full content, the targets are read alone at once.
 func (f *Follower) noteLong(now time.Time, answer *Answer, output *Output) {
 	output.Events = append(output.Events, Event{EventLong, fmt.Sprintf("%d bytes", answer.Bytes)})
 	if f.part == partWhole && f.config.EarlyBytes > 0 && !f.isUnsplit {
@@ -98,9 +97,8 @@
 	f.nextAt = now.Add(f.config.transferTime(answer.Bytes) + spread)
 }
 
-// leaveToPeers takes in that the content has so many pages that peers had better tell it: no page
-// is long, and all of them are. Where a thousand daemons that start at once each read 50 pages none
-// has a configuration after 6 s, in a model of the store's link; with this all have one after 3.6 s.
+// leaveToPeers abandons a list with so many pages that a snapshot from a peer is expected
+// sooner. It keeps many daemons that start at once from saturating the store's link.
 func (f *Follower) leaveToPeers(now time.Time, output *Output) {
 	output.Events = append(output.Events, Event{EventLong, fmt.Sprintf("more than %d bytes in pages", f.pagesBytes)})
 	f.coldBytes = 0
--- a/internal/followed/parts_test.go
+++ b/internal/followed/parts_test.go
@@ -8,8 +8,7 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// TestOnlyTheFirstPageOfAListMayBeStale: of two stale answers the second may be the older
-// one, and a change between them that is not in it would never be watched for.
+// Of two stale answers the second may be the older one, and changes between them would be lost.
 func TestOnlyTheFirstPageOfAListMayBeStale(t *testing.T) {
 	t.Run("in two parts", func(t *testing.T) {
 		follower := newSlowFollower(DefaultConfig())
@@ -27,8 +26,8 @@
 	})
 }
 
-// TestAConfigurationThatGossipBroughtIsNoWholeView: with targets of an early list alone it must
-// not end another daemon's list.
+// A view with a gossiped configuration and the targets of an early list is not a snapshot and
+// must not end another daemon's list.
 func TestAConfigurationThatGossipBroughtIsNoWholeView(t *testing.T) {
 	fleet := newTestFleet(DefaultFleetConfig())
 	fleet.follower.view.Merge(testStart, []storeview.Entry{configurationEntry(30, 1), targetEntry("a", 3)})
--- a/internal/followed/recentpeers.go
+++ b/internal/followed/recentpeers.go
@@ -6,16 +6,14 @@
 	"slices"
 )
 
-// maximumRecentPeers bounds how many peers are remembered: enough to spread the
-// questions of a fleet that starts at once.
 const maximumRecentPeers = 32
 
-// recentPeers are the last daemons of which something was heard, each once.
+// recentPeers holds the most recently added peers, each once.
 type recentPeers struct {
 	addresses []netip.AddrPort
 }
 
-// add remembers a peer as the latest.
+// add records a peer as the most recent.
 func (p *recentPeers) add(address netip.AddrPort) {
 	p.addresses = slices.DeleteFunc(p.addresses, func(held netip.AddrPort) bool { return held == address })
 	if len(p.addresses) >= maximumRecentPeers {
@@ -24,7 +22,7 @@
 	p.addresses = append(p.addresses, address)
 }
 
-// draw returns one of the peers that a test accepts, false if there is none.
+// draw returns a random peer that accept approves, false if there is none.
 func (p *recentPeers) draw(random *rand.Rand, accept func(address netip.AddrPort) bool) (netip.AddrPort, bool) {
 	first := 0
 	if len(p.addresses) > 0 {
--- a/internal/followed/relays.go
+++ b/internal/followed/relays.go
@@ -13,33 +13,31 @@
 )
 
 const (
-	// mostRelays bounds how many the reader tells: 32 times 700 bytes are 18 ms of a link
-	// of 10 Mbit/s.
+	// mostRelays bounds the relays that the reader sends to: 32 times 700 bytes take 18 ms on a
+	// link of 10 Mbit/s.
 	mostRelays = 32
-	// relaysEach is how many relays tell each daemon. One of them may be lost; where both
-	// are, gossip brings the news some 0.3 s later.
+	// relaysEach is the number of relays that send to each daemon. If all of them are lost,
+	// gossip delivers the update a round later.
 	relaysEach = 2
-	// directBurst is how much news in quick succession goes past gossip, directInterval
-	// after how long another piece may. With 302 daemons and every piece told directly, in
-	// a roll of all the fleet's daemons took 31 % more processor time: gossip gathers what
-	// follows quickly, and each long piece was asked for by all.
+	// directBurst and directInterval limit the updates sent directly. Updates in quick
+	// succession are left to gossip, which batches them and so needs less processor time.
 	directBurst    = 2
 	directInterval = time.Second
 )
 
-// relays are the strong daemons that pass news on to the others. They need no election:
-// each daemon derives them from the members it knows, and what different views leave out
-// gossip makes good.
+// relays are high-capacity daemons that forward updates to the others. There is no election:
+// each daemon derives them from the members it knows, and gossip covers the differences between
+// their views.
 type relays struct {
-	// addresses are theirs, in order; empty where all daemons are alike.
+	// addresses holds the relays in order of rank; empty if there are none.
 	addresses []netip.AddrPort
-	// audience are those that this daemon tells, if it is a relay.
+	// audience holds the daemons that this daemon sends to, if it is a relay.
 	audience []netip.AddrPort
 	isRelay  bool
 }
 
-// newRelays chooses relays among live members: the strong ones by rank, if they are fewer
-// than the others.
+// newRelays selects the relays among the live members: the strong ones by rank, if they are
+// outnumbered by the others.
 func newRelays(live []membership.Member, most *strengths, self netip.AddrPort, from int) relays {
 	var strong, weak []netip.AddrPort
 	for index := range live {
@@ -65,8 +63,8 @@
 	return chosen
 }
 
-// audienceOf returns which of the others a relay tells: each is told by its first relays by
-// rendezvous hash, so that one relay more or less moves few.
+// audienceOf returns the daemons that a relay sends to. Each is assigned its relays by
+// rendezvous hashing, so that adding or removing a relay moves few of them.
 func (r *relays) audienceOf(relay netip.AddrPort, others []netip.AddrPort) []netip.AddrPort {
 	var audience []netip.AddrPort
 	keys := make([]uint64, len(r.addresses))
@@ -96,26 +94,26 @@
 	return xxhash.Sum64(pair[:])
 }
 
-// Role is what a daemon does for the others by its strength.
+// Role describes what a daemon does for the group.
 type Role struct {
-	// IsStrong says that it bears roles, IsRelay that it passes news on to so many others.
+	// IsStrong means that its capacity qualifies it for roles, IsRelay that it forwards updates
+	// to Audience other daemons.
 	IsStrong bool
 	IsRelay  bool
 	Audience int
 }
 
-// Role returns what this daemon does for the others.
 func (f *Fleet) Role() Role {
 	return Role{IsStrong: f.isStrong, IsRelay: f.relays.isRelay, Audience: len(f.relays.audience)}
 }
 
-// pacer allows a burst, and then one piece an interval (a token bucket).
+// pacer is a token bucket of directBurst updates, refilled at one per directInterval.
 type pacer struct {
-	// fullAt is when the whole burst is allowed again.
+	// fullAt is when the bucket is full again.
 	fullAt time.Time
 }
 
-// allow reports whether another piece may go now, and takes it for gone.
+// allow takes a token and reports whether there was one.
 func (p *pacer) allow(now time.Time) bool {
 	if p.fullAt.Sub(now) > (directBurst-1)*directInterval {
 		return false
@@ -124,8 +122,8 @@
 	return true
 }
 
-// tellDirectly sends news past gossip to those that this daemon is to tell: whoever read it
-// in the store the relays, and a relay its audience.
+// tellDirectly sends an update past gossip: the daemon that read it from the store sends to the
+// relays, a relay to its audience.
 func (f *Fleet) tellDirectly(now time.Time, payload []byte, hasRead bool) {
 	to := f.relays.audience
 	if hasRead {
--- a/internal/followed/serve.go
+++ b/internal/followed/serve.go
@@ -7,8 +7,8 @@
 	"github.com/passtray/passtray/internal/membership"
 )
 
-// takeMembers takes in the members that a peer knew. The first list is not passed on:
-// those on it hear of each other from the same peers.
+// takeMembers merges the members known to a peer. The first list is not gossiped on, since the
+// daemons on it learn of each other from the same peers.
 func (f *Fleet) takeMembers(now time.Time, members []membership.Member, output *FleetOutput) {
 	if !f.hasMembers && len(members) > 0 {
 		f.hasMembers = true
@@ -55,10 +55,10 @@
 	return delta
 }
 
-// meet takes in what a pull tells of the daemon that asks.
+// meet records what a pull reveals about the requesting daemon.
 func (f *Fleet) meet(now time.Time, pull *Pull) {
 	if !pull.Asker.Identity.Address.IsValid() {
-		return // an earlier version of the program does not say
+		return // sent by an earlier version of the program
 	}
 	var output FleetOutput
 	f.takeGroup(now, f.group.Merge(now, []membership.Member{pull.Asker}), &output)
@@ -67,7 +67,7 @@
 	}
 }
 
-// redirect names a daemon that knows more than the asker in the place of an answer.
+// redirect returns an answer that only refers to a daemon that has more than the requester.
 func (f *Fleet) redirect(now time.Time, pull *Pull) Delta {
 	delta := Delta{Since: pull.Since, Until: pull.Since, Digest: f.Digest(now), IsRedirect: true}
 	if other, found := f.drawInformed(pull.Asker); found {
@@ -76,15 +76,15 @@
 	return delta
 }
 
-// NoteGiven takes in how long the answer to a pull became, in bytes.
+// NoteGiven records the encoded size of the answer to a pull in bytes.
 func (f *Fleet) NoteGiven(delta *Delta, bytes int) {
 	if delta.Since == 0 && !delta.IsRedirect {
 		f.budget.note(bytes)
 	}
 }
 
-// drawInformed returns a daemon to which an asker can be sent: a strong one in the asker's
-// zone if there is one, else a strong one, else any.
+// drawInformed selects a daemon to redirect to: preferably a strong one in the requester's
+// zone, then any strong one, then any.
 func (f *Fleet) drawInformed(asker membership.Member) (netip.AddrPort, bool) {
 	most := strengthsOf(f.group.Live())
 	for _, isWanted := range []func(member *membership.Member) bool{
--- a/internal/followed/side.go
+++ b/internal/followed/side.go
@@ -2,29 +2,30 @@
 
 import "time"
 
-// sideWatch reads on about targets alone while a long answer keeps the follower's own
-// watch busy: a leaving target's state must not wait behind documents. What it brings is
-// merged; up to where everything is known only the follower's own calls can tell.
+// sideWatch is a second watch, for targets only, that runs while the follower's own watch
+// receives a long answer, so that the state of a draining target does not wait behind
+// documents. Its changes are merged, but only the follower's own calls advance the revision.
 type sideWatch struct {
 	call      *Call
 	startedAt time.Time
 	nextAt    time.Time
-	// revision is up to where the targets' changes are known.
+	// revision is the revision up to which changes of targets are known.
 	revision uint64
-	// wasLong says that the answer before was long: what changed meanwhile comes next,
-	// and may be as long.
+	// wasLong reports that the previous answer was long: changes accumulated meanwhile, so the
+	// next answer may be as long.
 	wasLong bool
 }
 
 const (
-	// sideRetry is the pause after a side watch that failed.
+	// sideRetry is the pause after a failed side watch.
 	sideRetry = time.Second
-	// sideAfterLong is how long the next answer may take after a long one.
+	// sideAfterLong replaces the timeout after which an answer counts as long if the previous
+	// one was.
 	sideAfterLong = 200 * time.Millisecond
 )
 
-// isAnswerLong reports whether the call under way must have begun to be answered, or it
-// would have failed, and goes on; or whether that is likely.
+// isAnswerLong reports whether the call in flight has passed the time to first byte and is
+// still being transferred, or probably will.
 func (f *Follower) isAnswerLong(now time.Time) bool {
 	if f.underWay == nil {
 		return false
@@ -36,12 +37,12 @@
 	return now.Sub(f.startedAt) > patience
 }
 
-// noteLength takes in that the follower's own call was answered.
+// noteLength records whether the answer to the follower's own call was long.
 func (f *Follower) noteLength(now time.Time, call *Call) {
 	f.side.wasLong = now.Sub(f.startedAt) > call.Timeout
 }
 
-// watchAside starts a watch of targets alone if the answer under way is long.
+// watchAside starts a watch for targets only while a long answer is being transferred.
 func (f *Follower) watchAside(now time.Time, output *Output) {
 	if f.side.call != nil && now.Sub(f.side.startedAt) > f.side.call.Bound()+f.config.Slack {
 		f.side.call = nil
@@ -61,7 +62,7 @@
 	output.Call = f.side.call
 }
 
-// takeAside takes in the answer to a side watch.
+// takeAside handles the answer to a side watch.
 func (f *Follower) takeAside(now time.Time, answer *Answer, output *Output) {
 	f.side.call = nil
 	if answer.Outcome != OutcomeAnswered || f.isOfEarlierEpoch(answer) {
--- a/internal/followed/spread_test.go
+++ b/internal/followed/spread_test.go
@@ -20,7 +20,7 @@
 	assert.Equal(t, fleet.View().Revision(), uint64(9))
 }
 
-// TestALargeConfigurationsSmallChangeGoesByGossip: of 4,400 routes one changes.
+// The difference of one route out of 4,400 fits into a gossip message.
 func TestALargeConfigurationsSmallChangeGoesByGossip(t *testing.T) {
 	config := DefaultFleetConfig()
 	fleet := newTestFleet(config)
--- a/internal/followed/strength.go
+++ b/internal/followed/strength.go
@@ -4,14 +4,14 @@
 	"github.com/passtray/passtray/internal/membership"
 )
 
-// strengths is what the strongest members have, which others are measured by.
+// strengths holds the largest capacities among the members, relative to which each member is
+// rated.
 type strengths struct {
 	link, processor, memory uint32
-	// best is the largest share that one member has of all three.
+	// best is the highest rating of any member; see shareOf.
 	best float64
 }
 
-// strengthsOf measures live members.
 func strengthsOf(live []membership.Member) strengths {
 	var most strengths
 	for index := range live {
@@ -26,18 +26,18 @@
 	return most
 }
 
-// shareOf is how much a member has of the strongest members' link, processor and memory,
-// whichever it has least of: a role needs all of them.
+// shareOf returns a member's link, processor and memory relative to the largest in the group,
+// whichever is lowest, since roles need all three.
 func (s *strengths) shareOf(member *membership.Member) float64 {
 	share := func(has, most uint32) float64 {
 		if has == 0 {
-			return 1 // not told, as by earlier versions: it counts as much and makes nobody weak
+			return 1 // not reported, as by earlier versions, and therefore not held against the member
 		}
 		return float64(has) / float64(max(1, most))
 	}
 	return min(share(member.Link, s.link), share(member.Processor, s.processor), share(member.Memory, s.memory))
 }
 
-// isStrong reports whether a member bears roles: it has at least half of what the strongest
-// has. Where all are alike all are strong.
+// isStrong reports whether a member qualifies for roles: it is rated at least half as high as
+// the best. If all members are equal, all qualify.
 func (s *strengths) isStrong(member *membership.Member) bool { return s.shareOf(member) >= s.best/2 }
--- a/internal/followed/strength_test.go
+++ b/internal/followed/strength_test.go
@@ -13,7 +13,7 @@
 	"github.com/passtray/passtray/internal/membership"
 )
 
-// machine is a member with a link in Mbit/s, a processor in thousandths and memory in MB.
+// machine returns a member with a link in Mbit/s, a processor in thousandths and memory in MB.
 func machine(number byte, link, processor, memory uint32) membership.Member {
 	return membership.Member{
 		Identity: identity.Identity{Address: peerAddress(number), Start: identity.NewStart(1, uint64(number))},
@@ -54,7 +54,7 @@
 	}
 }
 
-// newMixedMembers are so many machines, every tenth of them strong.
+// newMixedMembers returns members of which every tenth is strong.
 func newMixedMembers(count int) []membership.Member {
 	var members []membership.Member
 	for number := range count {
@@ -83,11 +83,11 @@
 	for index := range members {
 		expected := relaysEach
 		if index%10 == 0 {
-			expected = 0 // whoever read the news tells relays
+			expected = 0 // the reader sends to relays
 		}
 		assert.Equal(t, told[members[index].Identity.Address], expected, "daemon %d", index)
 	}
-	assert.Assert(t, longest <= 40, "%d for one relay, 18 on average", longest)
+	assert.Assert(t, longest <= 40, "%d recipients of one relay, 18 on average", longest)
 }
 
 func TestWhereAllAreAlikeOrFewThereAreNoRelays(t *testing.T) {
@@ -102,10 +102,10 @@
 		assert.Equal(t, len(newRelays(members, &most, members[0].Identity.Address, 48).addresses), 0, name)
 	}
 	most := strengthsOf(newMixedMembers(100))
-	assert.Equal(t, len(newRelays(newMixedMembers(100), &most, peerAddress(0), 0).addresses), 0, "switched off")
+	assert.Equal(t, len(newRelays(newMixedMembers(100), &most, peerAddress(0), 0).addresses), 0, "relays disabled")
 }
 
-// TestWholeContentsKeepToALinksBudget: askers are sent on, but none for ever.
+// Requests beyond the budget are redirected, but not endlessly.
 func TestWholeContentsKeepToALinksBudget(t *testing.T) {
 	serving := newTestFleet(DefaultFleetConfig().ForLink(10 * megabit))
 	serving.follower.Learn(testStart, wholeDelta())
@@ -122,7 +122,7 @@
 			given++
 		}
 	}
-	assert.Equal(t, given, 4, "75 KB at once")
+	assert.Equal(t, given, 4, "burst of 75 KB")
 	assert.Assert(t, ask(testStart, MostRedirects))
 	assert.Assert(t, ask(testStart.Add(time.Minute), 0))
 }
@@ -137,7 +137,7 @@
 	}
 }
 
-// TestLongNewsIsAskedForAtOnce: gossip will not bring it.
+// Updates too large for gossip are pulled at once.
 func TestLongNewsIsAskedForAtOnce(t *testing.T) {
 	for name, isLong := range map[string]bool{"long": true, "short": false} {
 		t.Run(name, func(t *testing.T) {
@@ -168,7 +168,7 @@
 	assert.Assert(t, !pace.allow(testStart.Add(time.Minute)))
 }
 
-// TestAMemberThatTellsLessMakesNobodyWeak: an earlier version tells neither processor nor memory.
+// Earlier versions report neither processor nor memory, which must not make other members weak.
 func TestAMemberThatTellsLessMakesNobodyWeak(t *testing.T) {
 	var live []membership.Member
 	for range 8 {
@@ -176,6 +176,6 @@
 	}
 	old := membership.Member{Link: 10}
 	most := strengthsOf(append(live, old))
-	assert.Assert(t, most.isStrong(&live[0]), "a machine of 200 Mbit/s")
-	assert.Assert(t, !most.isStrong(&old), "a machine of 10 Mbit/s")
+	assert.Assert(t, most.isStrong(&live[0]), "member with 200 Mbit/s")
+	assert.Assert(t, !most.isStrong(&old), "member with 10 Mbit/s")
 }
--- a/internal/followed/suppression_test.go
+++ b/internal/followed/suppression_test.go
@@ -10,11 +10,11 @@
 
 func TestSuppressionSpreadsCallsOfAnyCrowd(t *testing.T) {
 	timer := SuppressionTimer{Most: 600 * time.Millisecond, Crowd: 1000}
-	t.Run("it goes from nothing to the longest delay", func(t *testing.T) {
+	t.Run("delays range from 0 to the maximum", func(t *testing.T) {
 		assert.Equal(t, timer.delay(0), time.Duration(0))
 		assert.Equal(t, timer.delay(1).Round(time.Microsecond), timer.Most)
 	})
-	t.Run("few of many begin within half of it, and of few soon one", func(t *testing.T) {
+	t.Run("few of many daemons call early, and one of a few does", func(t *testing.T) {
 		random := rand.New(rand.NewPCG(1, 2))
 		for _, daemons := range []int{3, 30, 300, 1000} {
 			early, first := 0, timer.Most
--- a/internal/followed/versions_test.go
+++ b/internal/followed/versions_test.go
@@ -11,10 +11,9 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// A store that went back without telling an epoch gave a daemon that started an earlier version, under
-// a later revision than that of the one that its peer had. The peer showed the later version and
-// told nothing of it to whoever knew up to a later revision: the daemon asked ten times a second
-// for good.
+// A store restored without reporting an epoch gave a starting daemon an earlier version at a
+// later revision than its peer's. The peer must send its later version even to a daemon at the
+// same or a later revision, or that daemon pulls forever.
 func TestAPeerTellsALaterVersionWhateverItsRevision(t *testing.T) {
 	knowing, started := newTestFleet(DefaultFleetConfig()), newTestFleet(DefaultFleetConfig())
 	knowing.follower.Learn(testStart, &Delta{Until: 30, Entries: []storeview.Entry{configurationEntry(26, 23)}})
@@ -29,5 +28,5 @@
 	assert.Equal(t, started.View().Configuration().Version, uint64(23))
 	assert.Assert(t, !started.isBehind())
 	again := knowing.Serve(testStart.Add(time.Millisecond), started.newPull(testStart, peer))
-	assert.Equal(t, len(again.Entries), 0, "who has it is not told again")
+	assert.Equal(t, len(again.Entries), 0, "the same version is not sent twice")
 }
--- a/internal/followed/whole.go
+++ b/internal/followed/whole.go
@@ -6,21 +6,21 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// wholeLifetime is how long a whole content is given out to daemons that start: what changes
-// meanwhile they learn as others do. Where hundreds start at once, and targets change all the
-// time, each would else cost a look at all entries, memory for them, and its own encoding.
+// wholeLifetime is how long a snapshot is reused for starting daemons, which receive later
+// changes like all others. It saves building and encoding a snapshot per request when hundreds
+// start at once and targets change constantly.
 const wholeLifetime = time.Second
 
-// wholeContent is the store's content as it was put together for a daemon that starts.
+// wholeContent is a cached snapshot of the store's content.
 type wholeContent struct {
 	entries []storeview.Entry
 	until   uint64
 	at      time.Time
-	// configuration is the revision of the version that it holds.
+	// configuration is the revision of the configuration in the snapshot.
 	configuration uint64
 }
 
-// of returns the content of a view, and up to which revision. It must not be changed.
+// of returns a snapshot of the view and its revision. Callers must not modify the entries.
 func (w *wholeContent) of(now time.Time, view *storeview.View) (entries []storeview.Entry, until uint64) {
 	isFresh := w.entries != nil && now.Sub(w.at) < wholeLifetime
 	if !isFresh || w.configuration != view.ConfigurationRevision() || w.until < view.Forgotten() {
@@ -32,7 +32,7 @@
 	return w.entries, w.until
 }
 
-// expire frees the memory of a content that is given out no more.
+// expire frees a snapshot that is no longer reused.
 func (w *wholeContent) expire(now time.Time) {
 	if w.entries != nil && now.Sub(w.at) >= wholeLifetime {
 		*w = wholeContent{}
