--- a/internal/followed/backoff_test.go
+++ b/internal/followed/backoff_test.go
@@ -9,14 +9,14 @@
 
 // The history or epoch reported by the store's lists and watches contradict each other
 // permanently; the follower must back off.
-func TestAStoreThatContradictsItselfIsAskedLessAndLess(t *testing.T) {
+func TestContradictoryStoreIsPolledWithBackoff(t *testing.T) {
 	for name, contradict := range map[string]func(watch *Call) *Answer{
-		"history": func(watch *Call) *Answer { return ended(watch, OutcomeHistoryGone) },
+		"history": func(watch *Call) *Answer { return answerWithOutcome(watch, OutcomeHistoryGone) },
 		"epoch":   func(watch *Call) *Answer { return inEpoch(1, answered(watch, 3)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			follower := newTestFollower()
-			call := watching(t, follower)
+			call := startWatching(t, follower)
 			calls := 0
 			for now := testStart; now.Before(testStart.Add(10 * time.Second)); now = now.Add(10 * time.Millisecond) {
 				var output Output
--- a/internal/followed/budget.go
+++ b/internal/followed/budget.go
@@ -3,50 +3,50 @@
 import "time"
 
 const (
-	// answersShare is the average share of its link that a daemon spends on sending snapshots
+	// snapshotLinkShare is the average share of its link that a daemon spends on sending snapshots
 	// to starting daemons.
-	answersShare = 0.006
+	snapshotLinkShare = 0.006
 	// MostRedirects is the number of redirects after which a request for a snapshot is answered
 	// even if the budget is exhausted.
 	MostRedirects = 3
 )
 
-// answerBudget is a token bucket that limits the bytes of snapshots sent to other daemons. An
+// snapshotBudget is a token bucket that limits the bytes of snapshots sent to other daemons. An
 // answer may overdraw it, as its size is known only once it is encoded.
-type answerBudget struct {
+type snapshotBudget struct {
 	bytesPerSecond float64
 	// burst is the share of link time that may be spent at once; 0 means no limit.
-	burst time.Duration
-	spent float64
-	at    time.Time
-	// last is the size of the last snapshot in bytes.
-	last float64
+	burst      time.Duration
+	spentBytes float64
+	refilledAt time.Time
+	// lastSnapshotBytes is the size of the last snapshot in bytes.
+	lastSnapshotBytes float64
 }
 
-// isSpent reports whether no snapshot may be sent now.
-func (b *answerBudget) isSpent(now time.Time) bool {
+// isExhausted reports whether no snapshot may be sent now.
+func (b *snapshotBudget) isExhausted(now time.Time) bool {
 	b.refill(now)
-	most := b.bytesPerSecond * b.burst.Seconds()
-	return most > 0 && b.spent >= most
+	limit := b.bytesPerSecond * b.burst.Seconds()
+	return limit > 0 && b.spentBytes >= limit
 }
 
-// give charges the bucket for a snapshot, estimated at the size of the last one.
-func (b *answerBudget) give(now time.Time) {
+// charge takes the size of the last snapshot from the bucket, as an estimate for the next one.
+func (b *snapshotBudget) charge(now time.Time) {
 	b.refill(now)
-	b.spent += b.last
+	b.spentBytes += b.lastSnapshotBytes
 }
 
-// note records the size of an encoded snapshot in bytes.
-func (b *answerBudget) note(bytes int) {
-	if b.last == 0 {
-		b.spent += float64(bytes)
+// recordSize records the size of an encoded snapshot in bytes.
+func (b *snapshotBudget) recordSize(bytes int) {
+	if b.lastSnapshotBytes == 0 {
+		b.spentBytes += float64(bytes)
 	}
-	b.last = float64(bytes)
+	b.lastSnapshotBytes = float64(bytes)
 }
 
-func (b *answerBudget) refill(now time.Time) {
-	if !b.at.IsZero() {
-		b.spent = max(0, b.spent-now.Sub(b.at).Seconds()*b.bytesPerSecond*answersShare)
+func (b *snapshotBudget) refill(now time.Time) {
+	if !b.refilledAt.IsZero() {
+		b.spentBytes = max(0, b.spentBytes-now.Sub(b.refilledAt).Seconds()*b.bytesPerSecond*snapshotLinkShare)
 	}
-	b.at = now
+	b.refilledAt = now
 }
--- a/internal/followed/strength_test.go
+++ b/internal/followed/capacity_test.go
@@ -13,40 +13,40 @@
 	"github.com/passtray/passtray/internal/membership"
 )
 
-// machine returns a member with a link in Mbit/s, a processor in thousandths and memory in MB.
-func machine(number byte, link, processor, memory uint32) membership.Member {
+// newMember returns a member with a link in Mbit/s, a processor in thousandths and memory in MB.
+func newMember(number byte, link, processor, memory uint32) membership.Member {
 	return membership.Member{
 		Identity: identity.Identity{Address: peerAddress(number), Start: identity.NewStart(1, uint64(number))},
 		Link:     link, Processor: processor, Memory: memory, Status: membership.Alive,
 	}
 }
 
-func TestAMachineIsAsStrongAsWhatItHasLeastOf(t *testing.T) {
+func TestRatingIsLimitedByScarcestResource(t *testing.T) {
 	members := []membership.Member{
-		machine(1, 200, 800, 536), machine(2, 10, 800, 536), machine(3, 200, 144, 536),
-		machine(4, 200, 800, 64), machine(5, 100, 400, 268),
+		newMember(1, 200, 800, 536), newMember(2, 10, 800, 536), newMember(3, 200, 144, 536),
+		newMember(4, 200, 800, 64), newMember(5, 100, 400, 268),
 	}
-	most := strengthsOf(members)
+	capacity := measureCapacity(members)
 	var strong []int
 	for index := range members {
-		if most.isStrong(&members[index]) {
+		if capacity.isStrong(&members[index]) {
 			strong = append(strong, index+1)
 		}
 	}
 	assert.DeepEqual(t, strong, []int{1, 5})
 }
 
-func TestSomebodyIsAlwaysStrong(t *testing.T) {
+func TestSomeMemberIsAlwaysStrong(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	for range 1000 {
 		var members []membership.Member
 		for number := range byte(1 + random.IntN(9)) {
-			members = append(members, machine(number, random.Uint32N(3)*100, random.Uint32N(1000), random.Uint32N(1000)))
+			members = append(members, newMember(number, random.Uint32N(3)*100, random.Uint32N(1000), random.Uint32N(1000)))
 		}
-		most := strengthsOf(members)
+		capacity := measureCapacity(members)
 		strong := 0
 		for index := range members {
-			if most.isStrong(&members[index]) {
+			if capacity.isStrong(&members[index]) {
 				strong++
 			}
 		}
@@ -58,78 +58,78 @@
 func newMixedMembers(count int) []membership.Member {
 	var members []membership.Member
 	for number := range count {
-		member := machine(byte(number), 10, 144, 144)
+		member := newMember(byte(number), 10, 144, 144)
 		if number%10 == 0 {
-			member = machine(byte(number), 200, 800, 536)
+			member = newMember(byte(number), 200, 800, 536)
 		}
 		members = append(members, member)
 	}
 	return members
 }
 
-func TestEveryDaemonIsToldByTwoRelays(t *testing.T) {
+func TestEveryDaemonHasTwoRelays(t *testing.T) {
 	members := newMixedMembers(100)
-	most := strengthsOf(members)
-	told := map[netip.AddrPort]int{}
+	capacity := measureCapacity(members)
+	relaysOf := map[netip.AddrPort]int{}
 	longest := 0
 	for index := range members {
-		chosen := newRelays(members, &most, members[index].Identity.Address, 48)
+		chosen := newRelays(members, &capacity, members[index].Identity.Address, 48)
 		assert.Equal(t, chosen.isRelay, index%10 == 0)
 		longest = max(longest, len(chosen.audience))
 		for _, address := range chosen.audience {
-			told[address]++
+			relaysOf[address]++
 		}
 	}
 	for index := range members {
-		expected := relaysEach
+		expected := relaysPerMember
 		if index%10 == 0 {
 			expected = 0 // the reader sends to relays
 		}
-		assert.Equal(t, told[members[index].Identity.Address], expected, "daemon %d", index)
+		assert.Equal(t, relaysOf[members[index].Identity.Address], expected, "daemon %d", index)
 	}
 	assert.Assert(t, longest <= 40, "%d recipients of one relay, 18 on average", longest)
 }
 
-func TestWhereAllAreAlikeOrFewThereAreNoRelays(t *testing.T) {
+func TestNoRelaysInEqualOrSmallGroup(t *testing.T) {
 	var alike []membership.Member
 	for number := range byte(100) {
-		alike = append(alike, machine(number, 10, 144, 144))
+		alike = append(alike, newMember(number, 10, 144, 144))
 	}
 	for name, members := range map[string][]membership.Member{
 		"alike": alike, "few": newMixedMembers(40), "one strong": newMixedMembers(100)[1:20],
 	} {
-		most := strengthsOf(members)
-		assert.Equal(t, len(newRelays(members, &most, members[0].Identity.Address, 48).addresses), 0, name)
+		capacity := measureCapacity(members)
+		assert.Equal(t, len(newRelays(members, &capacity, members[0].Identity.Address, 48).addresses), 0, name)
 	}
-	most := strengthsOf(newMixedMembers(100))
-	assert.Equal(t, len(newRelays(newMixedMembers(100), &most, peerAddress(0), 0).addresses), 0, "relays disabled")
+	capacity := measureCapacity(newMixedMembers(100))
+	assert.Equal(t, len(newRelays(newMixedMembers(100), &capacity, peerAddress(0), 0).addresses), 0, "relays disabled")
 }
 
 // Requests beyond the budget are redirected, but not endlessly.
-func TestWholeContentsKeepToALinksBudget(t *testing.T) {
+func TestSnapshotsKeepLinkBudget(t *testing.T) {
 	serving := newTestFleet(DefaultFleetConfig().ForLink(10 * megabit))
-	serving.follower.Learn(testStart, wholeDelta())
-	serving.group.Merge(testStart, []membership.Member{machine(3, 10, 144, 144)})
-	serving.informed.add(peerAddress(3))
+	serving.follower.Learn(testStart, snapshotDelta())
+	serving.group.Merge(testStart, []membership.Member{newMember(3, 10, 144, 144)})
+	serving.informedPeers.add(peerAddress(3))
 	ask := func(now time.Time, redirects int) bool {
 		delta := serving.Serve(now, &Pull{Redirects: redirects})
 		serving.NoteGiven(&delta, 20<<10)
 		return !delta.IsRedirect
 	}
-	given := 0
+	sent := 0
 	for range 10 {
 		if ask(testStart, 0) {
-			given++
+			sent++
 		}
 	}
-	assert.Equal(t, given, 4, "burst of 75 KB")
+	assert.Equal(t, sent, 4, "burst of 75 KB")
 	assert.Assert(t, ask(testStart, MostRedirects))
 	assert.Assert(t, ask(testStart.Add(time.Minute), 0))
 }
 
-func TestWithNobodyElseToAskABudgetDeniesNothing(t *testing.T) {
+func TestBudgetIsIgnoredWithoutAlternativePeer(t *testing.T) {
 	serving := newTestFleet(DefaultFleetConfig().ForLink(10 * megabit))
-	serving.follower.Learn(testStart, wholeDelta())
+	serving.follower.Learn(testStart, snapshotDelta())
 	for range 10 {
 		delta := serving.Serve(testStart, &Pull{})
 		serving.NoteGiven(&delta, 20<<10)
@@ -138,24 +138,24 @@
 }
 
 // Updates too large for gossip are pulled at once.
-func TestLongNewsIsAskedForAtOnce(t *testing.T) {
-	for name, isLong := range map[string]bool{"long": true, "short": false} {
+func TestLargeUpdateIsPulledAtOnce(t *testing.T) {
+	for name, isLarge := range map[string]bool{"long": true, "short": false} {
 		t.Run(name, func(t *testing.T) {
 			fleet := newTestFleet(DefaultFleetConfig())
-			fleet.follower.Learn(testStart, wholeDelta())
+			fleet.follower.Learn(testStart, snapshotDelta())
 			fleet.reconcileAt = testStart.Add(time.Hour)
-			fleet.noteAhead(testStart, peerAddress(3), Digest{Revision: 100})
-			if isLong {
-				fleet.noteLongNews(testStart, &Delta{Since: 100, Until: 100})
+			fleet.recordAhead(testStart, peerAddress(3), Digest{Revision: 100})
+			if isLarge {
+				fleet.handleLargeUpdate(testStart, &Delta{Since: 100, Until: 100})
 			}
-			_, found := fleet.peerToAsk(testStart)
-			assert.Equal(t, found, isLong, fmt.Sprint(fleet.View().Revision()))
+			_, found := fleet.selectPeer(testStart)
+			assert.Equal(t, found, isLarge, fmt.Sprint(fleet.View().Revision()))
 		})
 	}
 }
 
-func TestNewsInQuickSuccessionIsLeftToGossip(t *testing.T) {
-	var pace pacer
+func TestBurstLimiter(t *testing.T) {
+	var pace burstLimiter
 	allowed := 0
 	for after := time.Duration(0); after < 10*time.Second; after += 10 * time.Millisecond {
 		if pace.allow(testStart.Add(after)) {
@@ -169,13 +169,13 @@
 }
 
 // Earlier versions report neither processor nor memory, which must not make other members weak.
-func TestAMemberThatTellsLessMakesNobodyWeak(t *testing.T) {
+func TestUnreportedCapacityMakesNobodyWeak(t *testing.T) {
 	var live []membership.Member
 	for range 8 {
 		live = append(live, membership.Member{Link: 200, Processor: 1000, Memory: 512})
 	}
 	old := membership.Member{Link: 10}
-	most := strengthsOf(append(live, old))
-	assert.Assert(t, most.isStrong(&live[0]), "member with 200 Mbit/s")
-	assert.Assert(t, !most.isStrong(&old), "member with 10 Mbit/s")
+	capacity := measureCapacity(append(live, old))
+	assert.Assert(t, capacity.isStrong(&live[0]), "member with 200 Mbit/s")
+	assert.Assert(t, !capacity.isStrong(&old), "member with 10 Mbit/s")
 }
--- a/internal/followed/congestion.go
+++ b/internal/followed/congestion.go
@@ -3,21 +3,21 @@
 import "time"
 
 const (
-	// congestionSpread is the multiple of the store's last latency over which starting daemons
-	// spread their next requests.
-	congestionSpread = 8
-	// congestedFrom is the latency from which the store counts as congested.
-	congestedFrom = 50 * time.Millisecond
+	// congestionSpreadFactor is the multiple of the store's last latency over which starting
+	// daemons spread their next requests.
+	congestionSpreadFactor = 8
+	// minCongestedLatency is the latency from which the store counts as congested.
+	minCongestedLatency = 50 * time.Millisecond
 )
 
-// noteDelay records how long the store took to begin an answer. A timeout counts only if the
+// recordLatency records how long the store took to begin an answer. A timeout counts only if the
 // store has answered before; otherwise it may be unreachable rather than slow.
-func (f *Follower) noteDelay(call *Call, answer *Answer) {
+func (f *Follower) recordLatency(call *Call, answer *Answer) {
 	switch {
 	case answer.BeganAfter > 0 && answer.Outcome != OutcomeFailed:
-		f.storeDelay = answer.BeganAfter
-	case answer.Outcome == OutcomeFailed && f.storeDelay > 0:
-		f.storeDelay = max(f.storeDelay, call.Timeout)
+		f.storeLatency = answer.BeganAfter
+	case answer.Outcome == OutcomeFailed && f.storeLatency > 0:
+		f.storeLatency = max(f.storeLatency, call.Timeout)
 	}
 }
 
@@ -25,10 +25,10 @@
 // a congested store. It prevents a retry storm when many daemons start at once; the few that
 // read early supply the others.
 func (f *Follower) congestionDelay() time.Duration {
-	if !f.yields || f.view.Configuration() != nil || f.storeDelay < congestedFrom {
+	if !f.avoidsCongestion || f.view.Configuration() != nil || f.storeLatency < minCongestedLatency {
 		return 0
 	}
 	spread := f.config.PagedSpread
-	spread.Most = min(spread.Most, congestionSpread*f.storeDelay)
+	spread.Most = min(spread.Most, congestionSpreadFactor*f.storeLatency)
 	return spread.delay(f.random.Float64())
 }
--- a/internal/followed/congestion_test.go
+++ b/internal/followed/congestion_test.go
@@ -11,8 +11,8 @@
 // had the given latency.
 func congestedFollower(beganAfter time.Duration) *Follower {
 	follower := newTestFollower()
-	follower.yields = true
-	follower.noteDelay(&Call{}, &Answer{Outcome: OutcomeAnswered, BeganAfter: beganAfter})
+	follower.avoidsCongestion = true
+	follower.recordLatency(&Call{}, &Answer{Outcome: OutcomeAnswered, BeganAfter: beganAfter})
 	return follower
 }
 
@@ -26,7 +26,7 @@
 	return sum / draws
 }
 
-func TestWhoKnowsNothingLeavesACongestedStoreAlone(t *testing.T) {
+func TestCongestionDelay(t *testing.T) {
 	t.Run("the delay grows with the latency, up to a bound", func(t *testing.T) {
 		short, long := meanDelay(congestedFollower(100*time.Millisecond)), meanDelay(congestedFollower(300*time.Millisecond))
 		assert.Assert(t, short > 400*time.Millisecond && short < 800*time.Millisecond, "%s", short)
@@ -38,35 +38,35 @@
 	})
 	t.Run("no delay before the first answer", func(t *testing.T) {
 		follower := newTestFollower()
-		follower.yields = true
-		follower.noteDelay(&Call{Timeout: time.Second}, &Answer{Outcome: OutcomeFailed})
+		follower.avoidsCongestion = true
+		follower.recordLatency(&Call{Timeout: time.Second}, &Answer{Outcome: OutcomeFailed})
 		assert.Equal(t, follower.congestionDelay(), time.Duration(0))
 	})
 	t.Run("no delay on seeds", func(t *testing.T) {
 		follower := congestedFollower(time.Second)
-		follower.yields = false
+		follower.avoidsCongestion = false
 		assert.Equal(t, follower.congestionDelay(), time.Duration(0))
 	})
 	t.Run("no delay with a configuration", func(t *testing.T) {
 		follower := congestedFollower(time.Second)
-		follower.Learn(testStart, wholeDelta())
+		follower.Learn(testStart, snapshotDelta())
 		assert.Equal(t, follower.congestionDelay(), time.Duration(0))
 	})
 	t.Run("a timeout after an answer counts as latency", func(t *testing.T) {
 		follower := congestedFollower(10 * time.Millisecond)
-		follower.noteDelay(&Call{Timeout: time.Second}, &Answer{Outcome: OutcomeFailed})
+		follower.recordLatency(&Call{Timeout: time.Second}, &Answer{Outcome: OutcomeFailed})
 		assert.Assert(t, meanDelay(follower) > 2*time.Second)
 	})
 }
 
 // When the store is congested, the delay before the next page spreads the daemons, so that only
 // a few read on.
-func TestPagesOfACongestedStoreAreReadByFew(t *testing.T) {
+func TestFewDaemonsReadPagesOfCongestedStore(t *testing.T) {
 	const daemons = 1000
 	early := 0
 	for number := range daemons {
 		follower := newTestFollower()
-		follower.yields = true
+		follower.avoidsCongestion = true
 		for range number {
 			follower.random.Uint64()
 		}
--- a/internal/followed/contacts.go
+++ b/internal/followed/contacts.go
@@ -11,7 +11,7 @@
 const (
 	// contactLifetime covers several gossip intervals.
 	contactLifetime = 2 * time.Second
-	maximumContacts = 64
+	maxContacts     = 64
 )
 
 // contacts are the peers from which a datagram arrived recently, which can therefore supply
@@ -21,35 +21,35 @@
 }
 
 type contact struct {
-	heardAt time.Time
-	rank    uint64
+	lastHeardAt time.Time
+	rank        uint64
 }
 
-func (c *contacts) note(now time.Time, peer netip.AddrPort) {
+func (c *contacts) add(now time.Time, peer netip.AddrPort) {
 	if c.byPeer == nil {
 		c.byPeer = map[netip.AddrPort]contact{}
 	}
 	held, isKnown := c.byPeer[peer]
-	if !isKnown && len(c.byPeer) >= maximumContacts {
-		c.forget(now)
-		if len(c.byPeer) >= maximumContacts {
+	if !isKnown && len(c.byPeer) >= maxContacts {
+		c.prune(now)
+		if len(c.byPeer) >= maxContacts {
 			return
 		}
 	}
 	if !isKnown {
-		held.rank = rankAt(peer)
+		held.rank = rankOfAddress(peer)
 	}
-	held.heardAt = now
+	held.lastHeardAt = now
 	c.byPeer[peer] = held
 }
 
-func (c *contacts) forget(now time.Time) {
-	maps.DeleteFunc(c.byPeer, func(_ netip.AddrPort, held contact) bool { return now.Sub(held.heardAt) >= contactLifetime })
+func (c *contacts) prune(now time.Time) {
+	maps.DeleteFunc(c.byPeer, func(_ netip.AddrPort, held contact) bool { return now.Sub(held.lastHeardAt) >= contactLifetime })
 }
 
-// ahead returns the number of contacts, and how many of them rank above the given rank.
-func (c *contacts) ahead(now time.Time, rank uint64) (heard, above int) {
-	c.forget(now)
+// countAbove returns the number of contacts, and how many of them rank above rank.
+func (c *contacts) countAbove(now time.Time, rank uint64) (total, above int) {
+	c.prune(now)
 	for _, held := range c.byPeer {
 		if held.rank > rank {
 			above++
@@ -58,5 +58,5 @@
 	return len(c.byPeer), above
 }
 
-// rankAt returns the rank among readers of the daemon at an address.
-func rankAt(address netip.AddrPort) uint64 { return xxhash.Sum64String(address.String()) }
+// rankOfAddress returns the rank among readers of the daemon at an address.
+func rankOfAddress(address netip.AddrPort) uint64 { return xxhash.Sum64String(address.String()) }
--- a/internal/followed/contacts_test.go
+++ b/internal/followed/contacts_test.go
@@ -10,39 +10,39 @@
 	"github.com/passtray/passtray/internal/membership"
 )
 
-func TestContactsAreThoseHeardLately(t *testing.T) {
+func TestContactsExpireAndAreBounded(t *testing.T) {
 	var held contacts
-	for number := range byte(maximumContacts) {
-		held.note(testStart, peerAddress(number))
+	for number := range byte(maxContacts) {
+		held.add(testStart, peerAddress(number))
 	}
-	held.note(testStart, peerAddress(200))
-	heard, above := held.ahead(testStart, rankAt(peerAddress(9)))
-	assert.Equal(t, heard, maximumContacts)
-	assert.Assert(t, above > 0 && above < heard)
+	held.add(testStart, peerAddress(200))
+	total, above := held.countAbove(testStart, rankOfAddress(peerAddress(9)))
+	assert.Equal(t, total, maxContacts)
+	assert.Assert(t, above > 0 && above < total)
 	later := testStart.Add(contactLifetime)
-	held.note(later, peerAddress(200))
-	heard, _ = held.ahead(later, 0)
-	assert.Equal(t, heard, 1, "the others have expired")
+	held.add(later, peerAddress(200))
+	total, _ = held.countAbove(later, 0)
+	assert.Equal(t, total, 1, "the others have expired")
 }
 
 // A daemon that receives messages leaves reading to each higher-ranked peer for a while; one
 // that receives none reads at once.
-func TestWhoHearsPeersLeavesTheStoreToThoseAbove(t *testing.T) {
+func TestReadDelayGrowsWithHigherRankedContacts(t *testing.T) {
 	fleet := newTestFleet(DefaultFleetConfig())
 	fleet.Tick(testStart)
-	heard, turn := fleet.turn(testStart)
-	assert.Equal(t, heard, 0)
-	assert.Equal(t, turn, time.Duration(0))
+	contactCount, readDelay := fleet.readDelay(testStart)
+	assert.Equal(t, contactCount, 0)
+	assert.Equal(t, readDelay, time.Duration(0))
 	above := 0
 	for number := byte(30); number < 50; number++ {
 		peer := membership.Member{Identity: identity.Identity{Address: peerAddress(number), Start: identity.NewStart(1, 3)}, Status: membership.Alive}
 		fleet.Serve(testStart, &Pull{Asker: peer})
-		fleet.contacts.note(testStart, peer.Identity.Address)
-		if rankAt(peer.Identity.Address) > readerRank(fleet.self.Identity) {
+		fleet.contacts.add(testStart, peer.Identity.Address)
+		if rankOfAddress(peer.Identity.Address) > rankOf(fleet.self.Identity) {
 			above++
 		}
 	}
-	heard, turn = fleet.turn(testStart)
-	assert.Equal(t, heard, 20)
-	assert.Equal(t, turn, time.Duration(above)*fleet.config.TurnPerMember, "all live peers are contacts")
+	contactCount, readDelay = fleet.readDelay(testStart)
+	assert.Equal(t, contactCount, 20)
+	assert.Equal(t, readDelay, time.Duration(above)*fleet.config.TurnPerMember, "all live peers are contacts")
 }
--- a/internal/followed/epoch_test.go
+++ b/internal/followed/epoch_test.go
@@ -27,9 +27,9 @@
 // After the restore the store's revisions had passed the daemon's, so that its watch succeeded
 // but delivered only changes written after that revision, without revisions 8 and 9 of the new
 // epoch.
-func TestAWatchThatARestoredStoreAnswersIsFollowedByAList(t *testing.T) {
+func TestWatchAnsweredByRestoredStoreTriggersList(t *testing.T) {
 	follower := newTestFollower()
-	watch := watching(t, follower)
+	watch := startWatching(t, follower)
 	output := follower.Step(testStart, inEpoch(1, answered(watch, 11, targetEntry("b", 10), targetEntry("c", 11))))
 	assert.Equal(t, follower.View().Revision(), uint64(9), "the changes between are unknown")
 	assert.Equal(t, output.Call.Kind, CallList)
@@ -46,9 +46,9 @@
 // The daemon learned from a peer of the new epoch while its watch in the old epoch was in
 // flight. The answer must not be taken for a continuation of the new epoch, or revisions 5 to 9
 // would be lost.
-func TestAWatchFromAnEpochBeforeTellsNothingOfTheNext(t *testing.T) {
+func TestWatchFromEarlierEpochIsNoContinuation(t *testing.T) {
 	follower := newTestFollower()
-	watch := watching(t, follower)
+	watch := startWatching(t, follower)
 	follower.Learn(testStart, &Delta{Until: storeview.RevisionIn(1, 4), Entries: []storeview.Entry{configurationEntry(storeview.RevisionIn(1, 3), 2)}})
 	output := follower.Step(testStart, inEpoch(1, answered(watch, 11, targetEntry("c", 11))))
 	assert.Equal(t, follower.View().Revision(), storeview.RevisionIn(1, 4))
@@ -56,10 +56,10 @@
 	assert.Equal(t, output.Call.AfterRevision, storeview.RevisionIn(1, 4))
 }
 
-func TestAStaleListDoesNotTellOfALaterEpoch(t *testing.T) {
+func TestStaleListOfLaterEpochIsRepeated(t *testing.T) {
 	follower := newTestFollower()
-	watch := watching(t, follower)
-	list := follower.Step(testStart, ended(watch, OutcomeHistoryGone))
+	watch := startWatching(t, follower)
+	list := follower.Step(testStart, answerWithOutcome(watch, OutcomeHistoryGone))
 	for list.Call == nil {
 		list = follower.Tick(testStart.Add(time.Second))
 	}
@@ -72,7 +72,7 @@
 
 // A watch from revision 0 of an empty store in a later epoch must not be mistaken for one from
 // before the restore and retried endlessly.
-func TestAnEmptyStoreOfALaterEpochIsFollowed(t *testing.T) {
+func TestEmptyStoreOfLaterEpochIsFollowed(t *testing.T) {
 	follower := newTestFollower()
 	list := follower.Tick(testStart).Call
 	confirm := follower.Step(testStart, inEpoch(1, answered(list, 0))).Call
@@ -83,17 +83,17 @@
 	assert.Equal(t, follower.View().Revision(), storeview.RevisionIn(1, 2))
 }
 
-func TestHistoryThatWentWithAnEpochIsListedAtOnce(t *testing.T) {
+func TestLostHistoryInLaterEpochTriggersConsistentList(t *testing.T) {
 	follower := newTestFollower()
-	watch := watching(t, follower)
-	output := follower.Step(testStart, inEpoch(1, ended(watch, OutcomeHistoryGone)))
+	watch := startWatching(t, follower)
+	output := follower.Step(testStart, inEpoch(1, answerWithOutcome(watch, OutcomeHistoryGone)))
 	assert.Assert(t, output.Call != nil && output.Call.Kind == CallList)
 	assert.Assert(t, !output.Call.AllowStale)
 }
 
-func TestAnAnswerOfAnEarlierEpochIsPassedOver(t *testing.T) {
+func TestAnswerFromEarlierEpochIsIgnored(t *testing.T) {
 	follower := newTestFollower()
-	watch := watching(t, follower)
+	watch := startWatching(t, follower)
 	follower.Learn(testStart, &Delta{Until: storeview.RevisionIn(1, 4), Entries: []storeview.Entry{configurationEntry(storeview.RevisionIn(1, 3), 2)}})
 	output := follower.Step(testStart, answered(watch, 12, configurationEntry(12, 7), targetEntry("x", 11)))
 	assert.Equal(t, follower.View().Configuration().Version, uint64(2), "that version was lost in the restore")
@@ -101,7 +101,7 @@
 	assert.Equal(t, output.Events[0], Event{EventLost, "failed: answer from epoch 0, but epoch 1 is known"})
 }
 
-func TestPagesOfTwoEpochsAreNoList(t *testing.T) {
+func TestEpochChangeBetweenPagesRestartsList(t *testing.T) {
 	follower := newTestFollower()
 	call := follower.Tick(testStart).Call
 	first := answered(call, 20, targetEntry("a", 18))
@@ -117,17 +117,17 @@
 
 // A gossiped change of a restored store does not include the changes before it, so they must be
 // requested.
-func TestNewsOfALaterEpochIsNotWhole(t *testing.T) {
+func TestDeltaOfLaterEpochIsIncomplete(t *testing.T) {
 	follower := newTestFollower()
-	watching(t, follower)
+	startWatching(t, follower)
 	since, until := storeview.RevisionIn(1, 6), storeview.RevisionIn(1, 7)
-	_, isWhole := follower.Learn(testStart, &Delta{Since: since, Until: until, Entries: []storeview.Entry{configurationEntry(until, 3)}})
-	assert.Assert(t, !isWhole)
+	_, isComplete := follower.Learn(testStart, &Delta{Since: since, Until: until, Entries: []storeview.Entry{configurationEntry(until, 3)}})
+	assert.Assert(t, !isComplete)
 	assert.Equal(t, follower.View().Revision(), uint64(9))
 	assert.Equal(t, follower.View().Configuration().Version, uint64(3), "the known configuration is active at once")
 }
 
-func TestADaemonThatServesAPeerOfAnEarlierEpochTellsAll(t *testing.T) {
+func TestPeerOfEarlierEpochIsSentSnapshot(t *testing.T) {
 	fleet := newTestFleet(DefaultFleetConfig())
 	fleet.follower.Learn(testStart, &Delta{Until: storeview.RevisionIn(1, 4), Entries: []storeview.Entry{configurationEntry(storeview.RevisionIn(1, 3), 2)}})
 	delta := fleet.Serve(testStart.Add(time.Millisecond), &Pull{Since: 900})
@@ -138,7 +138,7 @@
 
 // A difference to a version that peers hold from the previous epoch applies to it, so that they
 // need not pull a full snapshot.
-func TestADifferenceOfAVersionOfAnotherEpochIsApplied(t *testing.T) {
+func TestDifferenceToVersionOfEarlierEpochIsApplied(t *testing.T) {
 	routes := func(version uint64, ports ...uint16) *storeview.Configuration {
 		configuration := &storeview.Configuration{Version: version}
 		for _, port := range ports {
@@ -164,25 +164,25 @@
 // The daemon listed a restored store and received nothing afterwards, neither from the store
 // nor from peers. It must not take the backup's state for current when the writers' time is
 // over: the target had written again meanwhile that it is draining.
-func TestACopyIsNotTheLastWordWhileNothingIsConfirmed(t *testing.T) {
-	settled := testStart.Add(DefaultConfig().View.RestoredFor)
+func TestRestoredStateIsNotFinalBeforeConfirmation(t *testing.T) {
+	afterRestore := testStart.Add(DefaultConfig().View.RestoredFor)
 	cutOff := func(t *testing.T) *Fleet {
 		fleet := newTestFleet(DefaultFleetConfig())
 		leaving, copied := stateEntry("a", 12, true), stateEntry("a", storeview.RevisionIn(1, 2), false)
 		fleet.follower.Learn(testStart, &Delta{Until: 15, Entries: []storeview.Entry{configurationEntry(1, 1), leaving}})
 		fleet.follower.Learn(testStart, &Delta{Until: storeview.RevisionIn(1, 10), Entries: []storeview.Entry{configurationEntry(storeview.RevisionIn(1, 1), 1), copied}})
-		fleet.Tick(settled)
+		fleet.Tick(afterRestore)
 		assert.Equal(t, fleet.View().Target("a").State(), storeview.StateDraining)
 		return fleet
 	}
 	confirm := func(fleet *Fleet, revision uint64) {
-		fleet.hear(settled, settled, peerAddress(1), Digest{Revision: revision, IsConfirmed: true})
-		fleet.Tick(settled)
+		fleet.handleDigest(afterRestore, afterRestore, peerAddress(1), Digest{Revision: revision, IsConfirmed: true})
+		fleet.Tick(afterRestore)
 	}
 	t.Run("the writer wrote again", func(t *testing.T) {
 		fleet := cutOff(t)
 		again := Delta{Since: storeview.RevisionIn(1, 10), Until: storeview.RevisionIn(1, 11), Entries: []storeview.Entry{stateEntry("a", storeview.RevisionIn(1, 11), true)}}
-		fleet.follower.Learn(settled, &again)
+		fleet.follower.Learn(afterRestore, &again)
 		confirm(fleet, storeview.RevisionIn(1, 11))
 		assert.Equal(t, fleet.View().Target("a").State(), storeview.StateDraining)
 	})
--- a/internal/followed/followerconfig.go
+++ b/internal/followed/followerconfig.go
@@ -62,11 +62,11 @@
 	if c.LinkBytes <= 0 {
 		return 0
 	}
-	return min(time.Duration(float64(bytes)/c.LinkBytes*float64(time.Second)), mostLinkTime)
+	return min(time.Duration(float64(bytes)/c.LinkBytes*float64(time.Second)), maxTransferTime)
 }
 
-// mostLinkTime bounds transferTime on slow links.
-const mostLinkTime = time.Second
+// maxTransferTime bounds transferTime on slow links.
+const maxTransferTime = time.Second
 
 // DefaultConfig suits a store a few milliseconds away.
 func DefaultConfig() Config {
--- a/internal/followed/spread_test.go
+++ b/internal/followed/gossip_test.go
@@ -10,18 +10,18 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-func TestADifferenceOfAVersionThatIsNotHeldLeavesTheRevision(t *testing.T) {
+func TestDifferenceWithoutBaseKeepsRevision(t *testing.T) {
 	fleet := newTestFleet(DefaultFleetConfig())
 	pull := fleet.Tick(testStart).Pulls[0]
-	fleet.StepDelta(testStart, pull.Number, wholeDelta())
+	fleet.StepDelta(testStart, pull.Number, snapshotDelta())
 	orphan := storeview.Entry{Key: "config", Revision: 12, Difference: &storeview.Difference{Base: 11, Version: 9}}
-	change, isWhole := fleet.follower.Learn(testStart, &Delta{Since: 9, Until: 12, Entries: []storeview.Entry{orphan}})
-	assert.Assert(t, change.LacksBase && !isWhole)
+	change, isComplete := fleet.follower.Learn(testStart, &Delta{Since: 9, Until: 12, Entries: []storeview.Entry{orphan}})
+	assert.Assert(t, change.LacksBase && !isComplete)
 	assert.Equal(t, fleet.View().Revision(), uint64(9))
 }
 
 // The difference of one route out of 4,400 fits into a gossip message.
-func TestALargeConfigurationsSmallChangeGoesByGossip(t *testing.T) {
+func TestSmallChangeOfLargeConfigurationFitsGossip(t *testing.T) {
 	config := DefaultFleetConfig()
 	fleet := newTestFleet(config)
 	var routes []storeview.Route
@@ -35,7 +35,7 @@
 	changed[7].Objective = time.Second
 	second := configurationEntry(10, 2, changed...)
 	fleet.View().Merge(testStart, []storeview.Entry{second})
-	entries := fleet.asDifferences(testStart, []storeview.Entry{second}, 5)
-	payload := encode(news{Delta: &Delta{Since: 9, Until: 10, Entries: entries}})
+	entries := fleet.withDifferences(testStart, []storeview.Entry{second}, 5)
+	payload := encode(gossipMessage{Delta: &Delta{Since: 9, Until: 10, Entries: entries}})
 	assert.Assert(t, len(payload) < config.BroadcastBytes/2, "%d bytes", len(payload))
 }
--- a/internal/followed/hedge.go
+++ b/internal/followed/hedge.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// hedgeTransfers is the minimum delay before a hedged request in transfer times of a long list.
-// The store's link is shared, and further requests slow it down.
-const hedgeTransfers = 3
+// hedgeTransferFactor is the minimum delay before a hedged request in transfer times of a long
+// list. The store's link is shared, and further requests slow it down.
+const hedgeTransferFactor = 3
 
-// hedgeDelays is the same in multiples of the store's last latency.
-const hedgeDelays = 2
+// hedgeLatencyFactor is the same in multiples of the store's last latency.
+const hedgeLatencyFactor = 2
 
 // IsAwaited reports whether the answer to a call is still needed.
-func (f *Follower) IsAwaited(number uint64) bool { return f.awaited(number) != nil }
+func (f *Follower) IsAwaited(number uint64) bool { return f.awaitedCall(number) != nil }
 
-func (f *Follower) awaited(number uint64) *Call {
-	if f.underWay != nil && f.underWay.Number == number {
-		return f.underWay
+func (f *Follower) awaitedCall(number uint64) *Call {
+	if f.inFlight != nil && f.inFlight.Number == number {
+		return f.inFlight
 	}
-	if f.side.call != nil && f.side.call.Number == number {
-		return f.side.call
+	if f.targetsWatch.call != nil && f.targetsWatch.call.Number == number {
+		return f.targetsWatch.call
 	}
 	for _, call := range f.hedged {
 		if call.Number == number {
@@ -30,33 +30,33 @@
 	return nil
 }
 
-// isToHedge reports whether the list in flight has taken so long that it is requested again.
+// shouldHedge reports whether the list in flight has taken so long that it is requested again.
 // Only a daemon without a configuration hedges.
-func (f *Follower) isToHedge(now time.Time) bool {
-	isCold := f.phase == phaseListing && f.isFirstPage() && f.view.Configuration() == nil
-	after := max(f.config.HedgeAfter, f.perMember(f.config.HedgePerMember), hedgeTransfers*f.config.transferTime(f.listBytes),
-		hedgeDelays*f.storeDelay)
-	if f.storeDelay > 0 {
+func (f *Follower) shouldHedge(now time.Time) bool {
+	isStarting := f.phase == phaseListing && f.isFirstPage() && f.view.Configuration() == nil
+	after := max(f.config.HedgeAfter, f.scaleByMembers(f.config.HedgePerMember), hedgeTransferFactor*f.config.transferTime(f.longListBytes),
+		hedgeLatencyFactor*f.storeLatency)
+	if f.storeLatency > 0 {
 		after <<= len(f.hedged) // a store that answered before is slow rather than unresponsive
 	}
-	return isCold && len(f.hedged)+1 < f.config.HedgeMost && now.Sub(f.startedAt) >= after
+	return isStarting && len(f.hedged)+1 < f.config.HedgeMost && now.Sub(f.sentAt) >= after
 }
 
-// dropHedged drops one of several equivalent calls. It reports false if there is only one.
-func (f *Follower) dropHedged(call *Call) bool {
+// dropHedgedCall drops one of several equivalent calls. It reports false if there is only one.
+func (f *Follower) dropHedgedCall(call *Call) bool {
 	if len(f.hedged) == 0 {
 		return false
 	}
-	if f.underWay == call {
-		f.underWay = f.hedged[len(f.hedged)-1]
+	if f.inFlight == call {
+		f.inFlight = f.hedged[len(f.hedged)-1]
 	}
-	f.hedged = slices.DeleteFunc(f.hedged, func(held *Call) bool { return held == call || held == f.underWay })
+	f.hedged = slices.DeleteFunc(f.hedged, func(held *Call) bool { return held == call || held == f.inFlight })
 	return true
 }
 
-// forgetCalls abandons all calls in flight.
-func (f *Follower) forgetCalls() {
-	f.underWay = nil
+// abandonCalls abandons all calls in flight.
+func (f *Follower) abandonCalls() {
+	f.inFlight = nil
 	f.hedged = nil
-	f.side.call = nil
+	f.targetsWatch.call = nil
 }
--- a/internal/followed/parts.go
+++ b/internal/followed/listparts.go
@@ -9,55 +9,56 @@
 type part uint8
 
 const (
-	// partWhole is the full content in key order.
-	partWhole part = iota
+	// partAll is the full content in key order.
+	partAll part = iota
 	// partTargets is the targets, partRest all else. Read in this order they form a complete
 	// list: the second part is no older than the first.
 	partTargets
 	partRest
 )
 
-// splitFrom is the transfer time of EarlyBytes from which the content is read in two parts. On
-// a faster link the second round trip costs more than reading the targets first gains.
-const splitFrom = 10 * time.Millisecond
+// minSplitTransfer is the transfer time of EarlyBytes from which the content is read in two
+// parts. On a faster link the second round trip costs more than reading the targets first
+// gains.
+const minSplitTransfer = 10 * time.Millisecond
 
 // firstPart returns the part that a list begins with. A daemon without a configuration on a
 // slow link reads the targets first, as existing flows need no route. Requesting the full
 // content and canceling it would cost as much bandwidth.
 func (f *Follower) firstPart() part {
-	isSlow := f.config.EarlyBytes > 0 && f.config.transferTime(f.config.EarlyBytes) >= splitFrom
-	if isSlow && f.view.Configuration() == nil && !f.isUnsplit {
+	isSlow := f.config.EarlyBytes > 0 && f.config.transferTime(f.config.EarlyBytes) >= minSplitTransfer
+	if isSlow && f.view.Configuration() == nil && !f.isSplitDisabled {
 		return partTargets
 	}
-	return partWhole
+	return partAll
 }
 
-// describeList fills in the call for the next page of the list. Only the first page may be
+// prepareList fills in the call for the next page of the list. Only the first page may be
 // stale: a later page that is older than the first would lack changes that precede the revision
 // at which the watch starts, and so lose them for good.
-func (f *Follower) describeList(call *Call) {
-	if f.part == partWhole && len(f.pages) == 0 {
+func (f *Follower) prepareList(call *Call) {
+	if f.part == partAll && len(f.pages) == 0 {
 		f.part = f.firstPart()
 	}
 	call.Kind = CallList
-	call.AllowStale = !f.exact && len(f.pages) == 0
-	call.Timeout = f.patient(f.config.ListTimeout)
-	call.MostBytes = f.coldBytes
+	call.AllowStale = !f.needsConsistentList && len(f.pages) == 0
+	call.Timeout = f.growTimeout(f.config.ListTimeout)
+	call.MostBytes = f.maxListBytes
 	call.AfterKey = f.afterKey
 	switch f.part {
 	case partTargets:
 		call.TargetsOnly = true
-		call.MostBytes = min(f.coldBytes, f.config.EarlyBytes)
+		call.MostBytes = min(f.maxListBytes, f.config.EarlyBytes)
 	case partRest:
 		call.WithoutTargets = true
 	}
 }
 
-// takeTargets merges a page of targets without waiting for the rest of the list. It neither
+// handleTargets merges a page of targets without waiting for the rest of the list. It neither
 // removes entries nor advances the revision; only the complete list does.
-func (f *Follower) takeTargets(now time.Time, answer *Answer, output *Output) {
-	f.report(f.view.Merge(now, answer.Entries), output)
-	output.Events = append(output.Events, Event{EventTargetsListed, listedDetail(len(answer.Entries), answer)})
+func (f *Follower) handleTargets(now time.Time, answer *Answer, output *Output) {
+	f.emitChange(f.view.Merge(now, answer.Entries), output)
+	output.Events = append(output.Events, Event{EventTargetsListed, listSummary(len(answer.Entries), answer)})
 }
 
 // nextPart advances to the next part of the list and reports false if there is none.
@@ -69,8 +70,8 @@
 	f.part = partRest
 	if len(f.pages) == 0 {
 		// Without an entry there is no revision at which a watch could start.
-		f.isUnsplit = true
-		f.part = partWhole
+		f.isSplitDisabled = true
+		f.part = partAll
 	}
 	return true
 }
@@ -78,31 +79,31 @@
 // isFirstPage reports whether the next page is the first of its part.
 func (f *Follower) isFirstPage() bool { return f.afterKey == "" }
 
-// noteLong handles a part that is too large for the daemon's link while peers may supply it. If
-// it was the full content, the targets are read alone at once.
-func (f *Follower) noteLong(now time.Time, answer *Answer, output *Output) {
+// handleTooLong handles a part that is too large for the daemon's link while peers may supply
+// it. If it was the full content, the targets are read alone at once.
+func (f *Follower) handleTooLong(now time.Time, answer *Answer, output *Output) {
 	output.Events = append(output.Events, Event{EventLong, fmt.Sprintf("%d bytes", answer.Bytes)})
-	if f.part == partWhole && f.config.EarlyBytes > 0 && !f.isUnsplit {
+	if f.part == partAll && f.config.EarlyBytes > 0 && !f.isSplitDisabled {
 		f.part = partTargets
-		f.nextAt = now
+		f.nextCallAt = now
 		return
 	}
-	f.coldBytes = 0
-	f.listBytes = answer.Bytes
+	f.maxListBytes = 0
+	f.longListBytes = answer.Bytes
 	if f.part == partTargets {
-		f.isUnsplit = true
+		f.isSplitDisabled = true
 		f.restartList()
 	}
 	spread := max(f.config.ColdSpread.delay(f.random.Float64()), f.congestionDelay())
-	f.nextAt = now.Add(f.config.transferTime(answer.Bytes) + spread)
+	f.nextCallAt = now.Add(f.config.transferTime(answer.Bytes) + spread)
 }
 
-// leaveToPeers abandons a list with so many pages that a snapshot from a peer is expected
+// deferToPeers abandons a list with so many pages that a snapshot from a peer is expected
 // sooner. It keeps many daemons that start at once from saturating the store's link.
-func (f *Follower) leaveToPeers(now time.Time, output *Output) {
+func (f *Follower) deferToPeers(now time.Time, output *Output) {
 	output.Events = append(output.Events, Event{EventLong, fmt.Sprintf("more than %d bytes in pages", f.pagesBytes)})
-	f.coldBytes = 0
-	f.isUnsplit = true
+	f.maxListBytes = 0
+	f.isSplitDisabled = true
 	f.restartList()
-	f.nextAt = now.Add(f.config.PagedSpread.delay(f.random.Float64()))
+	f.nextCallAt = now.Add(f.config.PagedSpread.delay(f.random.Float64()))
 }
--- a/internal/followed/parts_test.go
+++ b/internal/followed/listparts_test.go
@@ -28,10 +28,10 @@
 
 // A view with a gossiped configuration and the targets of an early list is not a snapshot and
 // must not end another daemon's list.
-func TestAConfigurationThatGossipBroughtIsNoWholeView(t *testing.T) {
+func TestGossipedConfigurationIsNoSnapshot(t *testing.T) {
 	fleet := newTestFleet(DefaultFleetConfig())
 	fleet.follower.view.Merge(testStart, []storeview.Entry{configurationEntry(30, 1), targetEntry("a", 3)})
-	assert.Assert(t, fleet.knowsNothing())
+	assert.Assert(t, fleet.lacksSnapshot())
 	asker := newTestFollower()
 	asker.Tick(testStart)
 	asker.Learn(testStart, &Delta{Entries: []storeview.Entry{configurationEntry(30, 1), targetEntry("a", 3)}})
--- a/internal/followed/liveness.go
+++ b/internal/followed/liveness.go
@@ -13,8 +13,8 @@
 	"github.com/passtray/passtray/internal/rendezvous"
 )
 
-// mostReportsAtOnce bounds the reports in one datagram, at some 20 bytes each.
-const mostReportsAtOnce = 40
+// maxReportsPerDatagram bounds the reports in one datagram, at some 20 bytes each.
+const maxReportsPerDatagram = 40
 
 // TellLiveness returns the datagrams that carry reports on the liveness of targets. They are
 // sent directly: gossip repeats each message many times at every daemon, and after the loss of
@@ -24,11 +24,11 @@
 		return nil
 	}
 	var order []netip.AddrPort
-	var forAll []liveness.Report
+	var broadcasts []liveness.Report
 	batches := map[netip.AddrPort][]liveness.Report{}
 	for index := range reports {
-		if isForAll(&reports[index]) {
-			forAll = append(forAll, reports[index].Report)
+		if isBroadcast(&reports[index]) {
+			broadcasts = append(broadcasts, reports[index].Report)
 			continue
 		}
 		for rank, address := range f.recipients(&reports[index]) {
@@ -43,26 +43,26 @@
 		}
 	}
 	var datagrams []membership.Datagram
-	tell := func(to []netip.AddrPort, reports []liveness.Report) {
-		for batch := range slices.Chunk(reports, mostReportsAtOnce) {
+	send := func(to []netip.AddrPort, reports []liveness.Report) {
+		for batch := range slices.Chunk(reports, maxReportsPerDatagram) {
 			datagrams = append(datagrams, f.group.Tell(to, encode(batch))...)
 		}
 	}
 	for _, address := range order {
-		tell([]netip.AddrPort{address}, slices.Concat(forAll, batches[address]))
+		send([]netip.AddrPort{address}, slices.Concat(broadcasts, batches[address]))
 	}
-	if len(forAll) > 0 {
-		others := slices.DeleteFunc(f.allAddresses(), func(address netip.AddrPort) bool { return batches[address] != nil })
-		tell(others, forAll) // encoded once for all of them
+	if len(broadcasts) > 0 {
+		others := slices.DeleteFunc(f.liveAddresses(), func(address netip.AddrPort) bool { return batches[address] != nil })
+		send(others, broadcasts) // encoded once for all of them
 	}
 	return datagrams
 }
 
-// isForAll reports whether a report is addressed to all daemons.
-func isForAll(report *liveness.Outgoing) bool { return !report.To.IsValid() && report.Judges == 0 }
+// isBroadcast reports whether a report is addressed to all daemons.
+func isBroadcast(report *liveness.Outgoing) bool { return !report.To.IsValid() && report.Judges == 0 }
 
-// allAddresses returns the addresses of the live daemons, including this one.
-func (f *Fleet) allAddresses() []netip.AddrPort {
+// liveAddresses returns the addresses of the live daemons, including this one.
+func (f *Fleet) liveAddresses() []netip.AddrPort {
 	live := f.group.Live()
 	all := make([]netip.AddrPort, len(live))
 	for index := range live {
@@ -88,7 +88,7 @@
 	if report.To.IsValid() {
 		return []netip.AddrPort{report.To}
 	}
-	return rendezvous.First(subjectKey(report.Subject), f.allAddresses(), report.Judges)
+	return rendezvous.First(subjectKey(report.Subject), f.liveAddresses(), report.Judges)
 }
 
 // subjectKey returns the key of a subject for rendezvous hashing.
@@ -99,9 +99,9 @@
 	return subject.Target
 }
 
-// takeLiveness handles reports on the liveness of targets. After a pause of the process they
+// handleLiveness handles reports on the liveness of targets. After a pause of the process they
 // are dropped: their ages count from when they were sent.
-func (f *Fleet) takeLiveness(now time.Time, messages []membership.DirectMessage, into *FleetOutput) {
+func (f *Fleet) handleLiveness(now time.Time, messages []membership.DirectMessage, into *FleetOutput) {
 	if f.pause.MayBeOld(now) {
 		return
 	}
--- a/internal/followed/liveness_test.go
+++ b/internal/followed/liveness_test.go
@@ -35,7 +35,7 @@
 	return fleet
 }
 
-func TestAllDaemonsChooseTheSameJudges(t *testing.T) {
+func TestDaemonsAgreeOnJudges(t *testing.T) {
 	const daemons = 20
 	chosen := map[netip.AddrPort]bool{}
 	for target := range uint64(50) {
@@ -51,7 +51,7 @@
 }
 
 // Reports to one daemon are combined into one datagram.
-func TestReportsTravelInFewDatagrams(t *testing.T) {
+func TestReportsAreBatched(t *testing.T) {
 	sender, receiver := newLivenessFleet(0, 3), newLivenessFleet(1, 3)
 	reports := []liveness.Outgoing{
 		{Report: liveness.Report{Subject: liveness.Subject{Target: 1}, Kind: liveness.Dead, AgeMilliseconds: 700}},
@@ -60,18 +60,18 @@
 	datagrams := sender.TellLiveness(reports)
 	assert.Equal(t, len(datagrams), 2, "one datagram per other daemon")
 	assert.Equal(t, datagrams[0].To, livenessAddress(1))
-	heard := receiver.StepDatagram(testStart, livenessAddress(0), datagrams[0].Bytes).Liveness
-	assert.DeepEqual(t, heard, []liveness.Received{
+	received := receiver.StepDatagram(testStart, livenessAddress(0), datagrams[0].Bytes).Liveness
+	assert.DeepEqual(t, received, []liveness.Received{
 		{Report: reports[0].Report, From: livenessAddress(0)}, {Report: reports[1].Report, From: livenessAddress(0)},
 	}, compareAddress)
 }
 
 // Reports that waited in the socket during a pause are dropped, since their ages count from
 // when they were sent.
-func TestReportsThatWaitedInTheSocketSayNothing(t *testing.T) {
+func TestReportsDelayedByPauseAreDropped(t *testing.T) {
 	sender, receiver := newLivenessFleet(0, 2), newLivenessFleet(1, 2)
 	datagrams := sender.TellLiveness([]liveness.Outgoing{{Report: liveness.Report{Subject: liveness.Subject{Target: 1}, Kind: liveness.Dead}}})
 	receiver.Tick(testStart)
-	woke := testStart.Add(10 * time.Second)
-	assert.Equal(t, len(receiver.StepDatagram(woke, livenessAddress(0), datagrams[0].Bytes).Liveness), 0)
+	resumedAt := testStart.Add(10 * time.Second)
+	assert.Equal(t, len(receiver.StepDatagram(resumedAt, livenessAddress(0), datagrams[0].Bytes).Liveness), 0)
 }
--- a/internal/followed/recentpeers.go
+++ b/internal/followed/recentpeers.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-const maximumRecentPeers = 32
+const maxRecentPeers = 32
 
 // recentPeers holds the most recently added peers, each once.
 type recentPeers struct {
@@ -16,14 +16,14 @@
 // add records a peer as the most recent.
 func (p *recentPeers) add(address netip.AddrPort) {
 	p.addresses = slices.DeleteFunc(p.addresses, func(held netip.AddrPort) bool { return held == address })
-	if len(p.addresses) >= maximumRecentPeers {
+	if len(p.addresses) >= maxRecentPeers {
 		p.addresses = slices.Delete(p.addresses, 0, 1)
 	}
 	p.addresses = append(p.addresses, address)
 }
 
-// draw returns a random peer that accept approves, false if there is none.
-func (p *recentPeers) draw(random *rand.Rand, accept func(address netip.AddrPort) bool) (netip.AddrPort, bool) {
+// pick returns a random peer that accept approves, false if there is none.
+func (p *recentPeers) pick(random *rand.Rand, accept func(address netip.AddrPort) bool) (netip.AddrPort, bool) {
 	first := 0
 	if len(p.addresses) > 0 {
 		first = random.IntN(len(p.addresses))
--- a/internal/followed/relays.go
+++ b/internal/followed/relays.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// mostRelays bounds the relays that the reader sends to: 32 times 700 bytes take 18 ms on a
+	// maxRelays bounds the relays that the reader sends to: 32 times 700 bytes take 18 ms on a
 	// link of 10 Mbit/s.
-	mostRelays = 32
-	// relaysEach is the number of relays that send to each daemon. If all of them are lost,
+	maxRelays = 32
+	// relaysPerMember is the number of relays that send to each daemon. If all of them are lost,
 	// gossip delivers the update a round later.
-	relaysEach = 2
+	relaysPerMember = 2
 	// directBurst and directInterval limit the updates sent directly. Updates in quick
 	// succession are left to gossip, which batches them and so needs less processor time.
 	directBurst    = 2
@@ -38,24 +38,24 @@
 
 // newRelays selects the relays among the live members: the strong ones by rank, if they are
 // outnumbered by the others.
-func newRelays(live []membership.Member, most *strengths, self netip.AddrPort, from int) relays {
+func newRelays(live []membership.Member, capacity *groupCapacity, self netip.AddrPort, minMembers int) relays {
 	var strong, weak []netip.AddrPort
 	for index := range live {
-		if most.isStrong(&live[index]) {
+		if capacity.isStrong(&live[index]) {
 			strong = append(strong, live[index].Identity.Address)
 		} else {
 			weak = append(weak, live[index].Identity.Address)
 		}
 	}
-	if from == 0 || len(live) < from || len(strong) < relaysEach || len(strong) >= len(weak) {
+	if minMembers == 0 || len(live) < minMembers || len(strong) < relaysPerMember || len(strong) >= len(weak) {
 		return relays{}
 	}
 	ranks := make(map[netip.AddrPort]uint64, len(strong))
 	for _, address := range strong {
-		ranks[address] = rankAt(address)
+		ranks[address] = rankOfAddress(address)
 	}
 	slices.SortFunc(strong, func(a, b netip.AddrPort) int { return cmp.Compare(ranks[b], ranks[a]) })
-	chosen := relays{addresses: strong[:min(mostRelays, len(strong))]}
+	chosen := relays{addresses: strong[:min(maxRelays, len(strong))]}
 	chosen.isRelay = slices.Contains(chosen.addresses, self)
 	if chosen.isRelay {
 		chosen.audience = chosen.audienceOf(self, append(weak, strong[len(chosen.addresses):]...))
@@ -69,25 +69,25 @@
 	var audience []netip.AddrPort
 	keys := make([]uint64, len(r.addresses))
 	for index, address := range r.addresses {
-		keys[index] = rankAt(address)
+		keys[index] = rankOfAddress(address)
 	}
-	own := rankAt(relay)
+	own := rankOfAddress(relay)
 	for _, other := range others {
-		key, ahead := rankAt(other), 0
-		score := pairScore(own, key)
+		key, ahead := rankOfAddress(other), 0
+		score := rendezvousScore(own, key)
 		for _, rival := range keys {
-			if rival != own && pairScore(rival, key) > score {
+			if rival != own && rendezvousScore(rival, key) > score {
 				ahead++
 			}
 		}
-		if ahead < relaysEach {
+		if ahead < relaysPerMember {
 			audience = append(audience, other)
 		}
 	}
 	return audience
 }
 
-func pairScore(relay, other uint64) uint64 {
+func rendezvousScore(relay, other uint64) uint64 {
 	var pair [16]byte
 	binary.BigEndian.PutUint64(pair[:], relay)
 	binary.BigEndian.PutUint64(pair[8:], other)
@@ -107,30 +107,30 @@
 	return Role{IsStrong: f.isStrong, IsRelay: f.relays.isRelay, Audience: len(f.relays.audience)}
 }
 
-// pacer is a token bucket of directBurst updates, refilled at one per directInterval.
-type pacer struct {
+// burstLimiter is a token bucket of directBurst updates, refilled at one per directInterval.
+type burstLimiter struct {
 	// fullAt is when the bucket is full again.
 	fullAt time.Time
 }
 
 // allow takes a token and reports whether there was one.
-func (p *pacer) allow(now time.Time) bool {
-	if p.fullAt.Sub(now) > (directBurst-1)*directInterval {
+func (l *burstLimiter) allow(now time.Time) bool {
+	if l.fullAt.Sub(now) > (directBurst-1)*directInterval {
 		return false
 	}
-	p.fullAt = maxTime(p.fullAt, now).Add(directInterval)
+	l.fullAt = maxTime(l.fullAt, now).Add(directInterval)
 	return true
 }
 
-// tellDirectly sends an update past gossip: the daemon that read it from the store sends to the
+// sendDirectly sends an update past gossip: the daemon that read it from the store sends to the
 // relays, a relay to its audience.
-func (f *Fleet) tellDirectly(now time.Time, payload []byte, hasRead bool) {
+func (f *Fleet) sendDirectly(now time.Time, payload []byte, isFromStore bool) {
 	to := f.relays.audience
-	if hasRead {
+	if isFromStore {
 		to = slices.Concat(f.relays.addresses, to)
 	}
-	if len(to) == 0 || !f.directPace.allow(now) {
+	if len(to) == 0 || !f.directLimiter.allow(now) {
 		return
 	}
-	f.direct = append(f.direct, f.group.TellNews(to, payload)...)
+	f.directDatagrams = append(f.directDatagrams, f.group.TellNews(to, payload)...)
 }
--- a/internal/followed/serve.go
+++ b/internal/followed/serve.go
@@ -7,21 +7,21 @@
 	"github.com/passtray/passtray/internal/membership"
 )
 
-// takeMembers merges the members known to a peer. The first list is not gossiped on, since the
+// mergePeerMembers merges the members known to a peer. The first list is not gossiped on, since the
 // daemons on it learn of each other from the same peers.
-func (f *Fleet) takeMembers(now time.Time, members []membership.Member, output *FleetOutput) {
-	if !f.hasMembers && len(members) > 0 {
-		f.hasMembers = true
-		f.takeGroup(now, f.group.Adopt(now, members), output)
+func (f *Fleet) mergePeerMembers(now time.Time, members []membership.Member, output *FleetOutput) {
+	if !f.hasPeerMembers && len(members) > 0 {
+		f.hasPeerMembers = true
+		f.handleGroupOutput(now, f.group.Adopt(now, members), output)
 		return
 	}
-	f.takeGroup(now, f.group.Merge(now, members), output)
+	f.handleGroupOutput(now, f.group.Merge(now, members), output)
 }
 
 // Serve answers a peer's pull.
 func (f *Fleet) Serve(now time.Time, pull *Pull) Delta {
-	f.meet(now, pull)
-	if pull.IsBusy || f.knowsNothing() {
+	f.recordRequester(now, pull)
+	if pull.IsBusy || f.lacksSnapshot() {
 		return f.redirect(now, pull)
 	}
 	since := pull.Since
@@ -29,20 +29,20 @@
 	if since < view.Forgotten() {
 		since = 0
 	}
-	if since == 0 && pull.Redirects < MostRedirects && f.budget.isSpent(now) {
+	if since == 0 && pull.Redirects < MostRedirects && f.budget.isExhausted(now) {
 		if delta := f.redirect(now, pull); delta.Ahead.IsValid() {
 			return delta
 		}
 	}
 	if since == 0 {
-		f.budget.give(now)
+		f.budget.charge(now)
 	}
 	delta := Delta{Since: since, Digest: f.Digest(now)}
 	if f.isBehind() {
 		delta.Ahead, delta.AheadRevision = f.aheadPeer, f.aheadRevision
 	}
 	if since == 0 {
-		delta.Entries, delta.Until = f.whole.of(now, view)
+		delta.Entries, delta.Until = f.snapshots.get(now, view)
 	} else {
 		delta.Entries, delta.Until = view.EntriesSince(now, since, pull.Held), view.Revision()
 	}
@@ -50,27 +50,27 @@
 		delta.Members = f.group.Lacking(pull.Fingerprints)
 	}
 	if pull.Asker.Identity.Address.IsValid() {
-		f.informed.add(pull.Asker.Identity.Address)
+		f.informedPeers.add(pull.Asker.Identity.Address)
 	}
 	return delta
 }
 
-// meet records what a pull reveals about the requesting daemon.
-func (f *Fleet) meet(now time.Time, pull *Pull) {
+// recordRequester records what a pull reveals about the requesting daemon.
+func (f *Fleet) recordRequester(now time.Time, pull *Pull) {
 	if !pull.Asker.Identity.Address.IsValid() {
 		return // sent by an earlier version of the program
 	}
 	var output FleetOutput
-	f.takeGroup(now, f.group.Merge(now, []membership.Member{pull.Asker}), &output)
+	f.handleGroupOutput(now, f.group.Merge(now, []membership.Member{pull.Asker}), &output)
 	if pull.Since > f.View().Revision() {
-		f.noteAhead(now, pull.Asker.Identity.Address, Digest{Revision: pull.Since})
+		f.recordAhead(now, pull.Asker.Identity.Address, Digest{Revision: pull.Since})
 	}
 }
 
 // redirect returns an answer that only refers to a daemon that has more than the requester.
 func (f *Fleet) redirect(now time.Time, pull *Pull) Delta {
 	delta := Delta{Since: pull.Since, Until: pull.Since, Digest: f.Digest(now), IsRedirect: true}
-	if other, found := f.drawInformed(pull.Asker); found {
+	if other, found := f.pickInformed(pull.Asker); found {
 		delta.Ahead, delta.AheadRevision = other, max(f.View().Revision(), f.aheadRevision, pull.Since+1)
 	}
 	return delta
@@ -79,20 +79,20 @@
 // NoteGiven records the encoded size of the answer to a pull in bytes.
 func (f *Fleet) NoteGiven(delta *Delta, bytes int) {
 	if delta.Since == 0 && !delta.IsRedirect {
-		f.budget.note(bytes)
+		f.budget.recordSize(bytes)
 	}
 }
 
-// drawInformed selects a daemon to redirect to: preferably a strong one in the requester's
+// pickInformed selects a daemon to redirect to: preferably a strong one in the requester's
 // zone, then any strong one, then any.
-func (f *Fleet) drawInformed(asker membership.Member) (netip.AddrPort, bool) {
-	most := strengthsOf(f.group.Live())
+func (f *Fleet) pickInformed(asker membership.Member) (netip.AddrPort, bool) {
+	capacity := measureCapacity(f.group.Live())
 	for _, isWanted := range []func(member *membership.Member) bool{
-		func(member *membership.Member) bool { return member.Zone == asker.Zone && most.isStrong(member) },
-		func(member *membership.Member) bool { return most.isStrong(member) },
+		func(member *membership.Member) bool { return member.Zone == asker.Zone && capacity.isStrong(member) },
+		func(member *membership.Member) bool { return capacity.isStrong(member) },
 		func(*membership.Member) bool { return true },
 	} {
-		other, found := f.informed.draw(f.random, func(address netip.AddrPort) bool {
+		other, found := f.informedPeers.pick(f.random, func(address netip.AddrPort) bool {
 			member, isLive := f.group.LiveAt(address)
 			return isLive && address != asker.Identity.Address && isWanted(&member)
 		})
--- a/internal/followed/early_test.go
+++ b/internal/followed/splitlist_test.go
@@ -14,11 +14,11 @@
 	config.LinkBytes = 10 * megabit
 	follower := newTestFollower()
 	follower.config = config
-	follower.coldBytes = 100 << 10
+	follower.maxListBytes = 100 << 10
 	return follower
 }
 
-func TestOnASlowLinkTargetsAreReadFirst(t *testing.T) {
+func TestTargetsAreListedFirstOnSlowLink(t *testing.T) {
 	follower := newSlowFollower(DefaultConfig())
 	first := follower.Tick(testStart).Call
 	assert.Assert(t, first.Kind == CallList && first.TargetsOnly && first.AllowStale)
@@ -35,7 +35,7 @@
 	assert.Equal(t, confirm.AfterRevision, uint64(7), "the list is only as recent as its first part")
 }
 
-func TestOnAFastLinkTheContentIsOneList(t *testing.T) {
+func TestFastLinkListsFullContent(t *testing.T) {
 	config := DefaultConfig()
 	for _, bytes := range []float64{0, 200 * megabit} {
 		config.LinkBytes = bytes
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestWithoutEarlyBytesNothingIsKnownUntilTheWholeIs(t *testing.T) {
+func TestZeroEarlyBytesDisablesSplitList(t *testing.T) {
 	config := DefaultConfig()
 	config.EarlyBytes = 0
 	call := newSlowFollower(config).Tick(testStart).Call
@@ -54,38 +54,38 @@
 
 // If the rest of the content is large, it is awaited from peers, and the targets are not read
 // again.
-func TestTheRestIsAwaitedFromPeersWhereItIsLong(t *testing.T) {
+func TestLargeRestIsAwaitedFromPeers(t *testing.T) {
 	follower := newSlowFollower(DefaultConfig())
 	targets := follower.Tick(testStart).Call
 	rest := follower.Step(testStart, answered(targets, 30, targetEntry("a", 3))).Call
 	output := follower.Step(testStart, &Answer{Number: rest.Number, Outcome: OutcomeTooLong, Bytes: 240 << 10})
 	assert.Assert(t, output.Call == nil)
-	patience := follower.config.transferTime(240<<10) + follower.config.ColdSpread.Most
-	again := follower.Tick(testStart.Add(patience)).Call
+	delay := follower.config.transferTime(240<<10) + follower.config.ColdSpread.Most
+	again := follower.Tick(testStart.Add(delay)).Call
 	assert.Assert(t, again.WithoutTargets && again.MostBytes == 0)
 }
 
 // Too many targets are not read early: 300 starting daemons would saturate the store's link.
-func TestTooManyTargetsAreReadWithTheRest(t *testing.T) {
+func TestTooManyTargetsAreListedWithRest(t *testing.T) {
 	follower := newSlowFollower(DefaultConfig())
 	targets := follower.Tick(testStart).Call
 	output := follower.Step(testStart, &Answer{Number: targets.Number, Outcome: OutcomeTooLong, Bytes: 150 << 10})
 	assert.Assert(t, output.Call == nil)
-	patience := follower.config.transferTime(150<<10) + follower.config.ColdSpread.Most
-	whole := follower.Tick(testStart.Add(patience)).Call
-	assert.Assert(t, !whole.TargetsOnly && !whole.WithoutTargets && whole.MostBytes == 0)
+	delay := follower.config.transferTime(150<<10) + follower.config.ColdSpread.Most
+	full := follower.Tick(testStart.Add(delay)).Call
+	assert.Assert(t, !full.TargetsOnly && !full.WithoutTargets && full.MostBytes == 0)
 }
 
-func TestAStoreWithoutTargetsIsReadWhole(t *testing.T) {
+func TestStoreWithoutTargetsIsListedInFull(t *testing.T) {
 	follower := newSlowFollower(DefaultConfig())
 	targets := follower.Tick(testStart).Call
-	whole := follower.Step(testStart, answered(targets, 30)).Call
-	assert.Assert(t, whole.Kind == CallList && !whole.TargetsOnly && !whole.WithoutTargets)
-	confirm := follower.Step(testStart, answered(whole, 30, configurationEntry(9, 1))).Call
+	full := follower.Step(testStart, answered(targets, 30)).Call
+	assert.Assert(t, full.Kind == CallList && !full.TargetsOnly && !full.WithoutTargets)
+	confirm := follower.Step(testStart, answered(full, 30, configurationEntry(9, 1))).Call
 	assert.Equal(t, confirm.AfterRevision, uint64(9))
 }
 
-func TestAnEarlyTargetThatAPeersContentLacksHasGone(t *testing.T) {
+func TestEarlyTargetMissingInPeerSnapshotIsGone(t *testing.T) {
 	follower := newSlowFollower(DefaultConfig())
 	targets := follower.Tick(testStart).Call
 	rest := follower.Step(testStart, answered(targets, 30, targetEntry("a", 3), targetEntry("b", 7))).Call
@@ -98,7 +98,7 @@
 	assert.Assert(t, !follower.IsAwaited(rest.Number))
 }
 
-func TestPagesOfPartsAreReadOn(t *testing.T) {
+func TestSplitListContinuesPages(t *testing.T) {
 	follower := newSlowFollower(DefaultConfig())
 	page := answered(follower.Tick(testStart).Call, 30, targetEntry("a", 3))
 	page.More = true
@@ -112,14 +112,14 @@
 	assert.Equal(t, follower.View().Present(), 2)
 }
 
-func TestWhereTheWholeIsLongForAFastLinkTargetsAreReadAtOnce(t *testing.T) {
+func TestTargetsAreListedWhenFullContentIsTooLong(t *testing.T) {
 	config := DefaultConfig()
 	config.LinkBytes = 200 * megabit
 	follower := NewFollower(config, newTestFollower().random)
-	follower.coldBytes = 2 << 20
-	whole := follower.Tick(testStart).Call
-	assert.Assert(t, !whole.TargetsOnly)
-	targets := follower.Step(testStart, &Answer{Number: whole.Number, Outcome: OutcomeTooLong, Bytes: 3 << 20}).Call
+	follower.maxListBytes = 2 << 20
+	full := follower.Tick(testStart).Call
+	assert.Assert(t, !full.TargetsOnly)
+	targets := follower.Step(testStart, &Answer{Number: full.Number, Outcome: OutcomeTooLong, Bytes: 3 << 20}).Call
 	assert.Assert(t, targets != nil && targets.TargetsOnly)
 	rest := follower.Step(testStart, answered(targets, 30, targetEntry("a", 3))).Call
 	assert.Assert(t, rest.WithoutTargets && rest.MostBytes == 2<<20)
--- a/internal/followed/suppression_test.go
+++ b/internal/followed/suppression_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestSuppressionSpreadsCallsOfAnyCrowd(t *testing.T) {
+func TestSuppressionSpreadsCallsOfAnyGroupSize(t *testing.T) {
 	timer := SuppressionTimer{Most: 600 * time.Millisecond, Crowd: 1000}
 	t.Run("delays range from 0 to the maximum", func(t *testing.T) {
 		assert.Equal(t, timer.delay(0), time.Duration(0))
