--- a/internal/loadshare/head.go
+++ b/internal/loadshare/head.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// HeadBytes is the length of a Head on its way: the daemon's address (4 bytes) and port
-	// (2), the report's number (4) and its age in units of ageUnit (1), big-endian.
+	// HeadBytes is the encoded length of a Head: the daemon's address (4 bytes) and port (2),
+	// the report's number (4) and its age in units of ageUnit (1), big-endian.
 	HeadBytes = 11
-	// MostHeads bounds the reports in one message: their heads alone fill it.
+	// MostHeads bounds the reports in one message: so many heads alone fill it.
 	MostHeads = MaximumBytes / HeadBytes
 	ageUnit   = 100 * time.Millisecond
 )
 
-// Head is what every report of one daemon to its zone begins with.
+// Head is the header of a report.
 type Head struct {
 	From   netip.AddrPort
 	Number uint32
-	// At is when the report was made, to ageUnit.
+	// At is when the report was made, with a resolution of ageUnit.
 	At time.Time
 }
 
-// Append writes the head behind what is there.
+// Append appends the encoded head to a buffer.
 func (h Head) Append(now time.Time, to []byte) []byte {
 	host := h.From.Addr().As4()
 	to = append(to, host[:]...)
@@ -36,7 +36,7 @@
 	return append(to, byte(min(age, math.MaxUint8)))
 }
 
-// DecodeHead reads a head from the first HeadBytes of a report.
+// DecodeHead decodes the head at the start of a report, which must have at least HeadBytes.
 func DecodeHead(now time.Time, encoded []byte) Head {
 	return Head{
 		From:   netip.AddrPortFrom(netip.AddrFrom4([4]byte(encoded)), binary.BigEndian.Uint16(encoded[4:])),
@@ -45,14 +45,14 @@
 	}
 }
 
-// Turn is when a report is to be passed on: after those that were less often, and, of as
-// many times, after later ones.
+// Turn is the priority of a report: reports that were sent fewer times go first, and among
+// equals the latest.
 type Turn struct {
 	Sent int
 	At   time.Time
 }
 
-// waiting is a daemon whose report is held, with that report's turn.
+// waiting is a daemon whose report may be sent, with that report's priority.
 type waiting struct {
 	from netip.AddrPort
 	turn Turn
@@ -62,9 +62,8 @@
 	return cmp.Or(cmp.Compare(w.turn.Sent, other.turn.Sent), other.turn.At.Compare(w.turn.At), w.from.Compare(other.from))
 }
 
-// InTurn returns the daemons whose reports are to be passed on first, in that order, at most so
-// many. A message holds few of them: to put all in order took 40 µs for 200 daemons, for each
-// message.
+// InTurn returns the daemons whose reports are sent next, in order of priority and at most as
+// many as given. It does not sort all reports, as a message holds only a few of them.
 func InTurn[R any](reports map[netip.AddrPort]R, most int, turnOf func(R) Turn) []netip.AddrPort {
 	first := make([]waiting, 0, most+1)
 	for from, report := range reports {
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -1,10 +1,8 @@
-// Package loadshare lets the daemons of one zone tell each other how many flows each
-// has open at which target. In a large fleet a daemon sees so few of a target's flows
-// that a choice from its own counts is a random one; the sum over the zone is not.
-//
-// Each daemon makes a numbered report of its counts and passes on those of others by
-// gossip, a bounded number of bytes a message whatever the size of the fleet. Reports
-// that are not renewed lapse. The package does no I/O and holds no clock.
+// Package loadshare exchanges among the daemons of a zone how many flows each has open at which
+// target, since in a large fleet one daemon sees too few of a target's flows to balance by its own
+// counts. Each daemon makes a numbered report of its counts and gossips the reports it knows, with
+// a bounded message size whatever the size of the fleet. Reports that are not renewed expire. The
+// package does no I/O and has no clock.
 package loadshare
 
 import (
@@ -17,53 +15,51 @@
 )
 
 const (
-	// ReportInterval is how often a daemon renews its report. Flows that are told are
-	// open for seconds, and each report is passed on through the zone.
+	// ReportInterval is how often a daemon renews its report.
 	ReportInterval = time.Second
-	// lifetime is how long a report counts that is not renewed: a few intervals, as
-	// gossip loses and delays some.
+	// lifetime is how long a report is valid; it covers a few intervals, as gossip loses and
+	// delays some reports.
 	lifetime = 5 * time.Second
-	// MaximumBytes bounds the reports in one message. Two messages each 300 ms make
-	// 2 KB/s at most, half of what a daemon may spend on control.
+	// MaximumBytes bounds the reports in one message. Two messages per gossip round of 300 ms
+	// make at most 2 KB/s.
 	MaximumBytes = 300
-	// maximumTargets bounds the targets in one report. A daemon that has flows open at
-	// more of them tells none: with longer reports fewer fit into a message, and what is
-	// known becomes so old that it misleads (TestToldFlowsSpreadLoad).
+	// maximumTargets bounds the targets in one report. A daemon with flows open at more targets
+	// reports none: with longer reports fewer fit into a message, and the known counts become
+	// so old that they mislead.
 	maximumTargets = 16
-	// tooMany is in the place of the number of targets in a report of such a daemon.
+	// tooMany replaces the number of targets in a report of such a daemon.
 	tooMany = 255
-	// OtherKind is there in reports of another kind, which stand behind those on open
-	// flows; reading ends at them.
+	// OtherKind replaces the number of targets in reports of another kind, which follow those
+	// on open flows in a message; decoding stops at them.
 	OtherKind = 254
-	// maximumReports bounds the daemons that are remembered.
+	// maximumReports bounds the daemons whose reports are kept.
 	maximumReports = 1024
 )
 
-// Mark stands for a target in reports: a part of its token. Two targets of a zone rarely
-// have the same; if they do, both count as having the flows of both.
+// Mark identifies a target in reports: the upper half of its token. Two targets of a zone
+// rarely share a mark; if they do, each counts with the flows of both.
 type Mark uint16
 
-// MarkOf returns the mark of the target with a token.
 func MarkOf(token uint32) Mark { return Mark(token >> 16) }
 
-// Flows is how many flows are open at a target.
+// Flows is the number of open flows at a target, at most 255.
 type Flows struct {
 	Mark  Mark
 	Count uint8
 }
 
-// report is what one daemon told.
+// report is the latest report of a daemon.
 type report struct {
 	number uint32
 	flows  []Flows
-	// isPartial says that the daemon has flows open at more targets than it can tell.
+	// isPartial means that the daemon has flows open at more than maximumTargets targets.
 	isPartial bool
 	at        time.Time
-	// sent is how often it was passed on here.
+	// sent is how often this daemon sent the report.
 	sent int
 }
 
-// Exchange is one daemon's part. It is not safe for concurrent use.
+// Exchange holds the reports known to one daemon. It is not safe for concurrent use.
 type Exchange struct {
 	self    netip.AddrPort
 	number  uint32
@@ -71,14 +67,14 @@
 	reports map[netip.AddrPort]*report
 }
 
-// New makes the part of a daemon that others know by an address of the fourth version.
-// number is where its reports begin; it must exceed those of its earlier runs.
+// New returns the exchange of the daemon at self, which must be an IPv4 address. The numbers of
+// its reports start after number, which must exceed those of its earlier runs.
 func New(self netip.AddrPort, number uint32) *Exchange {
 	return &Exchange{self: self, number: number, reports: map[netip.AddrPort]*report{}}
 }
 
-// Tick drops reports that have lapsed, and renews this daemon's if it is time for that;
-// count is asked for the flows that are open then.
+// Tick drops expired reports and renews this daemon's own when due; count then returns the
+// number of open flows by token.
 func (e *Exchange) Tick(now time.Time, count func() map[uint32]int) {
 	if now.Before(e.nextOwn) {
 		return
@@ -95,7 +91,7 @@
 	e.reports[e.self] = own
 }
 
-// flowsOf returns counts by token in a fixed order.
+// flowsOf converts counts by token to a slice in a fixed order.
 func flowsOf(counts map[uint32]int) []Flows {
 	flows := make([]Flows, 0, len(counts))
 	for _, token := range slices.Sorted(maps.Keys(counts)) {
@@ -104,9 +100,9 @@
 	return flows
 }
 
-// Totals returns how many flows are open at each target by all reports that count. It
-// reports false if some daemon has more than it can tell: those are not among them, and
-// a daemon knows better from its own flows, of which it has many then, too.
+// Totals returns the number of open flows at each target according to all valid reports. It
+// reports false if some daemon has more targets than it can report; then the totals would be
+// incomplete, and a daemon has enough flows of its own to judge by.
 func (e *Exchange) Totals(now time.Time) (totals map[Mark]int, areWhole bool) {
 	totals = map[Mark]int{}
 	for _, held := range e.reports {
@@ -123,18 +119,18 @@
 	return totals, true
 }
 
-// A report on its way: its head, the number of targets (1 byte), and for each of those its
-// mark (2) and count (1). All numbers are big-endian.
+// An encoded report consists of its head, the number of targets (1 byte), and for each target
+// its mark (2) and count (1), all big-endian.
 const (
 	headBytes  = HeadBytes + 1
 	flowsBytes = 3
 )
 
-// Message returns reports to pass on, those that were passed on least first, and of them
-// the latest.
+// Message returns encoded reports to send: those sent the fewest times first, then the latest.
 func (e *Exchange) Message(now time.Time) []byte { return e.MessageWithin(now, MaximumBytes) }
 
-// MessageWithin does so with at most so many bytes, as something else is told besides.
+// MessageWithin is like Message with a smaller limit in bytes, which leaves room for other
+// data.
 func (e *Exchange) MessageWithin(now time.Time, most int) []byte {
 	addresses := InTurn(e.reports, MostHeads, func(r *report) Turn { return Turn{Sent: r.sent, At: r.at} })
 	var message []byte
@@ -163,7 +159,8 @@
 	return to
 }
 
-// Hear takes in a message and returns how many bytes at its end could not be read.
+// Hear merges the reports in a message and returns the number of bytes at its end that could
+// not be decoded.
 func (e *Exchange) Hear(now time.Time, message []byte) (unread int) {
 	for len(message) >= headBytes {
 		count := int(message[headBytes-1])
@@ -180,7 +177,7 @@
 	return len(message)
 }
 
-// take keeps a report that is newer than the one that is held.
+// take stores a report that is newer than the known one of the same daemon.
 func (e *Exchange) take(now time.Time, encoded []byte) {
 	head := DecodeHead(now, encoded)
 	told := &report{number: head.Number, at: head.At, isPartial: encoded[headBytes-1] == tooMany}
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -16,10 +16,9 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, number}), 7000)
 }
 
-// tokenOf is a token with a mark.
 func tokenOf(mark Mark) uint32 { return uint32(mark) << 16 }
 
-// totals are whole.
+// totals returns the totals and fails the test if they are incomplete.
 func totals(t *testing.T, exchange *Exchange, now time.Time) map[Mark]int {
 	t.Helper()
 	sums, areWhole := exchange.Totals(now)
@@ -37,30 +36,30 @@
 	one, other := telling(1, map[uint32]int{tokenOf(7): 2, tokenOf(8): 1}), telling(2, map[uint32]int{tokenOf(7): 3})
 	assert.Equal(t, one.Hear(testStart, other.Message(testStart)), 0)
 	assert.DeepEqual(t, totals(t, one, testStart), map[Mark]int{7: 5, 8: 1})
-	t.Run("the same one heard again changes nothing", func(t *testing.T) {
+	t.Run("a repeated report changes nothing", func(t *testing.T) {
 		one.Hear(testStart, other.Message(testStart))
 		assert.DeepEqual(t, totals(t, one, testStart), map[Mark]int{7: 5, 8: 1})
 	})
-	t.Run("a newer one takes its place", func(t *testing.T) {
+	t.Run("a newer report replaces the old one", func(t *testing.T) {
 		later := testStart.Add(ReportInterval)
 		other.Tick(later, func() map[uint32]int { return map[uint32]int{tokenOf(9): 1} })
 		one.Hear(later, other.Message(later))
 		assert.DeepEqual(t, totals(t, one, later), map[Mark]int{7: 2, 8: 1, 9: 1})
 	})
-	t.Run("one that is not renewed lapses, counted from when it was made", func(t *testing.T) {
+	t.Run("a report expires a fixed time after it was made", func(t *testing.T) {
 		third := New(address(3), 0)
 		third.Hear(testStart.Add(2*time.Second), other.Message(testStart.Add(2*time.Second)))
 		assert.Equal(t, len(totals(t, third, testStart.Add(2*time.Second))), 1)
 		assert.Equal(t, len(totals(t, third, testStart.Add(ReportInterval+lifetime))), 0)
 	})
-	t.Run("what others say of oneself counts for nothing", func(t *testing.T) {
+	t.Run("reports of the own address are ignored", func(t *testing.T) {
 		again := New(address(2), 0)
 		again.Hear(testStart, one.Message(testStart))
 		assert.Equal(t, totals(t, again, testStart)[9], 0)
 	})
 }
 
-// TestAMessageIsBoundedWhateverIsKnown, and passes everything on in turn.
+// Messages are bounded in size, and over several of them all known reports are sent.
 func TestAMessageIsBoundedWhateverIsKnown(t *testing.T) {
 	hub := telling(0, nil)
 	for number := range byte(200) {
@@ -81,7 +80,7 @@
 	assert.Equal(t, listener.reports[address(2)].flows[0].Count, uint8(255))
 }
 
-// TestWhoHasMoreThanItCanTellSaysSo, and then nobody goes by the sums.
+// A daemon with too many targets reports that, and the totals then count as incomplete.
 func TestWhoHasMoreThanItCanTellSaysSo(t *testing.T) {
 	counts := map[uint32]int{}
 	for mark := range Mark(maximumTargets + 1) {
@@ -92,10 +91,9 @@
 	_, areWhole := listener.Totals(testStart)
 	assert.Assert(t, !areWhole)
 	_, areWhole = listener.Totals(testStart.Add(lifetime))
-	assert.Assert(t, areWhole, "it has lapsed")
+	assert.Assert(t, areWhole, "the report has expired")
 }
 
-// TestAMessageCutShortIsReadAsFarAsItGoes.
 func TestAMessageCutShortIsReadAsFarAsItGoes(t *testing.T) {
 	teller := telling(1, map[uint32]int{tokenOf(7): 2})
 	teller.Hear(testStart, telling(2, map[uint32]int{tokenOf(8): 1}).Message(testStart))
@@ -119,8 +117,8 @@
 	})
 }
 
-// TestReportsGoRoundAZone: with two messages each 300 ms, from each daemon to drawn ones,
-// what a daemon knows of the others is a few seconds old at most.
+// With two messages per 300 ms from each daemon to random ones, most of the zone's flows are
+// known to every daemon.
 func TestReportsGoRoundAZone(t *testing.T) {
 	for _, daemons := range []int{3, 20, 70} {
 		t.Run(fmt.Sprint(daemons, " daemons"), func(t *testing.T) {
@@ -146,7 +144,7 @@
 				for _, count := range totals(t, daemon, now) {
 					known += count
 				}
-				assert.Assert(t, known >= 4*daemons*8/10, "daemon %d knows of %d flows of %d", number, known, 4*daemons)
+				assert.Assert(t, known >= 4*daemons*8/10, "daemon %d knows %d of %d flows", number, known, 4*daemons)
 			}
 		})
 	}
