--- a/internal/loadshare/head.go
+++ b/internal/loadshare/head.go
@@ -52,32 +52,32 @@
 	At   time.Time
 }
 
-// waiting is a daemon whose report may be sent, with that report's priority.
-type waiting struct {
+// queuedReport is a daemon whose report may be sent, with that report's priority.
+type queuedReport struct {
 	from netip.AddrPort
 	turn Turn
 }
 
-func (w *waiting) compare(other *waiting) int {
-	return cmp.Or(cmp.Compare(w.turn.Sent, other.turn.Sent), other.turn.At.Compare(w.turn.At), w.from.Compare(other.from))
+func (q *queuedReport) compare(other *queuedReport) int {
+	return cmp.Or(cmp.Compare(q.turn.Sent, other.turn.Sent), other.turn.At.Compare(q.turn.At), q.from.Compare(other.from))
 }
 
 // InTurn returns the daemons whose reports are sent next, in order of priority and at most as
 // many as given. It does not sort all reports, as a message holds only a few of them.
-func InTurn[R any](reports map[netip.AddrPort]R, most int, turnOf func(R) Turn) []netip.AddrPort {
-	first := make([]waiting, 0, most+1)
+func InTurn[R any](reports map[netip.AddrPort]R, limit int, turnOf func(R) Turn) []netip.AddrPort {
+	queue := make([]queuedReport, 0, limit+1)
 	for from, report := range reports {
-		next := waiting{from, turnOf(report)}
-		if len(first) == most && next.compare(&first[most-1]) >= 0 {
+		next := queuedReport{from, turnOf(report)}
+		if len(queue) == limit && next.compare(&queue[limit-1]) >= 0 {
 			continue
 		}
-		place, _ := slices.BinarySearchFunc(first, next, func(held, wanted waiting) int { return held.compare(&wanted) })
-		first = slices.Insert(first, place, next)
-		first = first[:min(most, len(first))]
+		position, _ := slices.BinarySearchFunc(queue, next, func(held, wanted queuedReport) int { return held.compare(&wanted) })
+		queue = slices.Insert(queue, position, next)
+		queue = queue[:min(limit, len(queue))]
 	}
-	daemons := make([]netip.AddrPort, len(first))
-	for index := range first {
-		daemons[index] = first[index].from
+	daemons := make([]netip.AddrPort, len(queue))
+	for index := range queue {
+		daemons[index] = queue[index].from
 	}
 	return daemons
 }
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -23,17 +23,17 @@
 	// MaximumBytes bounds the reports in one message. Two messages per gossip round of 300 ms
 	// make at most 2 KB/s.
 	MaximumBytes = 300
-	// maximumTargets bounds the targets in one report. A daemon with flows open at more targets
+	// maxTargets bounds the targets in one report. A daemon with flows open at more targets
 	// reports none: with longer reports fewer fit into a message, and the known counts become
 	// so old that they mislead.
-	maximumTargets = 16
-	// tooMany replaces the number of targets in a report of such a daemon.
-	tooMany = 255
+	maxTargets = 16
+	// tooManyTargets replaces the number of targets in a report of such a daemon.
+	tooManyTargets = 255
 	// OtherKind replaces the number of targets in reports of another kind, which follow those
 	// on open flows in a message; decoding stops at them.
 	OtherKind = 254
-	// maximumReports bounds the daemons whose reports are kept.
-	maximumReports = 1024
+	// maxReports bounds the daemons whose reports are kept.
+	maxReports = 1024
 )
 
 // Mark identifies a target in reports: the upper half of its token. Two targets of a zone
@@ -52,19 +52,19 @@
 type report struct {
 	number uint32
 	flows  []Flows
-	// isPartial means that the daemon has flows open at more than maximumTargets targets.
+	// isPartial means that the daemon has flows open at more than maxTargets targets.
 	isPartial bool
-	at        time.Time
-	// sent is how often this daemon sent the report.
-	sent int
+	madeAt    time.Time
+	// timesSent is how often this daemon sent the report.
+	timesSent int
 }
 
 // Exchange holds the reports known to one daemon. It is not safe for concurrent use.
 type Exchange struct {
-	self    netip.AddrPort
-	number  uint32
-	nextOwn time.Time
-	reports map[netip.AddrPort]*report
+	self         netip.AddrPort
+	number       uint32
+	nextReportAt time.Time
+	reports      map[netip.AddrPort]*report
 }
 
 // New returns the exchange of the daemon at self, which must be an IPv4 address. The numbers of
@@ -76,14 +76,14 @@
 // Tick drops expired reports and renews this daemon's own when due; count then returns the
 // number of open flows by token.
 func (e *Exchange) Tick(now time.Time, count func() map[uint32]int) {
-	if now.Before(e.nextOwn) {
+	if now.Before(e.nextReportAt) {
 		return
 	}
-	e.nextOwn = now.Add(ReportInterval)
-	maps.DeleteFunc(e.reports, func(_ netip.AddrPort, held *report) bool { return now.Sub(held.at) >= lifetime })
+	e.nextReportAt = now.Add(ReportInterval)
+	maps.DeleteFunc(e.reports, func(_ netip.AddrPort, held *report) bool { return now.Sub(held.madeAt) >= lifetime })
 	e.number++
-	own := &report{number: e.number, at: now}
-	if counts := count(); len(counts) > maximumTargets {
+	own := &report{number: e.number, madeAt: now}
+	if counts := count(); len(counts) > maxTargets {
 		own.isPartial = true
 	} else {
 		own.flows = flowsOf(counts)
@@ -103,10 +103,10 @@
 // Totals returns the number of open flows at each target according to all valid reports. It
 // reports false if some daemon has more targets than it can report; then the totals would be
 // incomplete, and a daemon has enough flows of its own to judge by.
-func (e *Exchange) Totals(now time.Time) (totals map[Mark]int, areWhole bool) {
+func (e *Exchange) Totals(now time.Time) (totals map[Mark]int, areComplete bool) {
 	totals = map[Mark]int{}
 	for _, held := range e.reports {
-		if now.Sub(held.at) >= lifetime {
+		if now.Sub(held.madeAt) >= lifetime {
 			continue
 		}
 		if held.isPartial {
@@ -122,8 +122,8 @@
 // An encoded report consists of its head, the number of targets (1 byte), and for each target
 // its mark (2) and count (1), all big-endian.
 const (
-	headBytes  = HeadBytes + 1
-	flowsBytes = 3
+	reportHeaderBytes = HeadBytes + 1
+	targetBytes       = 3
 )
 
 // Message returns encoded reports to send: those sent the fewest times first, then the latest.
@@ -131,25 +131,25 @@
 
 // MessageWithin is like Message with a smaller limit in bytes, which leaves room for other
 // data.
-func (e *Exchange) MessageWithin(now time.Time, most int) []byte {
-	addresses := InTurn(e.reports, MostHeads, func(r *report) Turn { return Turn{Sent: r.sent, At: r.at} })
+func (e *Exchange) MessageWithin(now time.Time, limit int) []byte {
+	addresses := InTurn(e.reports, MostHeads, func(r *report) Turn { return Turn{Sent: r.timesSent, At: r.madeAt} })
 	var message []byte
 	for _, address := range addresses {
 		held := e.reports[address]
-		if len(message)+headBytes+flowsBytes*len(held.flows) > most {
+		if len(message)+reportHeaderBytes+targetBytes*len(held.flows) > limit {
 			break
 		}
-		held.sent++
+		held.timesSent++
 		message = held.append(now, message, address)
 	}
 	return message
 }
 
 func (r *report) append(now time.Time, to []byte, address netip.AddrPort) []byte {
-	to = Head{From: address, Number: r.number, At: r.at}.Append(now, to)
+	to = Head{From: address, Number: r.number, At: r.madeAt}.Append(now, to)
 	count := byte(len(r.flows))
 	if r.isPartial {
-		count = tooMany
+		count = tooManyTargets
 	}
 	to = append(to, count)
 	for _, flows := range r.flows {
@@ -162,32 +162,32 @@
 // Hear merges the reports in a message and returns the number of bytes at its end that could
 // not be decoded.
 func (e *Exchange) Hear(now time.Time, message []byte) (unread int) {
-	for len(message) >= headBytes {
-		count := int(message[headBytes-1])
-		if count == tooMany {
+	for len(message) >= reportHeaderBytes {
+		count := int(message[reportHeaderBytes-1])
+		if count == tooManyTargets {
 			count = 0
 		}
-		length := headBytes + flowsBytes*count
-		if count > maximumTargets || len(message) < length {
+		length := reportHeaderBytes + targetBytes*count
+		if count > maxTargets || len(message) < length {
 			break
 		}
-		e.take(now, message[:length])
+		e.add(now, message[:length])
 		message = message[length:]
 	}
 	return len(message)
 }
 
-// take stores a report that is newer than the known one of the same daemon.
-func (e *Exchange) take(now time.Time, encoded []byte) {
+// add stores a report that is newer than the known one of the same daemon.
+func (e *Exchange) add(now time.Time, encoded []byte) {
 	head := DecodeHead(now, encoded)
-	told := &report{number: head.Number, at: head.At, isPartial: encoded[headBytes-1] == tooMany}
-	held := e.reports[head.From]
-	isNews := held == nil && len(e.reports) < maximumReports || held != nil && told.number > held.number
-	if head.From == e.self || !isNews || now.Sub(told.at) >= lifetime {
+	received := &report{number: head.Number, madeAt: head.At, isPartial: encoded[reportHeaderBytes-1] == tooManyTargets}
+	known := e.reports[head.From]
+	isNewer := known == nil && len(e.reports) < maxReports || known != nil && received.number > known.number
+	if head.From == e.self || !isNewer || now.Sub(received.madeAt) >= lifetime {
 		return
 	}
-	for rest := encoded[headBytes:]; len(rest) > 0; rest = rest[flowsBytes:] {
-		told.flows = append(told.flows, Flows{Mark: Mark(binary.BigEndian.Uint16(rest)), Count: rest[2]})
+	for rest := encoded[reportHeaderBytes:]; len(rest) > 0; rest = rest[targetBytes:] {
+		received.flows = append(received.flows, Flows{Mark: Mark(binary.BigEndian.Uint16(rest)), Count: rest[2]})
 	}
-	e.reports[head.From] = told
+	e.reports[head.From] = received
 }
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -21,19 +21,19 @@
 // totals returns the totals and fails the test if they are incomplete.
 func totals(t *testing.T, exchange *Exchange, now time.Time) map[Mark]int {
 	t.Helper()
-	sums, areWhole := exchange.Totals(now)
-	assert.Assert(t, areWhole)
+	sums, areComplete := exchange.Totals(now)
+	assert.Assert(t, areComplete)
 	return sums
 }
 
-func telling(number byte, counts map[uint32]int) *Exchange {
+func newReportingExchange(number byte, counts map[uint32]int) *Exchange {
 	exchange := New(address(number), 0)
 	exchange.Tick(testStart, func() map[uint32]int { return counts })
 	return exchange
 }
 
-func TestReportsAddUp(t *testing.T) {
-	one, other := telling(1, map[uint32]int{tokenOf(7): 2, tokenOf(8): 1}), telling(2, map[uint32]int{tokenOf(7): 3})
+func TestTotalsSumReports(t *testing.T) {
+	one, other := newReportingExchange(1, map[uint32]int{tokenOf(7): 2, tokenOf(8): 1}), newReportingExchange(2, map[uint32]int{tokenOf(7): 3})
 	assert.Equal(t, one.Hear(testStart, other.Message(testStart)), 0)
 	assert.DeepEqual(t, totals(t, one, testStart), map[Mark]int{7: 5, 8: 1})
 	t.Run("a repeated report changes nothing", func(t *testing.T) {
@@ -60,14 +60,14 @@
 }
 
 // Messages are bounded in size, and over several of them all known reports are sent.
-func TestAMessageIsBoundedWhateverIsKnown(t *testing.T) {
-	hub := telling(0, nil)
+func TestMessageSizeIsBounded(t *testing.T) {
+	hub := newReportingExchange(0, nil)
 	for number := range byte(200) {
 		counts := map[uint32]int{}
-		for mark := range Mark(number % (maximumTargets + 1)) {
+		for mark := range Mark(number % (maxTargets + 1)) {
 			counts[tokenOf(mark+1)] = 1000
 		}
-		hub.Hear(testStart, telling(number+1, counts).Message(testStart))
+		hub.Hear(testStart, newReportingExchange(number+1, counts).Message(testStart))
 	}
 	listener := New(address(250), 0)
 	for range 150 {
@@ -76,38 +76,38 @@
 		assert.Equal(t, listener.Hear(testStart, message), 0)
 	}
 	assert.Equal(t, len(listener.reports), 201)
-	assert.Equal(t, len(listener.reports[address(maximumTargets+1)].flows), maximumTargets)
+	assert.Equal(t, len(listener.reports[address(maxTargets+1)].flows), maxTargets)
 	assert.Equal(t, listener.reports[address(2)].flows[0].Count, uint8(255))
 }
 
 // A daemon with too many targets reports that, and the totals then count as incomplete.
-func TestWhoHasMoreThanItCanTellSaysSo(t *testing.T) {
+func TestTooManyTargetsMakeTotalsIncomplete(t *testing.T) {
 	counts := map[uint32]int{}
-	for mark := range Mark(maximumTargets + 1) {
+	for mark := range Mark(maxTargets + 1) {
 		counts[tokenOf(mark)] = 1
 	}
-	listener := telling(1, map[uint32]int{tokenOf(7): 2})
-	assert.Equal(t, listener.Hear(testStart, telling(2, counts).Message(testStart)), 0)
-	_, areWhole := listener.Totals(testStart)
-	assert.Assert(t, !areWhole)
-	_, areWhole = listener.Totals(testStart.Add(lifetime))
-	assert.Assert(t, areWhole, "the report has expired")
+	listener := newReportingExchange(1, map[uint32]int{tokenOf(7): 2})
+	assert.Equal(t, listener.Hear(testStart, newReportingExchange(2, counts).Message(testStart)), 0)
+	_, areComplete := listener.Totals(testStart)
+	assert.Assert(t, !areComplete)
+	_, areComplete = listener.Totals(testStart.Add(lifetime))
+	assert.Assert(t, areComplete, "the report has expired")
 }
 
-func TestAMessageCutShortIsReadAsFarAsItGoes(t *testing.T) {
-	teller := telling(1, map[uint32]int{tokenOf(7): 2})
-	teller.Hear(testStart, telling(2, map[uint32]int{tokenOf(8): 1}).Message(testStart))
-	message := teller.Message(testStart)
+func TestTruncatedMessageIsDecodedPartially(t *testing.T) {
+	sender := newReportingExchange(1, map[uint32]int{tokenOf(7): 2})
+	sender.Hear(testStart, newReportingExchange(2, map[uint32]int{tokenOf(8): 1}).Message(testStart))
+	message := sender.Message(testStart)
 	for length := range len(message) {
 		exchange := New(address(9), 0)
 		unread := exchange.Hear(testStart, message[:length])
-		assert.Assert(t, unread > 0 || length%(headBytes+flowsBytes) == 0)
-		assert.Equal(t, len(exchange.reports), length/(headBytes+flowsBytes))
+		assert.Assert(t, unread > 0 || length%(reportHeaderBytes+targetBytes) == 0)
+		assert.Equal(t, len(exchange.reports), length/(reportHeaderBytes+targetBytes))
 	}
 }
 
 func FuzzHear(f *testing.F) {
-	f.Add(telling(1, map[uint32]int{tokenOf(7): 2}).Message(testStart))
+	f.Add(newReportingExchange(1, map[uint32]int{tokenOf(7): 2}).Message(testStart))
 	f.Fuzz(func(t *testing.T, message []byte) {
 		exchange := New(address(9), 0)
 		unread := exchange.Hear(testStart, message)
@@ -119,7 +119,7 @@
 
 // With two messages per 300 ms from each daemon to random ones, most of the zone's flows are
 // known to every daemon.
-func TestReportsGoRoundAZone(t *testing.T) {
+func TestReportsReachWholeZone(t *testing.T) {
 	for _, daemons := range []int{3, 20, 70} {
 		t.Run(fmt.Sprint(daemons, " daemons"), func(t *testing.T) {
 			random := rand.New(rand.NewPCG(1, uint64(daemons)))
