--- a/internal/dissemination/store.go
+++ b/internal/dissemination/store.go
@@ -1,6 +1,6 @@
-// Package dissemination holds what of the configuration is in force on one
-// daemon, and the recent entries that bring others up to it. It only moves
-// forward: within a group by index, across groups by epoch. It does no I/O.
+// Package dissemination holds one daemon's active configuration and the recent log entries with
+// which other daemons catch up. The configuration only moves forward: within a consensus group
+// by index, across groups by epoch. The package does no I/O.
 package dissemination
 
 import (
@@ -15,17 +15,17 @@
 	"github.com/passtray/passtray/internal/identity"
 )
 
-// Version says how far a daemon has come.
+// Version is a position in the sequence of configurations.
 type Version struct {
 	Epoch consensus.Epoch `cbor:"1,keyasint"`
 	Index uint64          `cbor:"2,keyasint"`
 }
 
-// Order is how two versions stand to each other.
+// Order is the result of comparing two versions.
 type Order int8
 
-// The orders. Conflicting versions belong to groups founded apart; neither may
-// give way by itself.
+// Orders. Conflicting versions belong to groups that were founded independently; neither
+// supersedes the other.
 const (
 	Older Order = iota - 1
 	Same
@@ -33,7 +33,7 @@
 	Conflicting
 )
 
-// Against returns the order of v seen from other: Newer if v is ahead.
+// Against returns the order of v relative to other: Newer if v is ahead.
 func (v Version) Against(other Version) Order {
 	if v.Epoch.Number != other.Epoch.Number {
 		return Order(cmp.Compare(v.Epoch.Number, other.Epoch.Number))
@@ -44,36 +44,35 @@
 	return Order(cmp.Compare(v.Index, other.Index))
 }
 
-// Update brings a daemon forward: by entries that follow what it has, or by a
-// snapshot.
+// Update brings a daemon to a later version, either by the entries that follow its version or
+// by a snapshot.
 type Update struct {
 	Epoch   consensus.Epoch   `cbor:"1,keyasint"`
 	Entries []consensus.Entry `cbor:"2,keyasint,omitempty"`
-	// Index, Voters and Compressed are the snapshot; Compressed is the zstd
-	// form of the catalog state.
+	// Index, Voters and Compressed form the snapshot. Compressed is the zstd-compressed catalog
+	// state.
 	Index      uint64              `cbor:"3,keyasint,omitempty"`
 	Voters     []identity.Identity `cbor:"4,keyasint,omitempty"`
 	Compressed []byte              `cbor:"5,keyasint,omitempty"`
 }
 
 const (
-	// retainedEntries bounds the recent entries kept for others. At 2,300
-	// changes a day it covers more than a day.
-	retainedEntries = 4096
-	// entriesPerUpdate bounds one update.
+	// retainedEntries bounds the recent entries kept for other daemons. At 2,300 changes a day
+	// they cover more than a day.
+	retainedEntries  = 4096
 	entriesPerUpdate = 1024
-	// maximumStateSize bounds what a snapshot may unpack to, in bytes.
+	// maximumStateSize bounds the decompressed size of a snapshot, in bytes.
 	maximumStateSize = 64 << 20
 )
 
-// Applied is one entry's effect.
+// Applied is an applied entry and its outcome.
 type Applied struct {
 	Entry   consensus.Entry
 	Outcome catalog.Outcome
 }
 
-// Store is one daemon's configuration in force. It is not safe for concurrent
-// use; the catalog states it hands out are immutable.
+// Store holds one daemon's active configuration. It is not safe for concurrent use; the catalog
+// states it returns are immutable.
 type Store struct {
 	version Version
 	state   *catalog.State
@@ -83,30 +82,30 @@
 	decoder *zstd.Decoder
 }
 
-// NewStore makes a store with nothing in force.
+// NewStore returns a store without a configuration.
 func NewStore() *Store {
 	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
 	if err != nil {
-		panic(eris.Wrap(err, "zstd encoder options are constant"))
+		panic(eris.Wrap(err, "create zstd encoder"))
 	}
 	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maximumStateSize))
 	if err != nil {
-		panic(eris.Wrap(err, "zstd decoder options are constant"))
+		panic(eris.Wrap(err, "create zstd decoder"))
 	}
 	return &Store{state: &catalog.State{}, encoder: encoder, decoder: decoder}
 }
 
-// Version returns how far this daemon has come.
+// Version returns the version of the active configuration.
 func (s *Store) Version() Version { return s.version }
 
-// State returns the configuration in force.
+// State returns the active configuration.
 func (s *Store) State() *catalog.State { return s.state }
 
-// Voters returns the voters as of the version.
+// Voters returns the voters as of Version.
 func (s *Store) Voters() []identity.Identity { return s.voters }
 
-// Apply puts committed entries in force, in order, skipping those already in
-// force. It stops at a gap.
+// Apply applies committed entries in order, skipping those already applied. It stops at a gap,
+// and applies nothing if the epoch differs.
 func (s *Store) Apply(epoch consensus.Epoch, entries []consensus.Entry) ([]Applied, error) {
 	var applied []Applied
 	if epoch != s.version.Epoch {
@@ -136,7 +135,7 @@
 	case consensus.EntryData:
 		var change catalog.Change
 		if err := cbor.Unmarshal(entry.Data, &change); err != nil {
-			return outcome, eris.Wrapf(err, "entry %d", entry.Index)
+			return outcome, eris.Wrapf(err, "decode entry %d", entry.Index)
 		}
 		s.state, outcome = s.state.Apply(&change)
 	}
@@ -148,7 +147,7 @@
 	return outcome, nil
 }
 
-// Install puts a whole state in force if it is newer, and reports whether it
+// Install replaces the configuration by a snapshot if that is newer, and reports whether it
 // did.
 func (s *Store) Install(version Version, voters []identity.Identity, encodedState []byte) (bool, error) {
 	if version.Against(s.version) != Newer {
@@ -165,8 +164,7 @@
 	return true, nil
 }
 
-// Since returns the update that brings a daemon at have forward, and false if
-// there is none to give.
+// Since returns the update from the version have to the local one; false if have is not older.
 func (s *Store) Since(have Version) (Update, bool) {
 	if s.version.Against(have) != Newer {
 		return Update{}, false
@@ -179,14 +177,13 @@
 	return Update{Epoch: s.version.Epoch, Index: s.version.Index, Voters: s.voters, Compressed: compressed}, true
 }
 
-// Take puts an update in force as far as it is newer, and reports whether
-// anything changed.
+// Take applies an update as far as it is newer, and reports whether anything changed.
 func (s *Store) Take(update *Update) (bool, error) {
 	before := s.version
 	if update.Compressed != nil {
 		state, err := s.decoder.DecodeAll(update.Compressed, nil)
 		if err != nil {
-			return false, eris.Wrap(err, "snapshot")
+			return false, eris.Wrap(err, "decompress snapshot")
 		}
 		if _, err := s.Install(Version{Epoch: update.Epoch, Index: update.Index}, update.Voters, state); err != nil {
 			return false, err
