--- a/internal/dissemination/store.go
+++ b/internal/dissemination/store.go
@@ -57,12 +57,12 @@
 }
 
 const (
-	// retainedEntries bounds the recent entries kept for other daemons. At 2,300 changes a day
+	// maxRecentEntries bounds the recent entries kept for other daemons. At 2,300 changes a day
 	// they cover more than a day.
-	retainedEntries  = 4096
-	entriesPerUpdate = 1024
-	// maximumStateSize bounds the decompressed size of a snapshot, in bytes.
-	maximumStateSize = 64 << 20
+	maxRecentEntries = 4096
+	maxUpdateEntries = 1024
+	// maxStateBytes bounds the decompressed size of a snapshot, in bytes.
+	maxStateBytes = 64 << 20
 )
 
 // Applied is an applied entry and its outcome.
@@ -88,7 +88,7 @@
 	if err != nil {
 		panic(eris.Wrap(err, "create zstd encoder"))
 	}
-	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maximumStateSize))
+	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxStateBytes))
 	if err != nil {
 		panic(eris.Wrap(err, "create zstd decoder"))
 	}
@@ -118,7 +118,7 @@
 		if entry.Index != s.version.Index+1 {
 			break
 		}
-		outcome, err := s.applyOne(&entry)
+		outcome, err := s.applyEntry(&entry)
 		if err != nil {
 			return applied, err
 		}
@@ -127,7 +127,7 @@
 	return applied, nil
 }
 
-func (s *Store) applyOne(entry *consensus.Entry) (catalog.Outcome, error) {
+func (s *Store) applyEntry(entry *consensus.Entry) (catalog.Outcome, error) {
 	var outcome catalog.Outcome
 	switch entry.Kind {
 	case consensus.EntryVoters:
@@ -141,7 +141,7 @@
 	}
 	s.version.Index = entry.Index
 	s.recent = append(s.recent, *entry)
-	if excess := len(s.recent) - retainedEntries; excess > 0 {
+	if excess := len(s.recent) - maxRecentEntries; excess > 0 {
 		s.recent = append([]consensus.Entry(nil), s.recent[excess:]...)
 	}
 	return outcome, nil
@@ -171,7 +171,7 @@
 	}
 	if have.Epoch == s.version.Epoch && len(s.recent) > 0 && s.recent[0].Index <= have.Index+1 {
 		missing := s.recent[have.Index+1-s.recent[0].Index:]
-		return Update{Epoch: s.version.Epoch, Entries: missing[:min(len(missing), entriesPerUpdate)]}, true
+		return Update{Epoch: s.version.Epoch, Entries: missing[:min(len(missing), maxUpdateEntries)]}, true
 	}
 	compressed := s.encoder.EncodeAll(s.state.Encode(), nil)
 	return Update{Epoch: s.version.Epoch, Index: s.version.Index, Voters: s.voters, Compressed: compressed}, true
