--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -16,59 +16,58 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, number}), 7000)
 }
 
-// tokenOf is a token with a mark.
 func tokenOf(mark Mark) uint32 { return uint32(mark) << 16 }
 
-// totals are whole.
+// totals returns the totals and fails the test if they are incomplete.
 func totals(t *testing.T, exchange *Exchange, now time.Time) map[Mark]int {
 	t.Helper()
-	sums, areWhole := exchange.Totals(now)
-	assert.Assert(t, areWhole)
+	sums, areComplete := exchange.Totals(now)
+	assert.Assert(t, areComplete)
 	return sums
 }
 
-func telling(number byte, counts map[uint32]int) *Exchange {
+func newReportingExchange(number byte, counts map[uint32]int) *Exchange {
 	exchange := New(address(number), 0)
 	exchange.Tick(testStart, func() map[uint32]int { return counts })
 	return exchange
 }
 
-func TestReportsAddUp(t *testing.T) {
-	one, other := telling(1, map[uint32]int{tokenOf(7): 2, tokenOf(8): 1}), telling(2, map[uint32]int{tokenOf(7): 3})
+func TestTotalsSumReports(t *testing.T) {
+	one, other := newReportingExchange(1, map[uint32]int{tokenOf(7): 2, tokenOf(8): 1}), newReportingExchange(2, map[uint32]int{tokenOf(7): 3})
 	assert.Equal(t, one.Hear(testStart, other.Message(testStart)), 0)
 	assert.DeepEqual(t, totals(t, one, testStart), map[Mark]int{7: 5, 8: 1})
-	t.Run("the same one heard again changes nothing", func(t *testing.T) {
+	t.Run("a repeated report changes nothing", func(t *testing.T) {
 		one.Hear(testStart, other.Message(testStart))
 		assert.DeepEqual(t, totals(t, one, testStart), map[Mark]int{7: 5, 8: 1})
 	})
-	t.Run("a newer one takes its place", func(t *testing.T) {
+	t.Run("a newer report replaces the old one", func(t *testing.T) {
 		later := testStart.Add(ReportInterval)
 		other.Tick(later, func() map[uint32]int { return map[uint32]int{tokenOf(9): 1} })
 		one.Hear(later, other.Message(later))
 		assert.DeepEqual(t, totals(t, one, later), map[Mark]int{7: 2, 8: 1, 9: 1})
 	})
-	t.Run("one that is not renewed lapses, counted from when it was made", func(t *testing.T) {
+	t.Run("a report expires a fixed time after it was made", func(t *testing.T) {
 		third := New(address(3), 0)
 		third.Hear(testStart.Add(2*time.Second), other.Message(testStart.Add(2*time.Second)))
 		assert.Equal(t, len(totals(t, third, testStart.Add(2*time.Second))), 1)
 		assert.Equal(t, len(totals(t, third, testStart.Add(ReportInterval+lifetime))), 0)
 	})
-	t.Run("what others say of oneself counts for nothing", func(t *testing.T) {
+	t.Run("reports of the own address are ignored", func(t *testing.T) {
 		again := New(address(2), 0)
 		again.Hear(testStart, one.Message(testStart))
 		assert.Equal(t, totals(t, again, testStart)[9], 0)
 	})
 }
 
-// TestAMessageIsBoundedWhateverIsKnown, and passes everything on in turn.
-func TestAMessageIsBoundedWhateverIsKnown(t *testing.T) {
-	hub := telling(0, nil)
+// Messages are bounded in size, and over several of them all known reports are sent.
+func TestMessageSizeIsBounded(t *testing.T) {
+	hub := newReportingExchange(0, nil)
 	for number := range byte(200) {
 		counts := map[uint32]int{}
-		for mark := range Mark(number % (maximumTargets + 1)) {
+		for mark := range Mark(number % (maxTargets + 1)) {
 			counts[tokenOf(mark+1)] = 1000
 		}
-		hub.Hear(testStart, telling(number+1, counts).Message(testStart))
+		hub.Hear(testStart, newReportingExchange(number+1, counts).Message(testStart))
 	}
 	listener := New(address(250), 0)
 	for range 150 {
@@ -77,39 +76,38 @@
 		assert.Equal(t, listener.Hear(testStart, message), 0)
 	}
 	assert.Equal(t, len(listener.reports), 201)
-	assert.Equal(t, len(listener.reports[address(maximumTargets+1)].flows), maximumTargets)
+	assert.Equal(t, len(listener.reports[address(maxTargets+1)].flows), maxTargets)
 	assert.Equal(t, listener.reports[address(2)].flows[0].Count, uint8(255))
 }
 
-// TestWhoHasMoreThanItCanTellSaysSo, and then nobody goes by the sums.
-func TestWhoHasMoreThanItCanTellSaysSo(t *testing.T) {
+// A daemon with too many targets reports that, and the totals then count as incomplete.
+func TestTooManyTargetsMakeTotalsIncomplete(t *testing.T) {
 	counts := map[uint32]int{}
-	for mark := range Mark(maximumTargets + 1) {
+	for mark := range Mark(maxTargets + 1) {
 		counts[tokenOf(mark)] = 1
 	}
-	listener := telling(1, map[uint32]int{tokenOf(7): 2})
-	assert.Equal(t, listener.Hear(testStart, telling(2, counts).Message(testStart)), 0)
-	_, areWhole := listener.Totals(testStart)
-	assert.Assert(t, !areWhole)
-	_, areWhole = listener.Totals(testStart.Add(lifetime))
-	assert.Assert(t, areWhole, "it has lapsed")
+	listener := newReportingExchange(1, map[uint32]int{tokenOf(7): 2})
+	assert.Equal(t, listener.Hear(testStart, newReportingExchange(2, counts).Message(testStart)), 0)
+	_, areComplete := listener.Totals(testStart)
+	assert.Assert(t, !areComplete)
+	_, areComplete = listener.Totals(testStart.Add(lifetime))
+	assert.Assert(t, areComplete, "the report has expired")
 }
 
-// TestAMessageCutShortIsReadAsFarAsItGoes.
-func TestAMessageCutShortIsReadAsFarAsItGoes(t *testing.T) {
-	teller := telling(1, map[uint32]int{tokenOf(7): 2})
-	teller.Hear(testStart, telling(2, map[uint32]int{tokenOf(8): 1}).Message(testStart))
-	message := teller.Message(testStart)
+func TestTruncatedMessageIsDecodedPartially(t *testing.T) {
+	sender := newReportingExchange(1, map[uint32]int{tokenOf(7): 2})
+	sender.Hear(testStart, newReportingExchange(2, map[uint32]int{tokenOf(8): 1}).Message(testStart))
+	message := sender.Message(testStart)
 	for length := range len(message) {
 		exchange := New(address(9), 0)
 		unread := exchange.Hear(testStart, message[:length])
-		assert.Assert(t, unread > 0 || length%(headBytes+flowsBytes) == 0)
-		assert.Equal(t, len(exchange.reports), length/(headBytes+flowsBytes))
+		assert.Assert(t, unread > 0 || length%(reportHeaderBytes+targetBytes) == 0)
+		assert.Equal(t, len(exchange.reports), length/(reportHeaderBytes+targetBytes))
 	}
 }
 
 func FuzzHear(f *testing.F) {
-	f.Add(telling(1, map[uint32]int{tokenOf(7): 2}).Message(testStart))
+	f.Add(newReportingExchange(1, map[uint32]int{tokenOf(7): 2}).Message(testStart))
 	f.Fuzz(func(t *testing.T, message []byte) {
 		exchange := New(address(9), 0)
 		unread := exchange.Hear(testStart, message)
@@ -119,9 +117,9 @@
 	})
 }
 
-// TestReportsGoRoundAZone: with two messages each 300 ms, from each daemon to drawn ones,
-// what a daemon knows of the others is a few seconds old at most.
-func TestReportsGoRoundAZone(t *testing.T) {
+// With two messages per 300 ms from each daemon to random ones, most of the zone's flows are
+// known to every daemon.
+func TestReportsReachWholeZone(t *testing.T) {
 	for _, daemons := range []int{3, 20, 70} {
 		t.Run(fmt.Sprint(daemons, " daemons"), func(t *testing.T) {
 			random := rand.New(rand.NewPCG(1, uint64(daemons)))
@@ -146,7 +144,7 @@
 				for _, count := range totals(t, daemon, now) {
 					known += count
 				}
-				assert.Assert(t, known >= 4*daemons*8/10, "daemon %d knows of %d flows of %d", number, known, 4*daemons)
+				assert.Assert(t, known >= 4*daemons*8/10, "daemon %d knows %d of %d flows", number, known, 4*daemons)
 			}
 		})
 	}
