--- a/internal/liveness/detector.go
+++ b/internal/liveness/detector.go
@@ -1,20 +1,17 @@
-// Package liveness finds targets that are dead: callers at several daemons send again what
-// nobody acknowledges, and no daemon sees a sign of life. A daemon that suspects a target
-// tells a few judges, chosen by the target. A judge with the evidence of several asks all
-// daemons, and those that have heard from the target object; it also probes the target
-// itself. If nobody gets anything from it in time, the judge tells all that the target is dead,
-// until anybody does.
+// Package liveness is a distributed failure detector for targets. A daemon whose clients
+// retransmit data that a target does not acknowledge reports this to a few judges, daemons
+// chosen per target. A judge with enough evidence suspects the target: it broadcasts the
+// suspicion and probes the target itself. Any daemon that has seen activity since refutes the
+// suspicion (as in SWIM); otherwise the judge declares the target dead until activity is seen.
 //
-// A zone none of whose targets is heard from is held for silent in the same way. That buries
-// none of them, as one that nobody uses may live; it lets a daemon judge alone of a target
-// that it has callers at.
+// Zones are judged in the same way. An unresponsive zone does not make its targets dead, since
+// idle ones may be up, but lets a daemon decide on its own about targets that it has clients at.
 //
-// A target that is slow, overloaded or fails requests acknowledges what it receives, and
-// is not suspected. One that some daemons cannot reach answers the judge's probe, or is
-// heard from by others. A daemon that has forwarded nothing since a silence began that was
-// answered has likely lost its own path, and neither reports nor judges.
+// Slow or overloaded targets still acknowledge data and are not suspected. A daemon whose own
+// forwarded requests have gone unanswered since the silence began has probably lost its own
+// path, and neither reports nor judges.
 //
-// The package holds no clock, socket or randomness; it is not safe for concurrent use.
+// The package has no clock, socket or randomness, and is not safe for concurrent use.
 package liveness
 
 import (
@@ -26,79 +23,77 @@
 	"github.com/passtray/passtray/internal/pause"
 )
 
-// Verdict is the decision that a target is dead, or a zone silent.
+// Verdict is the decision that a target is dead or a zone unresponsive.
 type Verdict struct {
 	Subject Subject
-	// Until is how long it holds.
+	// Until is when the verdict expires.
 	Until time.Time
-	// Silence is for how long nobody has heard from it. Reporters, Flows and Sends
-	// are what decided; they are 0 if another daemon did.
+	// Silence is how long no daemon has seen activity. Reporters, Flows and Sends are the
+	// evidence; they are 0 if another daemon decided.
 	Silence                 time.Duration
 	Reporters, Flows, Sends int
 }
 
-// Output is what one step brought forth.
+// Output holds the decisions of one step and what the caller must send and probe.
 type Output struct {
 	Dead []Verdict
-	// Silent are verdicts on zones. They bury no target: one that nobody uses may live.
+	// Silent holds verdicts on zones. They do not make the zones' targets dead.
 	Silent []Verdict
-	// Alive are targets that were held for dead and are not.
+	// Alive holds targets whose verdict was withdrawn because of activity.
 	Alive   []uint64
 	Reports []Outgoing
-	// Probes are to be made: the outcome of each is to be told to Probed, whatever it is.
+	// Probes are the probes to make. Report each result, also a failure, to Probed.
 	Probes []Probe
 }
 
-// Probe is a target that is to be probed for a subject.
+// Probe requests a probe of a target on behalf of a subject.
 type Probe struct {
 	Subject Subject
 	Target  uint64
-	// IsAlone says that this daemon judges by itself, IsEarly that there is the evidence of
-	// one other daemon only.
+	// IsAlone marks a probe for a decision by this daemon alone, IsEarly one made on evidence
+	// from one other daemon only.
 	IsAlone bool
 	IsEarly bool
 }
 
-// Directory tells what this daemon knows of targets.
+// Directory provides what this daemon knows of targets.
 type Directory interface {
-	// ZoneOf returns a target's zone; found is false if flows of it are not forwarded.
+	// ZoneOf returns a target's zone; found is false if flows to it are not forwarded.
 	ZoneOf(target uint64) (zone string, found bool)
-	// IsKnown reports whether flows of a subject are forwarded.
+	// IsKnown reports whether flows to a subject are forwarded.
 	IsKnown(subject Subject) bool
-	// LastLife is when this daemon last saw that a subject sent something, zero if it
-	// never did.
+	// LastLife returns when this daemon last saw the subject send something, zero if never.
 	LastLife(subject Subject) time.Time
-	// ExpectedRate is how many signs of life of a subject all daemons together are
-	// expected to see in a second.
+	// ExpectedRate returns how many observations of a subject's activity all daemons together
+	// are expected to make per second.
 	ExpectedRate(subject Subject) float64
-	// TargetsToProbe returns some targets, at most count, that speak for a subject.
+	// TargetsToProbe returns at most count targets to probe for a subject.
 	TargetsToProbe(subject Subject, count int) []uint64
-	// LastAnswered is when this daemon forwarded the latest request that some target has
+	// LastAnswered returns when this daemon forwarded the latest request that any target
 	// answered.
 	LastAnswered() time.Time
 }
 
-// Detector is one daemon's part.
+// Detector is one daemon's part of the distributed failure detector.
 type Detector struct {
 	config   Config
 	suspects map[Subject]*suspect
-	// observed are reports on what was observed since the last tick.
+	// observed holds reports from Observe for the next tick.
 	observed Output
-	// early is what is left of the bound on early probes.
+	// early limits the rate of early probes.
 	early budget
 	pause pause.Detector
 }
 
-// New makes a detector.
 func New(config Config) *Detector {
 	return &Detector{config: config, suspects: map[Subject]*suspect{}, early: budget{left: config.EarlyBurst}}
 }
 
-// self is this daemon as a reporter.
+// self stands for this daemon as a reporter.
 var self netip.AddrPort
 
-// Observe takes in that a caller of this daemon sent data again on a flow; the target had
-// not acknowledged it since a time. What is to be told of it comes with the next tick.
+// Observe records that a client retransmitted data on a flow that the target has not
+// acknowledged since the given time. Resulting reports are returned by the next Tick.
 func (d *Detector) Observe(now time.Time, directory Directory, target, flow uint64, since time.Time) {
 	zone, found := directory.ZoneOf(target)
 	if !found || !reachesTargets(directory, since) {
@@ -129,14 +124,15 @@
 	d.observed.tell(Outgoing{Judges: judges, Report: report}, now.Sub(own.since))
 }
 
-// reachesTargets reports whether what this daemon forwarded since a time was answered, so
-// that a silence since then is not its own path's.
+// reachesTargets reports whether a request forwarded after the given time was answered: this
+// daemon's own path works, so it does not explain a silence since then.
 func reachesTargets(directory Directory, since time.Time) bool {
 	return directory.LastAnswered().After(since)
 }
 
-// noteTime is called at the beginning of each step. After this daemon stood still its questions are
-// forgotten: nobody knows who objected meanwhile, nor whether a probe failed or only ran out of time.
+// noteTime is called at the start of each step. If the process was paused, it resets pending
+// suspicions: refutations may have been missed, and a probe may have run into its timeout
+// only because of the pause.
 func (d *Detector) noteTime(now time.Time) {
 	if !d.pause.Note(now) {
 		return
@@ -146,7 +142,7 @@
 	}
 }
 
-// Probed takes in whether a target that was to be probed answered.
+// Probed handles the result of a probe.
 func (d *Detector) Probed(now time.Time, probe Probe, hasAnswered bool) {
 	d.noteTime(now)
 	suspected := d.suspects[probe.Subject]
@@ -164,14 +160,14 @@
 	case !probe.IsAlone && !probe.IsEarly && suspected.askedHere:
 		suspected.probesLeft--
 	default:
-		// The question was forgotten while the probe was under way: it says nothing of a later silence.
+		// The suspicion was reset while the probe was in flight; the result does not apply to a later one.
 	}
 }
 
-// maximumDoublings keeps the doubling of judges within its type.
+// maximumDoublings prevents an overflow when the number of judges is doubled.
 const maximumDoublings = 10
 
-// suspect returns what is held of a subject.
+// suspect returns the state of a subject, and creates it if needed.
 func (d *Detector) suspect(subject Subject) *suspect {
 	suspected := d.suspects[subject]
 	if suspected == nil {
@@ -181,13 +177,13 @@
 	return suspected
 }
 
-// tell adds a report on something of an age.
+// tell adds a report about something that happened the given time ago.
 func (o *Output) tell(outgoing Outgoing, age time.Duration) {
 	outgoing.AgeMilliseconds = uint32(max(0, age).Milliseconds())
 	o.Reports = append(o.Reports, outgoing)
 }
 
-// Hear takes in others' reports.
+// Hear handles reports from other daemons.
 func (d *Detector) Hear(now time.Time, directory Directory, reports []Received) Output {
 	var output Output
 	d.noteTime(now)
@@ -232,8 +228,8 @@
 	}
 }
 
-// object answers with a sign of life that the sender of a report does not know of. After a
-// verdict all have to know.
+// object refutes a report with activity that its sender has not seen. A refuted verdict is
+// broadcast, since all daemons may have acted on it.
 func (d *Detector) object(now time.Time, report *Received, suspected *suspect, output *Output) {
 	objection := Outgoing{Report: Report{Subject: report.Subject, Kind: Alive}}
 	if report.Kind != Dead {
@@ -242,12 +238,12 @@
 	output.tell(objection, now.Sub(suspected.lifeAt))
 }
 
-// Tick lets time pass.
+// Tick advances the detector to now.
 func (d *Detector) Tick(now time.Time, directory Directory) Output {
 	d.noteTime(now)
 	output := d.observed
 	d.observed = Output{}
-	for _, subject := range slices.SortedFunc(maps.Keys(d.suspects), Subject.compare) { // for seeded runs
+	for _, subject := range slices.SortedFunc(maps.Keys(d.suspects), Subject.compare) { // deterministic order for seeded runs
 		suspected := d.suspects[subject]
 		suspected.expire(now)
 		wasDead := suspected.isDead(now)
--- a/internal/liveness/detector_test.go
+++ b/internal/liveness/detector_test.go
@@ -12,16 +12,16 @@
 
 const (
 	target   = 7
-	fastRate = 40 // signs of life a second: LeastSilence decides
-	slowRate = 1  // MostSilence decides
+	fastRate = 40 // observations per second; LeastSilence applies
+	slowRate = 1  // MostSilence applies
 )
 
-// fakeDirectory is what one daemon knows.
+// fakeDirectory is one daemon's Directory.
 type fakeDirectory struct {
 	life     time.Time
 	rate     float64
 	isCutOff bool
-	// zoneLife is of another target of the zone.
+	// zoneLife is the last activity of another target in the zone.
 	zoneLife time.Time
 	now      *time.Time
 }
@@ -35,7 +35,7 @@
 	return []uint64{target, target + 1, target + 2}[:min(count, 3)]
 }
 
-// LastLife is the target's own, and the zone's if another target of it answers.
+// LastLife returns the target's activity or, for a zone, the latest activity of any target.
 func (f *fakeDirectory) LastLife(subject Subject) time.Time {
 	if subject.Zone != "" && f.zoneLife.After(f.life) {
 		return f.zoneLife
@@ -51,7 +51,7 @@
 	return *f.now
 }
 
-// group is daemons that hear each other's reports after a delay.
+// group simulates daemons that exchange reports with a fixed delay.
 type group struct {
 	now         time.Time
 	detectors   []*Detector
@@ -59,36 +59,36 @@
 	verdicts    map[int]Verdict
 	revived     map[int]int
 	delayed     []delivery
-	// zones are verdicts on the zone.
+	// zones holds the verdicts on the zone, by daemon.
 	zones map[int]Verdict
-	// answersProbes says that the target does, othersAnswerProbes that others of its zone do.
+	// answersProbes is set if the target answers probes, othersAnswerProbes if others in its
+	// zone do.
 	answersProbes      bool
 	othersAnswerProbes bool
-	// reaches, if set, says instead which daemons' probes the target answers.
+	// reaches, if set, overrides both: it returns whether probes of a daemon are answered.
 	reaches func(daemon int) bool
-	// probes counts those made.
-	probes int
-	// sent counts reports times those whom they went to, asked the questions among them,
-	// and lost says which datagrams to a daemon do not arrive.
+	probes  int
+	// sent counts reports times recipients, asked the suspicions among them. lost reports
+	// whether a datagram to a daemon is lost.
 	sent, asked int
 	lost        func(to int, report *Report) bool
-	// frozen is a daemon that stands still, wokeAt when it did no longer.
+	// frozen is the paused daemon, wokeAt when it resumes.
 	frozen int
 	wokeAt time.Time
 }
 
-// none is no daemon.
+// none marks that no daemon is paused.
 const none = -1
 
-// backlog is for how long after it woke a daemon takes no reports in.
+// backlog is how long after a pause a daemon still discards incoming reports.
 const backlog = 300 * time.Millisecond
 
-// freeze has a daemon stand still from now on for a while.
+// freeze pauses a daemon for the given time.
 func (g *group) freeze(daemon int, span time.Duration) { g.frozen, g.wokeAt = daemon, g.now.Add(span) }
 
 func (g *group) isFrozen(daemon int) bool { return daemon == g.frozen && g.now.Before(g.wokeAt) }
 
-// isDeaf reports whether a daemon takes no reports in: it stands still, or did so lately.
+// isDeaf reports whether a daemon discards incoming reports: it is or was recently paused.
 func (g *group) isDeaf(daemon int) bool {
 	return daemon == g.frozen && g.now.Before(g.wokeAt.Add(backlog))
 }
@@ -99,12 +99,12 @@
 	report Received
 }
 
-// travel is how long a datagram takes, and is read.
+// travel is the time from sending a datagram to its processing.
 const travel = 20 * time.Millisecond
 
 func newGroup(daemons int) *group { return newGroupWith(daemons, DefaultConfig()) }
 
-// newGroupWithoutEarly is a group whose judges wait for the callers of two daemons.
+// newGroupWithoutEarly disables early probes, so that judges need reports from two daemons.
 func newGroupWithoutEarly(daemons int) *group {
 	config := DefaultConfig()
 	config.EarlyProbes, config.EarlyBurst = 0, 0
@@ -120,19 +120,19 @@
 	return made
 }
 
-// repeat has a caller of a daemon send again now what it sent 200 ms before.
+// repeat simulates a client retransmitting now what it sent 200 ms before.
 func (g *group) repeat(daemon int, flow uint64) {
 	g.detectors[daemon].Observe(g.now, g.directories[daemon], target, flow, g.now.Add(-200*time.Millisecond))
 }
 
-// fallSilent has three callers of two daemons send again, just enough for a verdict.
+// fallSilent simulates retransmissions of three clients at two daemons, the minimum for a verdict.
 func (g *group) fallSilent() {
 	g.repeat(0, 1)
 	g.repeat(1, 2)
 	g.repeat(1, 3)
 }
 
-// advance lets time pass in steps of 10 ms.
+// advance moves the time forward in steps of 10 ms.
 func (g *group) advance(span time.Duration) {
 	for end := g.now.Add(span); g.now.Before(end); {
 		g.now = g.now.Add(10 * time.Millisecond)
@@ -190,7 +190,8 @@
 	}
 }
 
-// isFor chooses the last daemons for judges: the tests' evidence comes from the first.
+// isFor reports whether a daemon receives a report. The last daemons are the judges, since the
+// tests' evidence comes from the first ones.
 func (g *group) isFor(outgoing *Outgoing, to int) bool {
 	switch {
 	case outgoing.To.IsValid():
@@ -209,7 +210,7 @@
 	group := newGroup(5)
 	group.fallSilent()
 	group.advance(500 * time.Millisecond)
-	assert.Equal(t, len(group.verdicts), 5, "all daemons know: %v", group.verdicts)
+	assert.Equal(t, len(group.verdicts), 5, "verdicts: %v", group.verdicts)
 	for _, verdict := range group.verdicts {
 		assert.Assert(t, verdict.Silence >= DefaultConfig().LeastSilence)
 	}
@@ -233,8 +234,7 @@
 	assert.Equal(t, len(group.verdicts), 0)
 }
 
-// TestWhoeverHearsFromTheTargetObjects: two daemons cannot reach a target that a third
-// one hears from.
+// Two daemons cannot reach a target that a third one sees activity of.
 func TestWhoeverHearsFromTheTargetObjects(t *testing.T) {
 	group := newGroup(5)
 	for range 20 {
@@ -245,10 +245,10 @@
 	assert.Equal(t, len(group.verdicts), 0, "%v", group.verdicts)
 }
 
-// TestWithoutObjectionsALivingTargetIsBuried shows what the objections are for.
+// Verifies that the refutations, not something else, protect the target in the test above.
 func TestWithoutObjectionsALivingTargetIsBuried(t *testing.T) {
 	group := newGroup(5)
-	group.detectors = group.detectors[:4] // the one that hears from the target says nothing
+	group.detectors = group.detectors[:4] // the daemon that sees activity is absent
 	group.directories = group.directories[:4]
 	for range 20 {
 		group.fallSilent()
@@ -257,8 +257,7 @@
 	assert.Equal(t, len(group.verdicts), 4)
 }
 
-// TestAProbeThatIsAnsweredIsLife: nobody but the two daemons that cannot reach the target
-// have callers there.
+// Only the two daemons that cannot reach the target have clients there.
 func TestAProbeThatIsAnsweredIsLife(t *testing.T) {
 	group := newGroup(5)
 	group.answersProbes = true
@@ -279,8 +278,7 @@
 	assert.Equal(t, len(group.verdicts), 0)
 }
 
-// TestARarelyUsedTargetIsSilentForLonger: where signs of life are rare, their absence says
-// little.
+// With a low expected rate, a short silence is normal.
 func TestARarelyUsedTargetIsSilentForLonger(t *testing.T) {
 	group := newGroup(3)
 	for index := range group.directories {
@@ -294,7 +292,7 @@
 	assert.Equal(t, len(group.verdicts), 3)
 }
 
-// TestADaemonThatReachesNobodyDoesNotJudge: its own path is lost.
+// Reporters that have lost their own path must not cause a verdict.
 func TestADaemonThatReachesNobodyDoesNotJudge(t *testing.T) {
 	group := newGroup(3)
 	group.directories[0].isCutOff = true
@@ -318,8 +316,7 @@
 	}
 }
 
-// TestAVerdictRunsOutAndIsFoundAgain: a target that was held for dead gets packets again,
-// so that it can show that it lives.
+// Verdicts expire, and a target that is still dead is detected again.
 func TestAVerdictRunsOutAndIsFoundAgain(t *testing.T) {
 	group := newGroup(3)
 	group.fallSilent()
@@ -332,7 +329,7 @@
 	assert.Equal(t, len(group.verdicts), 3)
 }
 
-// TestAZoneIsSilentTogether: no target of it has two callers.
+// A zone can be unresponsive although none of its targets has enough reporters.
 func TestAZoneIsSilentTogether(t *testing.T) {
 	group := newGroupWithoutEarly(5)
 	for other := range uint64(3) {
@@ -340,11 +337,10 @@
 	}
 	group.advance(700 * time.Millisecond)
 	assert.Equal(t, len(group.zones), 5)
-	assert.Equal(t, len(group.verdicts), 3, "each daemon that has a caller at one judges alone")
+	assert.Equal(t, len(group.verdicts), 3, "daemons with a client at a target decide locally")
 }
 
-// TestATargetOfASilentZoneIsProbedItself: one that answers is not dead, whoever lost a packet
-// to it; one that does not is.
+// In an unresponsive zone, a target is declared dead only if a probe of it fails.
 func TestATargetOfASilentZoneIsProbedItself(t *testing.T) {
 	for _, answers := range []bool{true, false} {
 		group := newGroup(5)
@@ -360,7 +356,7 @@
 }
 
 func TestAZoneWithALivingTargetIsNotDead(t *testing.T) {
-	t.Run("which somebody hears from", func(t *testing.T) {
+	t.Run("activity seen by another daemon", func(t *testing.T) {
 		group := newGroup(5)
 		for range 20 {
 			group.fallSilent()
@@ -370,7 +366,7 @@
 		assert.Equal(t, len(group.verdicts), 5)
 		assert.Equal(t, len(group.zones), 0)
 	})
-	t.Run("which answers a probe", func(t *testing.T) {
+	t.Run("another target answers a probe", func(t *testing.T) {
 		group := newGroup(5)
 		group.othersAnswerProbes = true
 		for range 20 {
@@ -382,19 +378,19 @@
 	})
 }
 
-// TestWhoMissedTheVerdictLearnsItWhenItReports.
+// A daemon that missed a verdict must learn it in response to its own report.
 func TestWhoMissedTheVerdictLearnsItWhenItReports(t *testing.T) {
 	group := newGroup(5)
 	group.fallSilent()
 	group.advance(500 * time.Millisecond)
-	group.detectors[2] = New(DefaultConfig()) // started anew
+	group.detectors[2] = New(DefaultConfig()) // restarted
 	delete(group.verdicts, 2)
 	group.repeat(2, 9)
 	group.advance(100 * time.Millisecond)
 	assert.Equal(t, len(group.verdicts), 5)
 }
 
-// TestOneJudgeAsksAtATime: others that have the same evidence wait for its verdict.
+// Judges with the same evidence must not all broadcast a suspicion.
 func TestOneJudgeAsksAtATime(t *testing.T) {
 	group := newGroup(50)
 	group.repeat(0, 1)
@@ -404,13 +400,12 @@
 	group.repeat(1, 3)
 	group.advance(time.Second)
 	assert.Equal(t, len(group.verdicts), 50)
-	// The verdict on the target is told twice, which is one more report to each.
+	// The verdict on the target is sent twice, one more report to each daemon.
 	assert.Assert(t, group.sent < 2*5*len(group.detectors)/2+len(group.detectors), "%d reports for one target and its zone to %d daemons", group.sent, len(group.detectors))
-	assert.Equal(t, group.asked, 2*(len(group.detectors)-1), "one question on the target and one on its zone to each")
+	assert.Equal(t, group.asked, 2*(len(group.detectors)-1), "one suspicion of the target and one of its zone to each daemon")
 }
 
-// TestAVerdictIsToldTwice: flows that rest there are known to the daemon alone that the first
-// datagram did not reach.
+// A lost verdict datagram must not leave a daemon without the verdict.
 func TestAVerdictIsToldTwice(t *testing.T) {
 	group := newGroup(5)
 	lost := 0
@@ -434,7 +429,7 @@
 	return 0
 }
 
-// TestAJudgeThatIsGoneIsReplaced: with each further report more daemons judge.
+// If the first judges cannot decide, further reports must reach others.
 func TestAJudgeThatIsGoneIsReplaced(t *testing.T) {
 	group := newGroup(10)
 	for judge := len(group.detectors) - DefaultConfig().FirstJudges; judge < len(group.detectors); judge++ {
@@ -448,9 +443,8 @@
 	assert.Assert(t, len(group.verdicts) >= 8, "%v", group.verdicts)
 }
 
-// A judge asked all about a target that only two daemons could not reach, and stood still. Objections that
-// came meanwhile are not taken in, as nobody knows how old they are. When it woke, 1 s after it had
-// asked, it took that for a second in which nobody objected, and told all that the target was dead.
+// A judge that was paused while refutations arrived discards them, and must not count the pause
+// as time in which nobody refuted.
 func TestAJudgeThatStoodStillAsksAgain(t *testing.T) {
 	const judge, objector = 4, 2
 	group := newGroup(5)
--- a/internal/liveness/early.go
+++ b/internal/liveness/early.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// earlyWitnesses is how many daemons besides the judge must fail to reach a target that it
-// probed early: with one, two daemons that lost 30 % of their packets buried a living one.
+// earlyWitnesses is how many other daemons must fail to reach a target that a judge probed
+// early. With one, packet loss at two daemons could get a live target declared dead.
 const earlyWitnesses = 2
 
-// budget bounds what may be done in a second.
+// budget is a token bucket.
 type budget struct {
 	left float64
 	at   time.Time
 }
 
-// take reports whether one more may be done.
+// take reports whether a token was available, and consumes it.
 func (b *budget) take(now time.Time, perSecond, burst float64) bool {
 	if !b.at.IsZero() {
 		b.left = min(burst, b.left+perSecond*now.Sub(b.at).Seconds())
@@ -25,9 +25,9 @@
 	return true
 }
 
-// probeEarly probes a target at the first evidence of one other daemon. All of the first
-// judges do: they tell each other of failures, and one that is answered objects when another
-// one asks.
+// probeEarly probes a target on the first evidence from another daemon. All of the first
+// judges do so and report failures to each other; one whose probe succeeds refutes the
+// suspicions of others.
 func (d *Detector) probeEarly(now time.Time, directory Directory, subject Subject, suspected *suspect, output *Output) {
 	_, _, since := suspected.weigh()
 	if subject.Zone != "" || suspected.early != probeNone || !reachesTargets(directory, since) {
@@ -40,9 +40,9 @@
 	output.Probes = append(output.Probes, Probe{Subject: subject, Target: subject.Target, IsEarly: true})
 }
 
-// tellEarly tells the other judges once that an early probe failed: it counts as the word of a
-// daemon without callers. This daemon's own path must have held since the probe began: it may
-// have been lost just then.
+// tellEarly reports a failed early probe to the other judges, once. The report counts as that
+// of a daemon without clients. It is sent only if this daemon's path has worked since the
+// probe began, as a lost path would explain the failure.
 func (d *Detector) tellEarly(now time.Time, directory Directory, subject Subject, suspected *suspect, output *Output) {
 	if suspected.early != probeFailed || suspected.earlyTold || !reachesTargets(directory, suspected.earlyAt) {
 		return
@@ -54,7 +54,7 @@
 	}
 }
 
-// witnesses counts the other daemons that do not reach a target, and their flows.
+// witnesses returns the number of other daemons that cannot reach a target, and their flows.
 func (s *suspect) witnesses() (others, flows int) {
 	for reporter, held := range s.evidence {
 		if reporter != self {
@@ -65,15 +65,16 @@
 	return others, flows
 }
 
-// isEnoughEarly reports whether the probe of this daemon failed as callers of another one were
-// not acknowledged: enough to ask all.
+// isEnoughEarly reports whether this daemon's early probe failed and clients of another daemon
+// are not acknowledged, which suffices for a suspicion.
 func (s *suspect) isEnoughEarly() bool {
 	_, flows := s.witnesses()
 	return s.early == probeFailed && flows > 0
 }
 
-// isProvenEarly reports whether, besides, a third daemon's probe failed, and this one's path held
-// since its own began: no two lost paths explain all.
+// isProvenEarly reports whether, in addition, a probe from a third daemon failed and this
+// daemon's path has worked since its own probe began, so that two lost paths cannot explain
+// all failures.
 func (s *suspect) isProvenEarly(directory Directory) bool {
 	others, _ := s.witnesses()
 	return s.isEnoughEarly() && others >= earlyWitnesses && reachesTargets(directory, s.earlyAt)
--- a/internal/liveness/early_test.go
+++ b/internal/liveness/early_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestOneDaemonsCallerAndFailedProbesAreEnough: neither path explains both.
+// One daemon's client and failed probes of others suffice without a second daemon's clients.
 func TestOneDaemonsCallerAndFailedProbesAreEnough(t *testing.T) {
 	group := newGroup(5)
 	group.repeat(0, 1)
@@ -18,9 +18,9 @@
 	}
 }
 
-// TestOneDaemonThatReachesNoTargetBuriesNone, whether it judges or not.
+// A daemon without a path to any target must not cause a verdict, be it judge or not.
 func TestOneDaemonThatReachesNoTargetBuriesNone(t *testing.T) {
-	for _, reporter := range []int{0, 4} { // the last two judge
+	for _, reporter := range []int{0, 4} { // the last two daemons are judges
 		group := newGroup(5)
 		group.reaches = func(daemon int) bool { return daemon != reporter }
 		for flow := range uint64(10) {
@@ -31,7 +31,7 @@
 	}
 }
 
-// TestTwoDaemonsThatReachNoTargetBuryNone: whichever they are, a third one judges that does.
+// Any two daemons without a path must be outvoted by a judge whose probe succeeds.
 func TestTwoDaemonsThatReachNoTargetBuryNone(t *testing.T) {
 	for reporter := range 5 {
 		for other := range 5 {
@@ -46,26 +46,27 @@
 	}
 }
 
-// TestOneWitnessIsNotEnough besides the judge, nor a judge whose own path may be lost.
+// An early verdict needs evidence from clients, another daemon's failed probe and a working path
+// of the judge.
 func TestOneWitnessIsNotEnough(t *testing.T) {
 	suspected, now := newSuspect(), testStart
 	suspected.early, suspected.earlyAt = probeFailed, testStart.Add(-time.Millisecond)
 	directory := &fakeDirectory{now: &now}
 	suspected.evidence[addressOf(1)] = evidence{flows: 1, sends: 1}
-	assert.Assert(t, !suspected.isProvenEarly(directory), "its callers alone")
+	assert.Assert(t, !suspected.isProvenEarly(directory), "clients of one daemon only")
 	suspected.evidence[self] = evidence{flows: 1, sends: 1}
-	assert.Assert(t, !suspected.isProvenEarly(directory), "nor the judge's own")
+	assert.Assert(t, !suspected.isProvenEarly(directory), "clients of one daemon and of the judge")
 	suspected.evidence[addressOf(2)] = evidence{}
-	assert.Assert(t, suspected.isProvenEarly(directory), "and another one's probe")
+	assert.Assert(t, suspected.isProvenEarly(directory), "with another daemon's failed probe")
 	suspected.earlyAt = now
-	assert.Assert(t, !suspected.isProvenEarly(directory), "no answer came since the judge's own probe began")
+	assert.Assert(t, !suspected.isProvenEarly(directory), "judge's path not confirmed since its probe began")
 	suspected.earlyAt = testStart.Add(-time.Millisecond)
 	delete(suspected.evidence, addressOf(1))
 	suspected.evidence[addressOf(3)] = evidence{}
-	assert.Assert(t, !suspected.isProvenEarly(directory), "no probes without a caller")
+	assert.Assert(t, !suspected.isProvenEarly(directory), "failed probes only, no clients")
 }
 
-// TestEarlyProbesAreBounded: lost packets make one daemon report many targets.
+// Packet loss at one daemon, which makes it report many targets, must not cause a flood of probes.
 func TestEarlyProbesAreBounded(t *testing.T) {
 	const targets, seconds = 300, 3
 	group := newGroup(3)
@@ -77,23 +78,23 @@
 		group.advance(time.Second)
 	}
 	config := DefaultConfig()
-	judges := float64(len(group.detectors) - 1) // with each further send more are told
+	judges := float64(len(group.detectors) - 1) // further reports reach more judges
 	most := judges * (config.EarlyBurst + seconds*config.EarlyProbes)
 	assert.Assert(t, group.probes > 0 && float64(group.probes) <= most, "%d probes, %v allowed", group.probes, most)
 }
 
-// TestOneLostPathAndOneLostProbeBuryNone: a judge whose probe failed is no daemon with callers.
+// A judge's failed probe must not count as a daemon with clients.
 func TestOneLostPathAndOneLostProbeBuryNone(t *testing.T) {
 	const reporter, other = 4, 3
 	group := newGroup(5)
-	for _, judge := range []int{0, 1, 2} { // their budgets are spent
+	for _, judge := range []int{0, 1, 2} { // exhaust their token buckets
 		group.detectors[judge].config.EarlyProbes, group.detectors[judge].early.left = 0, 0
 	}
 	probes := 0
 	group.reaches = func(daemon int) bool {
 		if daemon == other {
 			probes++
-			return probes > 1 // one packet is lost
+			return probes > 1 // the first probe is lost
 		}
 		return daemon != reporter
 	}
@@ -112,7 +113,7 @@
 		report := Report{Subject: Subject{Target: target}, Kind: Silent, Flows: 1, Sends: 1, AgeMilliseconds: age}
 		return []Received{{Report: report, From: addressOf(1)}}
 	}
-	d.Probed(now, d.Hear(now, directory, told(200)).Probes[0], true) // an earlier doubt, answered
+	d.Probed(now, d.Hear(now, directory, told(200)).Probes[0], true) // an earlier probe, answered
 	now = now.Add(time.Second)
 	first := d.Hear(now, directory, told(200))
 	assert.Equal(t, len(first.Probes), 1)
--- a/internal/liveness/judge.go
+++ b/internal/liveness/judge.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// revive takes a verdict back after a sign of life.
+// revive withdraws a verdict if there was activity after the silence began.
 func (d *Detector) revive(now time.Time, subject Subject, suspected *suspect, output *Output) {
 	if !suspected.isDead(now) || !suspected.lifeAt.After(suspected.silentSince) {
 		return
@@ -13,7 +13,7 @@
 	}
 }
 
-// bury holds a target for dead, or a zone for silent.
+// bury declares a target dead or a zone unresponsive.
 func (d *Detector) bury(now time.Time, subject Subject, suspected *suspect, verdict Verdict, output *Output) {
 	verdict.Subject = subject
 	verdict.Until = now.Add(d.config.HoldFor)
@@ -28,11 +28,11 @@
 	output.Dead = append(output.Dead, verdict)
 }
 
-// judge asks all about a subject against which there is enough evidence, and holds it for
-// dead if nobody objected in time.
+// judge broadcasts a suspicion once there is enough evidence, and declares the subject dead if
+// nobody refutes it in time.
 func (d *Detector) judge(now time.Time, directory Directory, subject Subject, suspected *suspect, output *Output) {
 	flows, sends, since := suspected.weigh()
-	if d.pause.MayBeOld(now) { // what arrives is not taken in, objections neither
+	if d.pause.MayBeOld(now) { // incoming reports are discarded now, refutations included
 		return
 	}
 	if !d.isEnough(suspected) || suspected.isDead(now) || !reachesTargets(directory, since) {
@@ -64,8 +64,8 @@
 	}
 }
 
-// repeat tells a verdict of this daemon once more, for those whom a datagram did not reach:
-// flows that they alone know of are not reset else.
+// repeat sends a verdict of this daemon a second time. A daemon that missed the first datagram
+// would not reset flows that only it knows of.
 func (d *Detector) repeat(now time.Time, subject Subject, suspected *suspect, output *Output) {
 	if suspected.repeatAt.IsZero() || now.Before(suspected.repeatAt) {
 		return
@@ -76,9 +76,9 @@
 	}
 }
 
-// judgeAlone holds a target of a silent zone for dead on what this daemon itself saw: a caller
-// that sent again, and a probe of the very target that failed. Where callers are few beside
-// targets no single one shows its silence to several daemons. One that lives acknowledges.
+// judgeAlone declares a target of an unresponsive zone dead on local evidence: a client's
+// retransmission and a failed probe of that target. Where clients are few compared with targets,
+// no target has clients at several daemons.
 func (d *Detector) judgeAlone(now time.Time, directory Directory, subject Subject, suspected *suspect, output *Output) {
 	own, isSeen := suspected.evidence[self]
 	if !isSeen || d.pause.MayBeOld(now) || suspected.isDead(now) || !d.isInSilentZone(now, directory, subject) || !reachesTargets(directory, own.since) {
@@ -93,7 +93,7 @@
 	}
 }
 
-// isInSilentZone reports whether a target's zone is held for silent.
+// isInSilentZone reports whether a target's zone has been declared unresponsive.
 func (d *Detector) isInSilentZone(now time.Time, directory Directory, subject Subject) bool {
 	if subject.Zone != "" {
 		return false
@@ -106,7 +106,7 @@
 	return suspected != nil && suspected.isDead(now)
 }
 
-// probe asks for probes of what speaks for a subject.
+// probe requests the probes for a subject's suspicion.
 func (d *Detector) probe(directory Directory, subject Subject, suspected *suspect, output *Output) {
 	targets := directory.TargetsToProbe(subject, d.config.ZoneProbes)
 	suspected.probesLeft = len(targets)
@@ -115,8 +115,8 @@
 	}
 }
 
-// isTurn reports whether it is on this judge to ask: those that rank above it did not, or
-// came to no verdict.
+// isTurn reports whether this judge should broadcast the suspicion: no judge with a better rank
+// did, or the one that did reached no verdict.
 func (d *Detector) isTurn(now time.Time, suspected *suspect) bool {
 	if suspected.askedAt.IsZero() {
 		return now.Sub(suspected.enoughAt) >= time.Duration(suspected.rank)*d.config.ObjectFor
@@ -124,13 +124,13 @@
 	return now.Sub(suspected.askedAt) >= 2*d.config.ObjectFor
 }
 
-// isEnough reports whether the evidence suffices to ask all.
+// isEnough reports whether the evidence suffices for a suspicion.
 func (d *Detector) isEnough(suspected *suspect) bool {
 	return suspected.isEnoughEarly() || d.hasCallersOfSeveral(suspected)
 }
 
-// hasCallersOfSeveral reports whether callers of several daemons show the silence. A judge
-// whose probe failed has no callers, and does not count as one.
+// hasCallersOfSeveral reports whether clients of several daemons are affected. A judge that only
+// had a failed probe has no clients and does not count.
 func (d *Detector) hasCallersOfSeveral(suspected *suspect) bool {
 	flows, sends, _ := suspected.weigh()
 	callers := 0
@@ -142,8 +142,8 @@
 	return callers >= d.config.Reporters && flows >= d.config.Flows && sends >= d.config.Sends
 }
 
-// silenceNeeded is how long a target must be silent, given how many signs of life are
-// expected in a second.
+// silenceNeeded returns how long a subject must be unresponsive, given the expected number of
+// observations of its activity per second.
 func (d *Detector) silenceNeeded(rate float64) time.Duration {
 	if rate <= 0 {
 		return d.config.MostSilence
--- a/internal/liveness/suspect.go
+++ b/internal/liveness/suspect.go
@@ -5,41 +5,39 @@
 	"time"
 )
 
-// suspect is what is known of a subject that somebody holds for silent.
+// suspect is the state of a subject that some daemon reported as unresponsive.
 type suspect struct {
-	// evidence is by reporter; the zero address is this daemon.
+	// evidence is keyed by reporter; the zero address is this daemon.
 	evidence map[netip.AddrPort]evidence
-	// flows are those of this daemon's own evidence, told how often it was told.
+	// flows holds the flows in this daemon's own evidence, told the number of reports sent on it.
 	flows map[uint64]bool
 	told  int
-	// lifeAt is the latest sign of life, seen here or told by others.
+	// lifeAt is when the latest activity was seen, by this daemon or another one.
 	lifeAt time.Time
-	// askedAt is when all were asked about the evidence, by this daemon or another one;
-	// askedHere says that it was this one.
+	// askedAt is when the suspicion was broadcast, by any daemon; askedHere is set if it was
+	// this one.
 	askedAt   time.Time
 	askedHere bool
-	// probesLeft is how many probes were not answered yet; 0 if there are none to be made.
+	// probesLeft is the number of probes for the suspicion that have not failed yet.
 	probesLeft int
-	// alone is how the probe ended by which this daemon judges alone.
+	// alone is the state of the probe for a decision by this daemon alone.
 	alone probeState
-	// early is how the probe ended that was made at the first evidence, at earlyAt; earlyTold
-	// says that others were told of its failure. probedAt is when any probe ended last.
+	// early is the state of the early probe, sent at earlyAt; earlyTold is set once its failure
+	// was reported. probedAt is when a probe of any kind last ended.
 	early     probeState
 	earlyAt   time.Time
 	earlyTold bool
 	probedAt  time.Time
-	// rank is this daemon's among the judges, enoughAt since when the evidence is enough.
+	// rank is this daemon's rank among the judges, enoughAt when the evidence first sufficed.
 	rank     int
 	enoughAt time.Time
-	// deadUntil is until when the target is held for dead, silentSince from when on it
-	// said nothing.
+	// deadUntil is when the verdict expires, silentSince when the silence behind it began.
 	deadUntil   time.Time
 	silentSince time.Time
-	// repeatAt is when a verdict of this daemon is told once more, zero if it is not.
+	// repeatAt is when this daemon's verdict is to be sent a second time, zero if it is not.
 	repeatAt time.Time
 }
 
-// probeState is how far a probe has come.
 type probeState uint8
 
 const (
@@ -48,7 +46,7 @@
 	probeFailed
 )
 
-// evidence is what one daemon saw: from when on its callers got no acknowledgement.
+// evidence is what one daemon reported: no acknowledgements since a time.
 type evidence struct {
 	since        time.Time
 	until        time.Time
@@ -59,8 +57,8 @@
 	return &suspect{evidence: map[netip.AddrPort]evidence{}, flows: map[uint64]bool{}}
 }
 
-// takeEvidence takes in what another daemon tells. That its probe failed, too, takes nothing of
-// what it told of its callers.
+// takeEvidence records another daemon's evidence. A report of a failed probe (without
+// retransmissions) only extends what the daemon reported on its clients.
 func (s *suspect) takeEvidence(report *Received, told evidence) {
 	if held, isHeld := s.evidence[report.From]; isHeld && report.Sends == 0 {
 		held.until = told.until
@@ -69,8 +67,8 @@
 	s.evidence[report.From] = told
 }
 
-// seeLife takes in a sign of life, and reports whether it is later than those before.
-// Silence that began before it says nothing any more.
+// seeLife records activity and reports whether it is later than any seen before. Evidence of a
+// silence that began earlier is dropped.
 func (s *suspect) seeLife(at time.Time) bool {
 	if !at.After(s.lifeAt) {
 		return false
@@ -85,7 +83,7 @@
 	return true
 }
 
-// expire forgets evidence that is too old.
+// expire drops expired evidence.
 func (s *suspect) expire(now time.Time) {
 	for reporter, held := range s.evidence {
 		if !now.Before(held.until) {
@@ -103,7 +101,7 @@
 	s.early, s.earlyTold = probeNone, false
 }
 
-// weigh sums the evidence. since is when the silence began that all of it is of.
+// weigh sums the evidence; since is the earliest beginning of a silence in it.
 func (s *suspect) weigh() (flows, sends int, since time.Time) {
 	for _, held := range s.evidence {
 		flows += held.flows
@@ -117,8 +115,8 @@
 
 func (s *suspect) isDead(now time.Time) bool { return now.Before(s.deadUntil) }
 
-// isOver reports whether nothing speaks against the subject any more. What a probe found is
-// kept for a window, to object to the questions of others.
+// isOver reports whether the state can be dropped. After a probe it is kept for a window, since
+// its result may refute suspicions of others.
 func (s *suspect) isOver(now time.Time, window time.Duration) bool {
 	return len(s.evidence) == 0 && !s.isDead(now) && now.Sub(s.probedAt) >= window
 }
