--- a/internal/liveness/detector.go
+++ b/internal/liveness/detector.go
@@ -78,15 +78,15 @@
 type Detector struct {
 	config   Config
 	suspects map[Subject]*suspect
-	// observed holds reports from Observe for the next tick.
-	observed Output
+	// pending holds reports from Observe for the next tick.
+	pending Output
 	// early limits the rate of early probes.
-	early budget
+	early tokenBucket
 	pause pause.Detector
 }
 
 func New(config Config) *Detector {
-	return &Detector{config: config, suspects: map[Subject]*suspect{}, early: budget{left: config.EarlyBurst}}
+	return &Detector{config: config, suspects: map[Subject]*suspect{}, early: tokenBucket{tokens: config.EarlyBurst}}
 }
 
 // self stands for this daemon as a reporter.
@@ -96,7 +96,7 @@
 // acknowledged since the given time. Resulting reports are returned by the next Tick.
 func (d *Detector) Observe(now time.Time, directory Directory, target, flow uint64, since time.Time) {
 	zone, found := directory.ZoneOf(target)
-	if !found || !reachesTargets(directory, since) {
+	if !found || !hasWorkingPath(directory, since) {
 		return
 	}
 	d.observe(now, directory, Subject{Target: target}, flow, since)
@@ -105,46 +105,46 @@
 
 func (d *Detector) observe(now time.Time, directory Directory, subject Subject, flow uint64, since time.Time) {
 	suspected := d.suspect(subject)
-	suspected.seeLife(directory.LastLife(subject))
-	if !suspected.lifeAt.Before(since) || suspected.isDead(now) {
+	suspected.recordActivity(directory.LastLife(subject))
+	if !suspected.lastActivity.Before(since) || suspected.isDead(now) {
 		return
 	}
-	own, isHeld := suspected.evidence[self]
-	if !isHeld {
+	own, hasOwn := suspected.evidence[self]
+	if !hasOwn {
 		own.since = since
 		clear(suspected.flows)
-		suspected.told = 0
+		suspected.reportsSent = 0
 	}
 	suspected.flows[flow] = true
-	own.flows, own.sends, own.until = len(suspected.flows), own.sends+1, now.Add(d.config.Window)
+	own.flows, own.retransmissions, own.until = len(suspected.flows), own.retransmissions+1, now.Add(d.config.Window)
 	suspected.evidence[self] = own
-	judges := min(d.config.FirstJudges<<min(suspected.told, maximumDoublings), d.config.MostJudges)
-	suspected.told++
-	report := Report{Subject: subject, Kind: Silent, Flows: own.flows, Sends: own.sends}
-	d.observed.tell(Outgoing{Judges: judges, Report: report}, now.Sub(own.since))
+	judges := min(d.config.FirstJudges<<min(suspected.reportsSent, maxDoublings), d.config.MostJudges)
+	suspected.reportsSent++
+	report := Report{Subject: subject, Kind: Silent, Flows: own.flows, Sends: own.retransmissions}
+	d.pending.addReport(Outgoing{Judges: judges, Report: report}, now.Sub(own.since))
 }
 
-// reachesTargets reports whether a request forwarded after the given time was answered: this
+// hasWorkingPath reports whether a request forwarded after the given time was answered: this
 // daemon's own path works, so it does not explain a silence since then.
-func reachesTargets(directory Directory, since time.Time) bool {
+func hasWorkingPath(directory Directory, since time.Time) bool {
 	return directory.LastAnswered().After(since)
 }
 
-// noteTime is called at the start of each step. If the process was paused, it resets pending
+// detectPause is called at the start of each step. If the process was paused, it resets pending
 // suspicions: refutations may have been missed, and a probe may have run into its timeout
 // only because of the pause.
-func (d *Detector) noteTime(now time.Time) {
+func (d *Detector) detectPause(now time.Time) {
 	if !d.pause.Note(now) {
 		return
 	}
 	for _, suspected := range d.suspects {
-		suspected.forgetQuestion()
+		suspected.resetSuspicion()
 	}
 }
 
 // Probed handles the result of a probe.
 func (d *Detector) Probed(now time.Time, probe Probe, hasAnswered bool) {
-	d.noteTime(now)
+	d.detectPause(now)
 	suspected := d.suspects[probe.Subject]
 	if suspected == nil {
 		return
@@ -152,20 +152,20 @@
 	suspected.probedAt = now
 	switch {
 	case hasAnswered:
-		suspected.seeLife(now)
-	case probe.IsAlone && suspected.alone == probePending:
-		suspected.alone = probeFailed
+		suspected.recordActivity(now)
+	case probe.IsAlone && suspected.localProbe == probePending:
+		suspected.localProbe = probeFailed
 	case probe.IsEarly && suspected.early == probePending:
 		suspected.early = probeFailed
-	case !probe.IsAlone && !probe.IsEarly && suspected.askedHere:
+	case !probe.IsAlone && !probe.IsEarly && suspected.suspectedHere:
 		suspected.probesLeft--
 	default:
 		// The suspicion was reset while the probe was in flight; the result does not apply to a later one.
 	}
 }
 
-// maximumDoublings prevents an overflow when the number of judges is doubled.
-const maximumDoublings = 10
+// maxDoublings prevents an overflow when the number of judges is doubled.
+const maxDoublings = 10
 
 // suspect returns the state of a subject, and creates it if needed.
 func (d *Detector) suspect(subject Subject) *suspect {
@@ -177,8 +177,8 @@
 	return suspected
 }
 
-// tell adds a report about something that happened the given time ago.
-func (o *Output) tell(outgoing Outgoing, age time.Duration) {
+// addReport adds a report about something that happened the given time ago.
+func (o *Output) addReport(outgoing Outgoing, age time.Duration) {
 	outgoing.AgeMilliseconds = uint32(max(0, age).Milliseconds())
 	o.Reports = append(o.Reports, outgoing)
 }
@@ -186,78 +186,78 @@
 // Hear handles reports from other daemons.
 func (d *Detector) Hear(now time.Time, directory Directory, reports []Received) Output {
 	var output Output
-	d.noteTime(now)
+	d.detectPause(now)
 	for index := range reports {
 		if directory.IsKnown(reports[index].Subject) {
-			d.hearOne(now, directory, &reports[index], &output)
+			d.handleReport(now, directory, &reports[index], &output)
 		}
 	}
 	return output
 }
 
-func (d *Detector) hearOne(now time.Time, directory Directory, report *Received, output *Output) {
+func (d *Detector) handleReport(now time.Time, directory Directory, report *Received, output *Output) {
 	suspected := d.suspect(report.Subject)
-	suspected.seeLife(directory.LastLife(report.Subject))
+	suspected.recordActivity(directory.LastLife(report.Subject))
 	since := now.Add(-report.Age())
-	if report.Kind != Alive && !suspected.lifeAt.Before(since) {
-		d.object(now, report, suspected, output)
+	if report.Kind != Alive && !suspected.lastActivity.Before(since) {
+		d.refute(now, report, suspected, output)
 		return
 	}
 	switch report.Kind {
 	case Silent:
 		if suspected.isDead(now) {
 			verdict := Outgoing{To: report.From, Report: Report{Subject: report.Subject, Kind: Dead}}
-			output.tell(verdict, now.Sub(suspected.silentSince))
+			output.addReport(verdict, now.Sub(suspected.unresponsiveSince))
 			return
 		}
 		suspected.rank = report.Rank
-		suspected.takeEvidence(report, evidence{since: since, until: now.Add(d.config.Window), flows: report.Flows, sends: report.Sends})
+		suspected.addEvidence(report, evidence{since: since, until: now.Add(d.config.Window), flows: report.Flows, retransmissions: report.Sends})
 		d.probeEarly(now, directory, report.Subject, suspected, output)
-		d.judge(now, directory, report.Subject, suspected, output)
+		d.evaluate(now, directory, report.Subject, suspected, output)
 	case Asked:
-		if suspected.askedAt.IsZero() {
-			suspected.askedAt = now
+		if suspected.suspectedAt.IsZero() {
+			suspected.suspectedAt = now
 		}
 	case Alive:
-		suspected.seeLife(since)
-		d.revive(now, report.Subject, suspected, output)
+		suspected.recordActivity(since)
+		d.withdrawVerdict(now, report.Subject, suspected, output)
 	case Dead:
-		if !suspected.isDead(now) && reachesTargets(directory, since) {
-			d.bury(now, report.Subject, suspected, Verdict{Silence: report.Age()}, output)
+		if !suspected.isDead(now) && hasWorkingPath(directory, since) {
+			d.declareDead(now, report.Subject, suspected, Verdict{Silence: report.Age()}, output)
 		}
 	}
 }
 
-// object refutes a report with activity that its sender has not seen. A refuted verdict is
+// refute refutes a report with activity that its sender has not seen. A refuted verdict is
 // broadcast, since all daemons may have acted on it.
-func (d *Detector) object(now time.Time, report *Received, suspected *suspect, output *Output) {
-	objection := Outgoing{Report: Report{Subject: report.Subject, Kind: Alive}}
+func (d *Detector) refute(now time.Time, report *Received, suspected *suspect, output *Output) {
+	refutation := Outgoing{Report: Report{Subject: report.Subject, Kind: Alive}}
 	if report.Kind != Dead {
-		objection.To = report.From
+		refutation.To = report.From
 	}
-	output.tell(objection, now.Sub(suspected.lifeAt))
+	output.addReport(refutation, now.Sub(suspected.lastActivity))
 }
 
 // Tick advances the detector to now.
 func (d *Detector) Tick(now time.Time, directory Directory) Output {
-	d.noteTime(now)
-	output := d.observed
-	d.observed = Output{}
+	d.detectPause(now)
+	output := d.pending
+	d.pending = Output{}
 	for _, subject := range slices.SortedFunc(maps.Keys(d.suspects), Subject.compare) { // deterministic order for seeded runs
 		suspected := d.suspects[subject]
 		suspected.expire(now)
 		wasDead := suspected.isDead(now)
-		if suspected.seeLife(directory.LastLife(subject)) {
-			d.revive(now, subject, suspected, &output)
+		if suspected.recordActivity(directory.LastLife(subject)) {
+			d.withdrawVerdict(now, subject, suspected, &output)
 		}
 		if wasDead && !suspected.isDead(now) {
-			output.tell(Outgoing{Report: Report{Subject: subject, Kind: Alive}}, now.Sub(suspected.lifeAt))
+			output.addReport(Outgoing{Report: Report{Subject: subject, Kind: Alive}}, now.Sub(suspected.lastActivity))
 		}
-		d.tellEarly(now, directory, subject, suspected, &output)
-		d.judge(now, directory, subject, suspected, &output)
-		d.judgeAlone(now, directory, subject, suspected, &output)
-		d.repeat(now, subject, suspected, &output)
-		if suspected.isOver(now, d.config.Window) {
+		d.reportEarlyFailure(now, directory, subject, suspected, &output)
+		d.evaluate(now, directory, subject, suspected, &output)
+		d.evaluateLocally(now, directory, subject, suspected, &output)
+		d.repeatVerdict(now, subject, suspected, &output)
+		if suspected.isExpired(now, d.config.Window) {
 			delete(d.suspects, subject)
 		}
 	}
--- a/internal/liveness/detector_test.go
+++ b/internal/liveness/detector_test.go
@@ -18,12 +18,12 @@
 
 // fakeDirectory is one daemon's Directory.
 type fakeDirectory struct {
-	life     time.Time
-	rate     float64
-	isCutOff bool
-	// zoneLife is the last activity of another target in the zone.
-	zoneLife time.Time
-	now      *time.Time
+	lastActivity time.Time
+	rate         float64
+	isCutOff     bool
+	// zoneLastActivity is the last activity of another target in the zone.
+	zoneLastActivity time.Time
+	now              *time.Time
 }
 
 func (f *fakeDirectory) ZoneOf(uint64) (string, bool) { return "a", true }
@@ -37,10 +37,10 @@
 
 // LastLife returns the target's activity or, for a zone, the latest activity of any target.
 func (f *fakeDirectory) LastLife(subject Subject) time.Time {
-	if subject.Zone != "" && f.zoneLife.After(f.life) {
-		return f.zoneLife
+	if subject.Zone != "" && f.zoneLastActivity.After(f.lastActivity) {
+		return f.zoneLastActivity
 	}
-	return f.life
+	return f.lastActivity
 }
 
 func (f *fakeDirectory) ExpectedRate(Subject) float64 { return f.rate }
@@ -57,7 +57,7 @@
 	detectors   []*Detector
 	directories []*fakeDirectory
 	verdicts    map[int]Verdict
-	revived     map[int]int
+	withdrawn   map[int]int
 	delayed     []delivery
 	// zones holds the verdicts on the zone, by daemon.
 	zones map[int]Verdict
@@ -65,32 +65,34 @@
 	// zone do.
 	answersProbes      bool
 	othersAnswerProbes bool
-	// reaches, if set, overrides both: it returns whether probes of a daemon are answered.
-	reaches func(daemon int) bool
-	probes  int
-	// sent counts reports times recipients, asked the suspicions among them. lost reports
+	// answersProbeOf, if set, overrides both: it returns whether probes of a daemon are answered.
+	answersProbeOf func(daemon int) bool
+	probes         int
+	// sent counts reports times recipients, suspicions those that are suspicions. lost reports
 	// whether a datagram to a daemon is lost.
-	sent, asked int
-	lost        func(to int, report *Report) bool
-	// frozen is the paused daemon, wokeAt when it resumes.
-	frozen int
-	wokeAt time.Time
+	sent, suspicions int
+	lost             func(to int, report *Report) bool
+	// paused is the paused daemon, resumesAt when it resumes.
+	paused    int
+	resumesAt time.Time
 }
 
-// none marks that no daemon is paused.
-const none = -1
+// noDaemon marks that no daemon is paused.
+const noDaemon = -1
 
-// backlog is how long after a pause a daemon still discards incoming reports.
-const backlog = 300 * time.Millisecond
+// discardPeriod is how long after a pause a daemon still discards incoming reports.
+const discardPeriod = 300 * time.Millisecond
 
-// freeze pauses a daemon for the given time.
-func (g *group) freeze(daemon int, span time.Duration) { g.frozen, g.wokeAt = daemon, g.now.Add(span) }
+// pauseDaemon pauses a daemon for the given time.
+func (g *group) pauseDaemon(daemon int, duration time.Duration) {
+	g.paused, g.resumesAt = daemon, g.now.Add(duration)
+}
 
-func (g *group) isFrozen(daemon int) bool { return daemon == g.frozen && g.now.Before(g.wokeAt) }
+func (g *group) isPaused(daemon int) bool { return daemon == g.paused && g.now.Before(g.resumesAt) }
 
-// isDeaf reports whether a daemon discards incoming reports: it is or was recently paused.
-func (g *group) isDeaf(daemon int) bool {
-	return daemon == g.frozen && g.now.Before(g.wokeAt.Add(backlog))
+// isDiscarding reports whether a daemon discards incoming reports: it is or was recently paused.
+func (g *group) isDiscarding(daemon int) bool {
+	return daemon == g.paused && g.now.Before(g.resumesAt.Add(discardPeriod))
 }
 
 type delivery struct {
@@ -99,8 +101,8 @@
 	report Received
 }
 
-// travel is the time from sending a datagram to its processing.
-const travel = 20 * time.Millisecond
+// networkDelay is the time from sending a datagram to its processing.
+const networkDelay = 20 * time.Millisecond
 
 func newGroup(daemons int) *group { return newGroupWith(daemons, DefaultConfig()) }
 
@@ -112,29 +114,29 @@
 }
 
 func newGroupWith(daemons int, config Config) *group {
-	made := &group{now: testStart, frozen: none, verdicts: map[int]Verdict{}, zones: map[int]Verdict{}, revived: map[int]int{}}
+	g := &group{now: testStart, paused: noDaemon, verdicts: map[int]Verdict{}, zones: map[int]Verdict{}, withdrawn: map[int]int{}}
 	for range daemons {
-		made.detectors = append(made.detectors, New(config))
-		made.directories = append(made.directories, &fakeDirectory{rate: fastRate, now: &made.now})
+		g.detectors = append(g.detectors, New(config))
+		g.directories = append(g.directories, &fakeDirectory{rate: fastRate, now: &g.now})
 	}
-	return made
+	return g
 }
 
-// repeat simulates a client retransmitting now what it sent 200 ms before.
-func (g *group) repeat(daemon int, flow uint64) {
+// retransmit simulates a client retransmitting now what it sent 200 ms before.
+func (g *group) retransmit(daemon int, flow uint64) {
 	g.detectors[daemon].Observe(g.now, g.directories[daemon], target, flow, g.now.Add(-200*time.Millisecond))
 }
 
-// fallSilent simulates retransmissions of three clients at two daemons, the minimum for a verdict.
-func (g *group) fallSilent() {
-	g.repeat(0, 1)
-	g.repeat(1, 2)
-	g.repeat(1, 3)
+// stopResponding simulates retransmissions of three clients at two daemons, the minimum for a verdict.
+func (g *group) stopResponding() {
+	g.retransmit(0, 1)
+	g.retransmit(1, 2)
+	g.retransmit(1, 3)
 }
 
 // advance moves the time forward in steps of 10 ms.
-func (g *group) advance(span time.Duration) {
-	for end := g.now.Add(span); g.now.Before(end); {
+func (g *group) advance(duration time.Duration) {
+	for end := g.now.Add(duration); g.now.Before(end); {
 		g.now = g.now.Add(10 * time.Millisecond)
 		arrived := g.delayed
 		g.delayed = nil
@@ -143,56 +145,56 @@
 				g.delayed = append(g.delayed, message)
 				continue
 			}
-			if g.isDeaf(message.to) {
+			if g.isDiscarding(message.to) {
 				continue
 			}
-			g.take(message.to, g.detectors[message.to].Hear(g.now, g.directories[message.to], []Received{message.report}))
+			g.handleOutput(message.to, g.detectors[message.to].Hear(g.now, g.directories[message.to], []Received{message.report}))
 		}
 		for index, detector := range g.detectors {
-			if !g.isFrozen(index) {
-				g.take(index, detector.Tick(g.now, g.directories[index]))
+			if !g.isPaused(index) {
+				g.handleOutput(index, detector.Tick(g.now, g.directories[index]))
 			}
 		}
 	}
 }
 
-func (g *group) take(index int, output Output) {
+func (g *group) handleOutput(index int, output Output) {
 	for _, verdict := range output.Dead {
 		g.verdicts[index] = verdict
 	}
 	for _, verdict := range output.Silent {
 		g.zones[index] = verdict
 	}
-	g.revived[index] += len(output.Alive)
+	g.withdrawn[index] += len(output.Alive)
 	for _, probe := range output.Probes {
 		answers := g.answersProbes || probe.Target != target && g.othersAnswerProbes
-		if g.reaches != nil {
-			answers = g.reaches(index)
+		if g.answersProbeOf != nil {
+			answers = g.answersProbeOf(index)
 		}
 		g.probes++
 		g.detectors[index].Probed(g.now, probe, answers)
 	}
 	for _, outgoing := range output.Reports {
 		for to := range g.detectors {
-			if to != index && g.isFor(&outgoing, to) {
+			if to != index && g.isRecipient(&outgoing, to) {
 				report := outgoing.Report
 				g.sent++
-				g.asked += boolean(report.Kind == Asked)
+				g.suspicions += boolToInt(report.Kind == Asked)
 				if g.lost != nil && g.lost(to, &report) {
 					continue
 				}
 				if outgoing.Judges > 0 {
 					report.Rank = len(g.detectors) - 1 - to
 				}
-				g.delayed = append(g.delayed, delivery{g.now.Add(travel), to, Received{report, addressOf(index)}})
+				g.delayed = append(g.delayed, delivery{g.now.Add(networkDelay), to, Received{report, addressOf(index)}})
 			}
 		}
 	}
 }
 
-// isFor reports whether a daemon receives a report. The last daemons are the judges, since the
+// isRecipient reports whether a daemon receives a report. The last daemons are the judges, since the
 // tests' evidence comes from the first ones.
-func (g *group) isFor(outgoing *Outgoing, to int) bool {
+func (g *group) isRecipient(outgoing *Outgoing, to int) bool {
 	switch {
 	case outgoing.To.IsValid():
 		return outgoing.To == addressOf(to)
@@ -206,9 +208,9 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(daemon)}), 8166)
 }
 
-func TestSilenceAtSeveralDaemonsIsDeath(t *testing.T) {
+func TestVerdictFromSeveralReporters(t *testing.T) {
 	group := newGroup(5)
-	group.fallSilent()
+	group.stopResponding()
 	group.advance(500 * time.Millisecond)
 	assert.Equal(t, len(group.verdicts), 5, "verdicts: %v", group.verdicts)
 	for _, verdict := range group.verdicts {
@@ -216,75 +218,75 @@
 	}
 }
 
-func TestWhatOneDaemonSeesIsNotEnough(t *testing.T) {
+func TestNoVerdictFromOneReporter(t *testing.T) {
 	group := newGroupWithoutEarly(5)
 	for flow := range uint64(10) {
-		group.repeat(0, flow)
+		group.retransmit(0, flow)
 		group.advance(200 * time.Millisecond)
 	}
 	assert.Equal(t, len(group.verdicts), 0)
 }
 
-func TestOneFlowIsNotEnough(t *testing.T) {
+func TestNoVerdictFromOneFlow(t *testing.T) {
 	group := newGroupWithoutEarly(5)
 	for range 10 {
-		group.repeat(0, 1)
+		group.retransmit(0, 1)
 		group.advance(200 * time.Millisecond)
 	}
 	assert.Equal(t, len(group.verdicts), 0)
 }
 
 // Two daemons cannot reach a target that a third one sees activity of.
-func TestWhoeverHearsFromTheTargetObjects(t *testing.T) {
+func TestActivityRefutesSuspicion(t *testing.T) {
 	group := newGroup(5)
 	for range 20 {
-		group.fallSilent()
-		group.directories[4].life = group.now
+		group.stopResponding()
+		group.directories[4].lastActivity = group.now
 		group.advance(100 * time.Millisecond)
 	}
 	assert.Equal(t, len(group.verdicts), 0, "%v", group.verdicts)
 }
 
 // Verifies that the refutations, not something else, protect the target in the test above.
-func TestWithoutObjectionsALivingTargetIsBuried(t *testing.T) {
+func TestWithoutRefutationLiveTargetIsDeclaredDead(t *testing.T) {
 	group := newGroup(5)
 	group.detectors = group.detectors[:4] // the daemon that sees activity is absent
 	group.directories = group.directories[:4]
 	for range 20 {
-		group.fallSilent()
+		group.stopResponding()
 		group.advance(100 * time.Millisecond)
 	}
 	assert.Equal(t, len(group.verdicts), 4)
 }
 
 // Only the two daemons that cannot reach the target have clients there.
-func TestAProbeThatIsAnsweredIsLife(t *testing.T) {
+func TestAnsweredProbePreventsVerdict(t *testing.T) {
 	group := newGroup(5)
 	group.answersProbes = true
 	for range 20 {
-		group.fallSilent()
+		group.stopResponding()
 		group.advance(100 * time.Millisecond)
 	}
 	assert.Equal(t, len(group.verdicts), 0)
 }
 
-func TestALifeSignBetweenTwoSendsIsNoSilence(t *testing.T) {
+func TestActivityBetweenRetransmissionsPreventsVerdict(t *testing.T) {
 	group := newGroup(3)
 	for index := range group.directories {
-		group.directories[index].life = group.now.Add(-100 * time.Millisecond)
+		group.directories[index].lastActivity = group.now.Add(-100 * time.Millisecond)
 	}
-	group.fallSilent()
+	group.stopResponding()
 	group.advance(time.Second)
 	assert.Equal(t, len(group.verdicts), 0)
 }
 
 // With a low expected rate, a short silence is normal.
-func TestARarelyUsedTargetIsSilentForLonger(t *testing.T) {
+func TestLowExpectedRateRequiresLongerSilence(t *testing.T) {
 	group := newGroup(3)
 	for index := range group.directories {
 		group.directories[index].rate = slowRate
 	}
-	group.fallSilent()
+	group.stopResponding()
 	const sentBefore = 200 * time.Millisecond
 	group.advance(DefaultConfig().MostSilence - sentBefore - 100*time.Millisecond)
 	assert.Equal(t, len(group.verdicts), 0)
@@ -293,44 +295,44 @@
 }
 
 // Reporters that have lost their own path must not cause a verdict.
-func TestADaemonThatReachesNobodyDoesNotJudge(t *testing.T) {
+func TestCutOffDaemonsDoNotReport(t *testing.T) {
 	group := newGroup(3)
 	group.directories[0].isCutOff = true
 	group.directories[1].isCutOff = true
 	for range 10 {
-		group.fallSilent()
+		group.stopResponding()
 		group.advance(100 * time.Millisecond)
 	}
 	assert.Equal(t, len(group.verdicts), 0)
 }
 
-func TestASignOfLifeTakesTheVerdictBackEverywhere(t *testing.T) {
+func TestActivityWithdrawsVerdictEverywhere(t *testing.T) {
 	group := newGroup(5)
-	group.fallSilent()
+	group.stopResponding()
 	group.advance(500 * time.Millisecond)
 	assert.Equal(t, len(group.verdicts), 5)
-	group.directories[3].life = group.now
+	group.directories[3].lastActivity = group.now
 	group.advance(200 * time.Millisecond)
 	for index := range group.detectors {
-		assert.Equal(t, group.revived[index], 1, "daemon %d", index)
+		assert.Equal(t, group.withdrawn[index], 1, "daemon %d", index)
 	}
 }
 
 // Verdicts expire, and a target that is still dead is detected again.
-func TestAVerdictRunsOutAndIsFoundAgain(t *testing.T) {
+func TestVerdictExpiresAndIsRenewed(t *testing.T) {
 	group := newGroup(3)
-	group.fallSilent()
+	group.stopResponding()
 	group.advance(DefaultConfig().HoldFor + time.Second)
 	clear(group.verdicts)
-	group.repeat(0, 4)
-	group.repeat(1, 5)
-	group.repeat(1, 6)
+	group.retransmit(0, 4)
+	group.retransmit(1, 5)
+	group.retransmit(1, 6)
 	group.advance(500 * time.Millisecond)
 	assert.Equal(t, len(group.verdicts), 3)
 }
 
 // A zone can be unresponsive although none of its targets has enough reporters.
-func TestAZoneIsSilentTogether(t *testing.T) {
+func TestUnresponsiveZone(t *testing.T) {
 	group := newGroupWithoutEarly(5)
 	for other := range uint64(3) {
 		group.detectors[other].Observe(group.now, group.directories[other], target+other, other, group.now.Add(-200*time.Millisecond))
@@ -341,26 +343,26 @@
 }
 
 // In an unresponsive zone, a target is declared dead only if a probe of it fails.
-func TestATargetOfASilentZoneIsProbedItself(t *testing.T) {
+func TestTargetOfUnresponsiveZoneIsProbed(t *testing.T) {
 	for _, answers := range []bool{true, false} {
 		group := newGroup(5)
 		group.answersProbes = answers
 		for index := range group.detectors {
 			group.detectors[index].suspect(Subject{Zone: "a"}).deadUntil = group.now.Add(time.Hour)
 		}
-		group.repeat(4, 9)
+		group.retransmit(4, 9)
 		group.advance(700 * time.Millisecond)
 		_, isBuried := group.verdicts[4]
 		assert.Equal(t, isBuried, !answers)
 	}
 }
 
-func TestAZoneWithALivingTargetIsNotDead(t *testing.T) {
+func TestZoneWithLiveTargetIsNotUnresponsive(t *testing.T) {
 	t.Run("activity seen by another daemon", func(t *testing.T) {
 		group := newGroup(5)
 		for range 20 {
-			group.fallSilent()
-			group.directories[4].zoneLife = group.now
+			group.stopResponding()
+			group.directories[4].zoneLastActivity = group.now
 			group.advance(100 * time.Millisecond)
 		}
 		assert.Equal(t, len(group.verdicts), 5)
@@ -370,7 +372,7 @@
 		group := newGroup(5)
 		group.othersAnswerProbes = true
 		for range 20 {
-			group.fallSilent()
+			group.stopResponding()
 			group.advance(100 * time.Millisecond)
 		}
 		assert.Equal(t, len(group.verdicts), 5)
@@ -379,34 +381,34 @@
 }
 
 // A daemon that missed a verdict must learn it in response to its own report.
-func TestWhoMissedTheVerdictLearnsItWhenItReports(t *testing.T) {
+func TestReporterLearnsMissedVerdict(t *testing.T) {
 	group := newGroup(5)
-	group.fallSilent()
+	group.stopResponding()
 	group.advance(500 * time.Millisecond)
 	group.detectors[2] = New(DefaultConfig()) // restarted
 	delete(group.verdicts, 2)
-	group.repeat(2, 9)
+	group.retransmit(2, 9)
 	group.advance(100 * time.Millisecond)
 	assert.Equal(t, len(group.verdicts), 5)
 }
 
 // Judges with the same evidence must not all broadcast a suspicion.
-func TestOneJudgeAsksAtATime(t *testing.T) {
+func TestOneJudgeBroadcastsSuspicion(t *testing.T) {
 	group := newGroup(50)
-	group.repeat(0, 1)
+	group.retransmit(0, 1)
 	group.advance(60 * time.Millisecond)
-	group.repeat(1, 2)
+	group.retransmit(1, 2)
 	group.advance(60 * time.Millisecond)
-	group.repeat(1, 3)
+	group.retransmit(1, 3)
 	group.advance(time.Second)
 	assert.Equal(t, len(group.verdicts), 50)
 	// The verdict on the target is sent twice, one more report to each daemon.
 	assert.Assert(t, group.sent < 2*5*len(group.detectors)/2+len(group.detectors), "%d reports for one target and its zone to %d daemons", group.sent, len(group.detectors))
-	assert.Equal(t, group.asked, 2*(len(group.detectors)-1), "one suspicion of the target and one of its zone to each daemon")
+	assert.Equal(t, group.suspicions, 2*(len(group.detectors)-1), "one suspicion of the target and one of its zone to each daemon")
 }
 
 // A lost verdict datagram must not leave a daemon without the verdict.
-func TestAVerdictIsToldTwice(t *testing.T) {
+func TestVerdictIsSentTwice(t *testing.T) {
 	group := newGroup(5)
 	lost := 0
 	group.lost = func(to int, report *Report) bool {
@@ -416,13 +418,13 @@
 		lost++
 		return lost == 1
 	}
-	group.fallSilent()
+	group.stopResponding()
 	group.advance(700 * time.Millisecond)
 	assert.Equal(t, lost, 2)
 	assert.Equal(t, len(group.verdicts), 5)
 }
 
-func boolean(value bool) int {
+func boolToInt(value bool) int {
 	if value {
 		return 1
 	}
@@ -430,14 +432,14 @@
 }
 
 // If the first judges cannot decide, further reports must reach others.
-func TestAJudgeThatIsGoneIsReplaced(t *testing.T) {
+func TestUnavailableJudgeIsReplaced(t *testing.T) {
 	group := newGroup(10)
 	for judge := len(group.detectors) - DefaultConfig().FirstJudges; judge < len(group.detectors); judge++ {
 		group.directories[judge].isCutOff = true
 	}
 	for flow := range uint64(4) {
-		group.repeat(0, flow)
-		group.repeat(1, 10+flow)
+		group.retransmit(0, flow)
+		group.retransmit(1, 10+flow)
 		group.advance(200 * time.Millisecond)
 	}
 	assert.Assert(t, len(group.verdicts) >= 8, "%v", group.verdicts)
@@ -445,17 +447,17 @@
 
 // A judge that was paused while refutations arrived discards them, and must not count the pause
 // as time in which nobody refuted.
-func TestAJudgeThatStoodStillAsksAgain(t *testing.T) {
+func TestPausedJudgeRestartsSuspicion(t *testing.T) {
 	const judge, objector = 4, 2
 	group := newGroup(5)
-	group.fallSilent()
-	group.directories[objector].life = group.now
-	for group.asked == 0 {
+	group.stopResponding()
+	group.directories[objector].lastActivity = group.now
+	for group.suspicions == 0 {
 		group.advance(10 * time.Millisecond)
 	}
-	group.freeze(judge, time.Second)
+	group.pauseDaemon(judge, time.Second)
 	for range 20 {
-		group.directories[objector].life = group.now
+		group.directories[objector].lastActivity = group.now
 		group.advance(100 * time.Millisecond)
 	}
 	assert.Equal(t, len(group.verdicts), 0, "%v", group.verdicts)
--- a/internal/liveness/early.go
+++ b/internal/liveness/early.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// earlyWitnesses is how many other daemons must fail to reach a target that a judge probed
+// minEarlyReporters is how many other daemons must fail to reach a target that a judge probed
 // early. With one, packet loss at two daemons could get a live target declared dead.
-const earlyWitnesses = 2
+const minEarlyReporters = 2
 
-// budget is a token bucket.
-type budget struct {
-	left float64
-	at   time.Time
+// tokenBucket is a token bucket.
+type tokenBucket struct {
+	tokens    float64
+	updatedAt time.Time
 }
 
 // take reports whether a token was available, and consumes it.
-func (b *budget) take(now time.Time, perSecond, burst float64) bool {
-	if !b.at.IsZero() {
-		b.left = min(burst, b.left+perSecond*now.Sub(b.at).Seconds())
+func (b *tokenBucket) take(now time.Time, rate, burst float64) bool {
+	if !b.updatedAt.IsZero() {
+		b.tokens = min(burst, b.tokens+rate*now.Sub(b.updatedAt).Seconds())
 	}
-	b.at = now
-	if b.left < 1 {
+	b.updatedAt = now
+	if b.tokens < 1 {
 		return false
 	}
-	b.left--
+	b.tokens--
 	return true
 }
 
@@ -29,8 +29,8 @@
 // judges do so and report failures to each other; one whose probe succeeds refutes the
 // suspicions of others.
 func (d *Detector) probeEarly(now time.Time, directory Directory, subject Subject, suspected *suspect, output *Output) {
-	_, _, since := suspected.weigh()
-	if subject.Zone != "" || suspected.early != probeNone || !reachesTargets(directory, since) {
+	_, _, since := suspected.sumEvidence()
+	if subject.Zone != "" || suspected.early != probeNone || !hasWorkingPath(directory, since) {
 		return
 	}
 	if !d.early.take(now, d.config.EarlyProbes, d.config.EarlyBurst) {
@@ -40,42 +40,42 @@
 	output.Probes = append(output.Probes, Probe{Subject: subject, Target: subject.Target, IsEarly: true})
 }
 
-// tellEarly reports a failed early probe to the other judges, once. The report counts as that
+// reportEarlyFailure reports a failed early probe to the other judges, once. The report counts as that
 // of a daemon without clients. It is sent only if this daemon's path has worked since the
 // probe began, as a lost path would explain the failure.
-func (d *Detector) tellEarly(now time.Time, directory Directory, subject Subject, suspected *suspect, output *Output) {
-	if suspected.early != probeFailed || suspected.earlyTold || !reachesTargets(directory, suspected.earlyAt) {
+func (d *Detector) reportEarlyFailure(now time.Time, directory Directory, subject Subject, suspected *suspect, output *Output) {
+	if suspected.early != probeFailed || suspected.earlyReported || !hasWorkingPath(directory, suspected.earlyAt) {
 		return
 	}
-	suspected.earlyTold = true
-	if _, _, since := suspected.weigh(); !since.IsZero() {
+	suspected.earlyReported = true
+	if _, _, since := suspected.sumEvidence(); !since.IsZero() {
 		report := Report{Subject: subject, Kind: Silent}
-		output.tell(Outgoing{Judges: d.config.FirstJudges, Report: report}, now.Sub(since))
+		output.addReport(Outgoing{Judges: d.config.FirstJudges, Report: report}, now.Sub(since))
 	}
 }
 
-// witnesses returns the number of other daemons that cannot reach a target, and their flows.
-func (s *suspect) witnesses() (others, flows int) {
-	for reporter, held := range s.evidence {
+// otherReporters returns the number of other daemons that cannot reach a target, and their flows.
+func (s *suspect) otherReporters() (others, flows int) {
+	for reporter, item := range s.evidence {
 		if reporter != self {
 			others++
-			flows += held.flows
+			flows += item.flows
 		}
 	}
 	return others, flows
 }
 
-// isEnoughEarly reports whether this daemon's early probe failed and clients of another daemon
+// isEarlySufficient reports whether this daemon's early probe failed and clients of another daemon
 // are not acknowledged, which suffices for a suspicion.
-func (s *suspect) isEnoughEarly() bool {
-	_, flows := s.witnesses()
+func (s *suspect) isEarlySufficient() bool {
+	_, flows := s.otherReporters()
 	return s.early == probeFailed && flows > 0
 }
 
-// isProvenEarly reports whether, in addition, a probe from a third daemon failed and this
+// isEarlyConfirmed reports whether, in addition, a probe from a third daemon failed and this
 // daemon's path has worked since its own probe began, so that two lost paths cannot explain
 // all failures.
-func (s *suspect) isProvenEarly(directory Directory) bool {
-	others, _ := s.witnesses()
-	return s.isEnoughEarly() && others >= earlyWitnesses && reachesTargets(directory, s.earlyAt)
+func (s *suspect) isEarlyConfirmed(directory Directory) bool {
+	others, _ := s.otherReporters()
+	return s.isEarlySufficient() && others >= minEarlyReporters && hasWorkingPath(directory, s.earlyAt)
 }
--- a/internal/liveness/early_test.go
+++ b/internal/liveness/early_test.go
@@ -8,9 +8,9 @@
 )
 
 // One daemon's client and failed probes of others suffice without a second daemon's clients.
-func TestOneDaemonsCallerAndFailedProbesAreEnough(t *testing.T) {
+func TestEarlyVerdictFromOneReporter(t *testing.T) {
 	group := newGroup(5)
-	group.repeat(0, 1)
+	group.retransmit(0, 1)
 	group.advance(300 * time.Millisecond)
 	assert.Equal(t, len(group.verdicts), 5)
 	for _, verdict := range group.verdicts {
@@ -19,12 +19,12 @@
 }
 
 // A daemon without a path to any target must not cause a verdict, be it judge or not.
-func TestOneDaemonThatReachesNoTargetBuriesNone(t *testing.T) {
+func TestNoVerdictFromOneCutOffDaemon(t *testing.T) {
 	for _, reporter := range []int{0, 4} { // the last two daemons are judges
 		group := newGroup(5)
-		group.reaches = func(daemon int) bool { return daemon != reporter }
+		group.answersProbeOf = func(daemon int) bool { return daemon != reporter }
 		for flow := range uint64(10) {
-			group.repeat(reporter, flow)
+			group.retransmit(reporter, flow)
 			group.advance(200 * time.Millisecond)
 		}
 		assert.Equal(t, len(group.verdicts), 0, "reporter %d", reporter)
@@ -32,13 +32,13 @@
 }
 
 // Any two daemons without a path must be outvoted by a judge whose probe succeeds.
-func TestTwoDaemonsThatReachNoTargetBuryNone(t *testing.T) {
+func TestNoVerdictFromTwoCutOffDaemons(t *testing.T) {
 	for reporter := range 5 {
 		for other := range 5 {
 			group := newGroup(5)
-			group.reaches = func(daemon int) bool { return daemon != reporter && daemon != other }
+			group.answersProbeOf = func(daemon int) bool { return daemon != reporter && daemon != other }
 			for flow := range uint64(10) {
-				group.repeat(reporter, flow)
+				group.retransmit(reporter, flow)
 				group.advance(200 * time.Millisecond)
 			}
 			assert.Equal(t, len(group.verdicts), 0, "daemons %d and %d", reporter, other)
@@ -48,26 +48,26 @@
 
 // An early verdict needs evidence from clients, another daemon's failed probe and a working path
 // of the judge.
-func TestOneWitnessIsNotEnough(t *testing.T) {
+func TestEarlyVerdictNeedsThreeDaemons(t *testing.T) {
 	suspected, now := newSuspect(), testStart
 	suspected.early, suspected.earlyAt = probeFailed, testStart.Add(-time.Millisecond)
 	directory := &fakeDirectory{now: &now}
-	suspected.evidence[addressOf(1)] = evidence{flows: 1, sends: 1}
-	assert.Assert(t, !suspected.isProvenEarly(directory), "clients of one daemon only")
-	suspected.evidence[self] = evidence{flows: 1, sends: 1}
-	assert.Assert(t, !suspected.isProvenEarly(directory), "clients of one daemon and of the judge")
+	suspected.evidence[addressOf(1)] = evidence{flows: 1, retransmissions: 1}
+	assert.Assert(t, !suspected.isEarlyConfirmed(directory), "clients of one daemon only")
+	suspected.evidence[self] = evidence{flows: 1, retransmissions: 1}
+	assert.Assert(t, !suspected.isEarlyConfirmed(directory), "clients of one daemon and of the judge")
 	suspected.evidence[addressOf(2)] = evidence{}
-	assert.Assert(t, suspected.isProvenEarly(directory), "with another daemon's failed probe")
+	assert.Assert(t, suspected.isEarlyConfirmed(directory), "with another daemon's failed probe")
 	suspected.earlyAt = now
-	assert.Assert(t, !suspected.isProvenEarly(directory), "judge's path not confirmed since its probe began")
+	assert.Assert(t, !suspected.isEarlyConfirmed(directory), "judge's path not confirmed since its probe began")
 	suspected.earlyAt = testStart.Add(-time.Millisecond)
 	delete(suspected.evidence, addressOf(1))
 	suspected.evidence[addressOf(3)] = evidence{}
-	assert.Assert(t, !suspected.isProvenEarly(directory), "failed probes only, no clients")
+	assert.Assert(t, !suspected.isEarlyConfirmed(directory), "failed probes only, no clients")
 }
 
 // Packet loss at one daemon, which makes it report many targets, must not cause a flood of probes.
-func TestEarlyProbesAreBounded(t *testing.T) {
+func TestEarlyProbesAreRateLimited(t *testing.T) {
 	const targets, seconds = 300, 3
 	group := newGroup(3)
 	group.answersProbes = true
@@ -79,19 +79,19 @@
 	}
 	config := DefaultConfig()
 	judges := float64(len(group.detectors) - 1) // further reports reach more judges
-	most := judges * (config.EarlyBurst + seconds*config.EarlyProbes)
-	assert.Assert(t, group.probes > 0 && float64(group.probes) <= most, "%d probes, %v allowed", group.probes, most)
+	maxProbes := judges * (config.EarlyBurst + seconds*config.EarlyProbes)
+	assert.Assert(t, group.probes > 0 && float64(group.probes) <= maxProbes, "%d probes, %v allowed", group.probes, maxProbes)
 }
 
 // A judge's failed probe must not count as a daemon with clients.
-func TestOneLostPathAndOneLostProbeBuryNone(t *testing.T) {
+func TestNoVerdictFromLostPathAndLostProbe(t *testing.T) {
 	const reporter, other = 4, 3
 	group := newGroup(5)
 	for _, judge := range []int{0, 1, 2} { // exhaust their token buckets
-		group.detectors[judge].config.EarlyProbes, group.detectors[judge].early.left = 0, 0
+		group.detectors[judge].config.EarlyProbes, group.detectors[judge].early.tokens = 0, 0
 	}
 	probes := 0
-	group.reaches = func(daemon int) bool {
+	group.answersProbeOf = func(daemon int) bool {
 		if daemon == other {
 			probes++
 			return probes > 1 // the first probe is lost
@@ -99,31 +99,31 @@
 		return daemon != reporter
 	}
 	for flow := range uint64(3) {
-		group.repeat(reporter, flow)
+		group.retransmit(reporter, flow)
 	}
 	group.advance(time.Second)
 	assert.Equal(t, len(group.verdicts), 0)
 }
 
-func TestAProbeFromBeforeASignOfLifeSaysNothing(t *testing.T) {
+func TestProbeResultFromBeforeActivityIsIgnored(t *testing.T) {
 	now := testStart
 	directory := &fakeDirectory{rate: fastRate, now: &now}
 	d := New(DefaultConfig())
-	told := func(age uint32) []Received {
+	silentReport := func(age uint32) []Received {
 		report := Report{Subject: Subject{Target: target}, Kind: Silent, Flows: 1, Sends: 1, AgeMilliseconds: age}
 		return []Received{{Report: report, From: addressOf(1)}}
 	}
-	d.Probed(now, d.Hear(now, directory, told(200)).Probes[0], true) // an earlier probe, answered
+	d.Probed(now, d.Hear(now, directory, silentReport(200)).Probes[0], true) // an earlier probe, answered
 	now = now.Add(time.Second)
-	first := d.Hear(now, directory, told(200))
+	first := d.Hear(now, directory, silentReport(200))
 	assert.Equal(t, len(first.Probes), 1)
 	now = now.Add(20 * time.Millisecond)
-	directory.life = now
+	directory.lastActivity = now
 	d.Tick(now, directory)
 	now = now.Add(30 * time.Millisecond)
 	d.Probed(now, first.Probes[0], false)
 	now = now.Add(200 * time.Millisecond)
-	for _, report := range d.Hear(now, directory, told(180)).Reports {
+	for _, report := range d.Hear(now, directory, silentReport(180)).Reports {
 		assert.Assert(t, report.Kind != Asked)
 	}
 }
--- a/internal/liveness/judge.go
+++ b/internal/liveness/judge.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// revive withdraws a verdict if there was activity after the silence began.
-func (d *Detector) revive(now time.Time, subject Subject, suspected *suspect, output *Output) {
-	if !suspected.isDead(now) || !suspected.lifeAt.After(suspected.silentSince) {
+// withdrawVerdict withdraws a verdict if there was activity after the silence began.
+func (d *Detector) withdrawVerdict(now time.Time, subject Subject, suspected *suspect, output *Output) {
+	if !suspected.isDead(now) || !suspected.lastActivity.After(suspected.unresponsiveSince) {
 		return
 	}
 	suspected.deadUntil = time.Time{}
@@ -13,14 +13,14 @@
 	}
 }
 
-// bury declares a target dead or a zone unresponsive.
-func (d *Detector) bury(now time.Time, subject Subject, suspected *suspect, verdict Verdict, output *Output) {
+// declareDead declares a target dead or a zone unresponsive.
+func (d *Detector) declareDead(now time.Time, subject Subject, suspected *suspect, verdict Verdict, output *Output) {
 	verdict.Subject = subject
 	verdict.Until = now.Add(d.config.HoldFor)
 	suspected.deadUntil = verdict.Until
-	suspected.silentSince = now.Add(-verdict.Silence)
+	suspected.unresponsiveSince = now.Add(-verdict.Silence)
 	clear(suspected.evidence)
-	suspected.forgetQuestion()
+	suspected.resetSuspicion()
 	if subject.Zone != "" {
 		output.Silent = append(output.Silent, verdict)
 		return
@@ -28,73 +28,73 @@
 	output.Dead = append(output.Dead, verdict)
 }
 
-// judge broadcasts a suspicion once there is enough evidence, and declares the subject dead if
+// evaluate broadcasts a suspicion once there is enough evidence, and declares the subject dead if
 // nobody refutes it in time.
-func (d *Detector) judge(now time.Time, directory Directory, subject Subject, suspected *suspect, output *Output) {
-	flows, sends, since := suspected.weigh()
+func (d *Detector) evaluate(now time.Time, directory Directory, subject Subject, suspected *suspect, output *Output) {
+	flows, retransmissions, since := suspected.sumEvidence()
 	if d.pause.MayBeOld(now) { // incoming reports are discarded now, refutations included
 		return
 	}
-	if !d.isEnough(suspected) || suspected.isDead(now) || !reachesTargets(directory, since) {
+	if !d.isSufficient(suspected) || suspected.isDead(now) || !hasWorkingPath(directory, since) {
 		return
 	}
 	silence := now.Sub(since)
-	if suspected.enoughAt.IsZero() {
-		suspected.enoughAt = now
-	}
-	if !suspected.askedHere {
-		if d.isTurn(now, suspected) {
-			suspected.askedAt, suspected.askedHere = now, true
-			output.tell(Outgoing{Report: Report{Subject: subject, Kind: Asked}}, silence)
-			d.probe(directory, subject, suspected, output)
+	if suspected.sufficientAt.IsZero() {
+		suspected.sufficientAt = now
+	}
+	if !suspected.suspectedHere {
+		if d.mayStartSuspicion(now, suspected) {
+			suspected.suspectedAt, suspected.suspectedHere = now, true
+			output.addReport(Outgoing{Report: Report{Subject: subject, Kind: Asked}}, silence)
+			d.requestProbes(directory, subject, suspected, output)
 		}
 		return
 	}
-	if suspected.probesLeft > 0 || now.Sub(suspected.askedAt) < d.config.ObjectFor || silence < d.silenceNeeded(directory.ExpectedRate(subject)) {
+	if suspected.probesLeft > 0 || now.Sub(suspected.suspectedAt) < d.config.ObjectFor || silence < d.requiredSilence(directory.ExpectedRate(subject)) {
 		return
 	}
-	if !d.hasCallersOfSeveral(suspected) && !suspected.isProvenEarly(directory) {
+	if !d.hasSeveralReporters(suspected) && !suspected.isEarlyConfirmed(directory) {
 		return
 	}
-	verdict := Verdict{Silence: silence, Reporters: len(suspected.evidence), Flows: flows, Sends: sends}
-	output.tell(Outgoing{Report: Report{Subject: subject, Kind: Dead}}, silence)
-	d.bury(now, subject, suspected, verdict, output)
+	verdict := Verdict{Silence: silence, Reporters: len(suspected.evidence), Flows: flows, Sends: retransmissions}
+	output.addReport(Outgoing{Report: Report{Subject: subject, Kind: Dead}}, silence)
+	d.declareDead(now, subject, suspected, verdict, output)
 	if subject.Zone == "" {
 		suspected.repeatAt = now.Add(d.config.RepeatAfter)
 	}
 }
 
-// repeat sends a verdict of this daemon a second time. A daemon that missed the first datagram
+// repeatVerdict sends a verdict of this daemon a second time. A daemon that missed the first datagram
 // would not reset flows that only it knows of.
-func (d *Detector) repeat(now time.Time, subject Subject, suspected *suspect, output *Output) {
+func (d *Detector) repeatVerdict(now time.Time, subject Subject, suspected *suspect, output *Output) {
 	if suspected.repeatAt.IsZero() || now.Before(suspected.repeatAt) {
 		return
 	}
 	suspected.repeatAt = time.Time{}
 	if suspected.isDead(now) {
-		output.tell(Outgoing{Report: Report{Subject: subject, Kind: Dead}}, now.Sub(suspected.silentSince))
+		output.addReport(Outgoing{Report: Report{Subject: subject, Kind: Dead}}, now.Sub(suspected.unresponsiveSince))
 	}
 }
 
-// judgeAlone declares a target of an unresponsive zone dead on local evidence: a client's
+// evaluateLocally declares a target of an unresponsive zone dead on local evidence: a client's
 // retransmission and a failed probe of that target. Where clients are few compared with targets,
 // no target has clients at several daemons.
-func (d *Detector) judgeAlone(now time.Time, directory Directory, subject Subject, suspected *suspect, output *Output) {
-	own, isSeen := suspected.evidence[self]
-	if !isSeen || d.pause.MayBeOld(now) || suspected.isDead(now) || !d.isInSilentZone(now, directory, subject) || !reachesTargets(directory, own.since) {
+func (d *Detector) evaluateLocally(now time.Time, directory Directory, subject Subject, suspected *suspect, output *Output) {
+	own, hasOwn := suspected.evidence[self]
+	if !hasOwn || d.pause.MayBeOld(now) || suspected.isDead(now) || !d.isInUnresponsiveZone(now, directory, subject) || !hasWorkingPath(directory, own.since) {
 		return
 	}
-	if suspected.alone == probeNone {
-		suspected.alone = probePending
+	if suspected.localProbe == probeNone {
+		suspected.localProbe = probePending
 		output.Probes = append(output.Probes, Probe{Subject: subject, Target: subject.Target, IsAlone: true})
 	}
-	if silence := now.Sub(own.since); suspected.alone == probeFailed && silence >= d.config.LeastSilence {
-		d.bury(now, subject, suspected, Verdict{Silence: silence, Reporters: 1, Flows: own.flows, Sends: own.sends}, output)
+	if silence := now.Sub(own.since); suspected.localProbe == probeFailed && silence >= d.config.LeastSilence {
+		d.declareDead(now, subject, suspected, Verdict{Silence: silence, Reporters: 1, Flows: own.flows, Sends: own.retransmissions}, output)
 	}
 }
 
-// isInSilentZone reports whether a target's zone has been declared unresponsive.
-func (d *Detector) isInSilentZone(now time.Time, directory Directory, subject Subject) bool {
+// isInUnresponsiveZone reports whether a target's zone has been declared unresponsive.
+func (d *Detector) isInUnresponsiveZone(now time.Time, directory Directory, subject Subject) bool {
 	if subject.Zone != "" {
 		return false
 	}
@@ -106,8 +106,8 @@
 	return suspected != nil && suspected.isDead(now)
 }
 
-// probe requests the probes for a subject's suspicion.
-func (d *Detector) probe(directory Directory, subject Subject, suspected *suspect, output *Output) {
+// requestProbes requests the probes for a subject's suspicion.
+func (d *Detector) requestProbes(directory Directory, subject Subject, suspected *suspect, output *Output) {
 	targets := directory.TargetsToProbe(subject, d.config.ZoneProbes)
 	suspected.probesLeft = len(targets)
 	for _, target := range targets {
@@ -115,36 +115,36 @@
 	}
 }
 
-// isTurn reports whether this judge should broadcast the suspicion: no judge with a better rank
+// mayStartSuspicion reports whether this judge should broadcast the suspicion: no judge with a better rank
 // did, or the one that did reached no verdict.
-func (d *Detector) isTurn(now time.Time, suspected *suspect) bool {
-	if suspected.askedAt.IsZero() {
-		return now.Sub(suspected.enoughAt) >= time.Duration(suspected.rank)*d.config.ObjectFor
+func (d *Detector) mayStartSuspicion(now time.Time, suspected *suspect) bool {
+	if suspected.suspectedAt.IsZero() {
+		return now.Sub(suspected.sufficientAt) >= time.Duration(suspected.rank)*d.config.ObjectFor
 	}
-	return now.Sub(suspected.askedAt) >= 2*d.config.ObjectFor
+	return now.Sub(suspected.suspectedAt) >= 2*d.config.ObjectFor
 }
 
-// isEnough reports whether the evidence suffices for a suspicion.
-func (d *Detector) isEnough(suspected *suspect) bool {
-	return suspected.isEnoughEarly() || d.hasCallersOfSeveral(suspected)
+// isSufficient reports whether the evidence suffices for a suspicion.
+func (d *Detector) isSufficient(suspected *suspect) bool {
+	return suspected.isEarlySufficient() || d.hasSeveralReporters(suspected)
 }
 
-// hasCallersOfSeveral reports whether clients of several daemons are affected. A judge that only
+// hasSeveralReporters reports whether clients of several daemons are affected. A judge that only
 // had a failed probe has no clients and does not count.
-func (d *Detector) hasCallersOfSeveral(suspected *suspect) bool {
-	flows, sends, _ := suspected.weigh()
+func (d *Detector) hasSeveralReporters(suspected *suspect) bool {
+	flows, retransmissions, _ := suspected.sumEvidence()
 	callers := 0
-	for _, held := range suspected.evidence {
-		if held.flows > 0 {
+	for _, item := range suspected.evidence {
+		if item.flows > 0 {
 			callers++
 		}
 	}
-	return callers >= d.config.Reporters && flows >= d.config.Flows && sends >= d.config.Sends
+	return callers >= d.config.Reporters && flows >= d.config.Flows && retransmissions >= d.config.Sends
 }
 
-// silenceNeeded returns how long a subject must be unresponsive, given the expected number of
+// requiredSilence returns how long a subject must be unresponsive, given the expected number of
 // observations of its activity per second.
-func (d *Detector) silenceNeeded(rate float64) time.Duration {
+func (d *Detector) requiredSilence(rate float64) time.Duration {
 	if rate <= 0 {
 		return d.config.MostSilence
 	}
--- a/internal/liveness/suspect.go
+++ b/internal/liveness/suspect.go
@@ -9,31 +9,31 @@
 type suspect struct {
 	// evidence is keyed by reporter; the zero address is this daemon.
 	evidence map[netip.AddrPort]evidence
-	// flows holds the flows in this daemon's own evidence, told the number of reports sent on it.
-	flows map[uint64]bool
-	told  int
-	// lifeAt is when the latest activity was seen, by this daemon or another one.
-	lifeAt time.Time
-	// askedAt is when the suspicion was broadcast, by any daemon; askedHere is set if it was
+	// flows holds the flows in this daemon's own evidence, reportsSent counts the reports on it.
+	flows       map[uint64]bool
+	reportsSent int
+	// lastActivity is when the latest activity was seen, by this daemon or another one.
+	lastActivity time.Time
+	// suspectedAt is when the suspicion was broadcast, by any daemon; suspectedHere is set if it was
 	// this one.
-	askedAt   time.Time
-	askedHere bool
+	suspectedAt   time.Time
+	suspectedHere bool
 	// probesLeft is the number of probes for the suspicion that have not failed yet.
 	probesLeft int
-	// alone is the state of the probe for a decision by this daemon alone.
-	alone probeState
-	// early is the state of the early probe, sent at earlyAt; earlyTold is set once its failure
+	// localProbe is the state of the probe for a decision by this daemon alone.
+	localProbe probeState
+	// early is the state of the early probe, sent at earlyAt; earlyReported is set once its failure
 	// was reported. probedAt is when a probe of any kind last ended.
-	early     probeState
-	earlyAt   time.Time
-	earlyTold bool
-	probedAt  time.Time
-	// rank is this daemon's rank among the judges, enoughAt when the evidence first sufficed.
-	rank     int
-	enoughAt time.Time
-	// deadUntil is when the verdict expires, silentSince when the silence behind it began.
-	deadUntil   time.Time
-	silentSince time.Time
+	early         probeState
+	earlyAt       time.Time
+	earlyReported bool
+	probedAt      time.Time
+	// rank is this daemon's rank among the judges, sufficientAt when the evidence first sufficed.
+	rank         int
+	sufficientAt time.Time
+	// deadUntil is when the verdict expires, unresponsiveSince when the silence behind it began.
+	deadUntil         time.Time
+	unresponsiveSince time.Time
 	// repeatAt is when this daemon's verdict is to be sent a second time, zero if it is not.
 	repeatAt time.Time
 }
@@ -48,75 +48,75 @@
 
 // evidence is what one daemon reported: no acknowledgements since a time.
 type evidence struct {
-	since        time.Time
-	until        time.Time
-	flows, sends int
+	since                  time.Time
+	until                  time.Time
+	flows, retransmissions int
 }
 
 func newSuspect() *suspect {
 	return &suspect{evidence: map[netip.AddrPort]evidence{}, flows: map[uint64]bool{}}
 }
 
-// takeEvidence records another daemon's evidence. A report of a failed probe (without
+// addEvidence records another daemon's evidence. A report of a failed probe (without
 // retransmissions) only extends what the daemon reported on its clients.
-func (s *suspect) takeEvidence(report *Received, told evidence) {
-	if held, isHeld := s.evidence[report.From]; isHeld && report.Sends == 0 {
-		held.until = told.until
-		told = held
+func (s *suspect) addEvidence(report *Received, update evidence) {
+	if known, found := s.evidence[report.From]; found && report.Sends == 0 {
+		known.until = update.until
+		update = known
 	}
-	s.evidence[report.From] = told
+	s.evidence[report.From] = update
 }
 
-// seeLife records activity and reports whether it is later than any seen before. Evidence of a
+// recordActivity records activity and reports whether it is later than any seen before. Evidence of a
 // silence that began earlier is dropped.
-func (s *suspect) seeLife(at time.Time) bool {
-	if !at.After(s.lifeAt) {
+func (s *suspect) recordActivity(at time.Time) bool {
+	if !at.After(s.lastActivity) {
 		return false
 	}
-	s.lifeAt = at
-	for reporter, held := range s.evidence {
-		if held.since.Before(at) {
+	s.lastActivity = at
+	for reporter, item := range s.evidence {
+		if item.since.Before(at) {
 			delete(s.evidence, reporter)
 		}
 	}
-	s.forgetQuestion()
+	s.resetSuspicion()
 	return true
 }
 
 // expire drops expired evidence.
 func (s *suspect) expire(now time.Time) {
-	for reporter, held := range s.evidence {
-		if !now.Before(held.until) {
+	for reporter, item := range s.evidence {
+		if !now.Before(item.until) {
 			delete(s.evidence, reporter)
 		}
 	}
 	if len(s.evidence) == 0 {
-		s.forgetQuestion()
+		s.resetSuspicion()
 	}
 }
 
-func (s *suspect) forgetQuestion() {
-	s.askedAt, s.enoughAt = time.Time{}, time.Time{}
-	s.askedHere, s.probesLeft, s.alone = false, 0, probeNone
-	s.early, s.earlyTold = probeNone, false
+func (s *suspect) resetSuspicion() {
+	s.suspectedAt, s.sufficientAt = time.Time{}, time.Time{}
+	s.suspectedHere, s.probesLeft, s.localProbe = false, 0, probeNone
+	s.early, s.earlyReported = probeNone, false
 }
 
-// weigh sums the evidence; since is the earliest beginning of a silence in it.
-func (s *suspect) weigh() (flows, sends int, since time.Time) {
-	for _, held := range s.evidence {
-		flows += held.flows
-		sends += held.sends
-		if since.IsZero() || held.since.Before(since) {
-			since = held.since
+// sumEvidence sums the evidence; since is the earliest beginning of a silence in it.
+func (s *suspect) sumEvidence() (flows, retransmissions int, since time.Time) {
+	for _, item := range s.evidence {
+		flows += item.flows
+		retransmissions += item.retransmissions
+		if since.IsZero() || item.since.Before(since) {
+			since = item.since
 		}
 	}
-	return flows, sends, since
+	return flows, retransmissions, since
 }
 
 func (s *suspect) isDead(now time.Time) bool { return now.Before(s.deadUntil) }
 
-// isOver reports whether the state can be dropped. After a probe it is kept for a window, since
+// isExpired reports whether the state can be dropped. After a probe it is kept for a window, since
 // its result may refute suspicions of others.
-func (s *suspect) isOver(now time.Time, window time.Duration) bool {
+func (s *suspect) isExpired(now time.Time, window time.Duration) bool {
 	return len(s.evidence) == 0 && !s.isDead(now) && now.Sub(s.probedAt) >= window
 }
