--- a/internal/outlier/tally.go
+++ b/internal/outlier/tally.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// tallyInterval is how often what counts is counted anew, as evidence and ejections run out after
-// seconds. In between what is added is counted. Counted for each report, the reports on a seventh
-// of 10,000 targets that end at once would each cost a look at all others.
+// tallyInterval is how long counts are reused. A recount visits all suspected targets, which is
+// too expensive for each report when many targets fail at once; meanwhile additions are counted
+// incrementally, and expiries are missed.
 const tallyInterval = 100 * time.Millisecond
 
-// accuser is one reporter of targets of one service.
+// accuser identifies a reporter of targets of a service.
 type accuser struct {
 	reporter uint64
 	service  string
 }
 
-// tally counts the targets of each service that are suspected and ejected, and those that each
-// reporter accuses.
+// tally counts, per service, the suspected and ejected targets and the targets that each reporter
+// reported.
 type tally struct {
 	at                time.Time
 	accused           map[accuser]int
 	suspects, ejected map[string]int
 }
 
-// of returns the tally as of now, or of a moment ago.
+// of returns counts that are at most tallyInterval old.
 func (t *tally) of(now time.Time, suspects map[uint64]*suspect) *tally {
 	if now.Sub(t.at) < tallyInterval && !now.Before(t.at) {
 		return t
