--- a/internal/outlier/tally.go
+++ b/internal/outlier/tally.go
@@ -7,8 +7,8 @@
 // incrementally, and expiries are missed.
 const tallyInterval = 100 * time.Millisecond
 
-// accuser identifies a reporter of targets of a service.
-type accuser struct {
+// serviceReporter identifies a reporter of targets of a service.
+type serviceReporter struct {
 	reporter uint64
 	service  string
 }
@@ -17,25 +17,25 @@
 // reported.
 type tally struct {
 	at                time.Time
-	accused           map[accuser]int
+	reported          map[serviceReporter]int
 	suspects, ejected map[string]int
 }
 
-// of returns counts that are at most tallyInterval old.
-func (t *tally) of(now time.Time, suspects map[uint64]*suspect) *tally {
+// current returns counts that are at most tallyInterval old.
+func (t *tally) current(now time.Time, suspects map[uint64]*suspect) *tally {
 	if now.Sub(t.at) < tallyInterval && !now.Before(t.at) {
 		return t
 	}
-	*t = tally{at: now, accused: map[accuser]int{}, suspects: map[string]int{}, ejected: map[string]int{}}
+	*t = tally{at: now, reported: map[serviceReporter]int{}, suspects: map[string]int{}, ejected: map[string]int{}}
 	for _, suspected := range suspects {
 		if now.Before(suspected.ejectedUntil) {
 			t.ejected[suspected.service]++
 		}
 		isSuspected := false
-		for reporter, word := range suspected.evidence {
-			if word.counts(now) {
+		for reporter, item := range suspected.evidence {
+			if item.isWithinWindow(now) {
 				isSuspected = true
-				t.accused[accuser{reporter, suspected.service}]++
+				t.reported[serviceReporter{reporter, suspected.service}]++
 			}
 		}
 		if isSuspected {
@@ -45,15 +45,15 @@
 	return t
 }
 
-// note counts evidence that is about to be added against a target.
-func (t *tally) note(now time.Time, suspected *suspect, reporter uint64) {
-	if t.accused == nil {
+// record counts evidence that is about to be added against a target.
+func (t *tally) record(now time.Time, suspected *suspect, reporter uint64) {
+	if t.reported == nil {
 		return
 	}
 	if !suspected.isSuspected(now) {
 		t.suspects[suspected.service]++
 	}
-	if !suspected.counts(now, reporter) {
-		t.accused[accuser{reporter, suspected.service}]++
+	if !suspected.isWithinWindow(now, reporter) {
+		t.reported[serviceReporter{reporter, suspected.service}]++
 	}
 }
