--- a/internal/balance/cold.go
+++ b/internal/balance/cold.go
@@ -6,25 +6,24 @@
 )
 
 const (
-	// coldSpan is over what time flows to a cold target are counted: the second for which
-	// the bound holds, and how much closer to each other they may arrive than they left.
+	// coldSpan is the window over which flows to a warming-up target are counted: one second, plus
+	// 100 ms because flows may arrive closer together than they were sent.
 	coldSpan = 1100 * time.Millisecond
-	// mostColdShare bounds this daemon's part of what a cold target can take, and the
-	// memory for it.
+	// mostColdShare is the maximum share of one daemon, and the size of its log.
 	mostColdShare = 64
 )
 
-// coldWindow holds when the last flows were given to a cold target (a sliding log).
+// coldWindow is a sliding-window log of the flows last assigned to a warming-up target.
 type coldWindow struct {
 	mutex sync.Mutex
-	// share is how many flows this daemon may give the target within coldSpan.
+	// share is the maximum number of flows within coldSpan.
 	share int
 	times [mostColdShare]int64
 	next  int
 }
 
-// SetColdShare says how many new flows a second this daemon may give the target while it is
-// slow from its start and that is bounded. Until it is said, none.
+// SetColdShare sets how many new flows per second this daemon may assign to the target during
+// slow start, if that is limited. The limit is 0 until it is set.
 func (s *Signal) SetColdShare(share int) {
 	window := s.cold.Load()
 	if window == nil {
@@ -36,7 +35,7 @@
 	window.share = min(share, mostColdShare)
 }
 
-// noteCold counts a flow, if flows to the target are bounded.
+// noteCold logs a flow if the target has a limit.
 func (s *Signal) noteCold(now time.Time) {
 	window := s.cold.Load()
 	if window == nil {
@@ -48,7 +47,7 @@
 	window.next = (window.next + 1) % mostColdShare
 }
 
-// isColdShareUsed reports whether this daemon has given its share within the span.
+// isColdShareUsed reports whether this daemon's limit is reached.
 func (s *Signal) isColdShareUsed(now time.Time) bool {
 	window := s.cold.Load()
 	if window == nil {
--- a/internal/balance/cold_test.go
+++ b/internal/balance/cold_test.go
@@ -8,8 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// pickFor picks once every 10 ms for a while, and returns the times of picks of the first
-// candidate.
+// pickFor picks every 10 ms for the given time and returns when the first candidate was picked.
 func pickFor(span time.Duration, among []Candidate) []time.Duration {
 	random := rand.New(rand.NewPCG(1, 2))
 	var times []time.Duration
@@ -55,7 +54,7 @@
 	assert.Assert(t, len(pickFor(5*time.Second, coldCandidates(time.Second))) > 100)
 }
 
-// TestWhereAllAreAtTheirShareSomebodyMayBeSoon: the caller is kept waiting, not refused.
+// If all targets are at their limit, the client must be queued, not rejected.
 func TestWhereAllAreAtTheirShareSomebodyMayBeSoon(t *testing.T) {
 	among := coldCandidates(time.Minute)[:1]
 	request := requestAt(testNow)
--- a/internal/balance/pool.go
+++ b/internal/balance/pool.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Entry is a candidate in a pool, with what it stands for.
+// Entry is a candidate in a pool with an associated value.
 type Entry[T any] struct {
 	Candidate
 	Value T
@@ -15,39 +15,36 @@
 	isWatched        bool
 }
 
-// Pool is the candidates of a service, in lists that change with one of them at a cost that
-// does not depend on how many there are. It is not safe for concurrent use.
+// Pool holds the candidates of a service. Adding and removing one takes constant time. It is not
+// safe for concurrent use.
 type Pool[T any] struct {
 	all   list[T]
 	zones map[string]*list[T]
-	// slots are those of all candidates.
+	// slots is the sum over all candidates.
 	slots int
-	// watched are the candidates that may be dead or passed over. At watchedAt so many of them
-	// were passed over.
+	// watched holds the candidates that may be dead or ejected. passedOver is the number of
+	// ejected ones at watchedAt.
 	watched    []*Entry[T]
 	watchedAt  time.Time
 	passedOver int
 	warmth     warmth[T]
-	// weights are of what was drawn lately.
-	weights weightBound
+	weights    weightBound
 }
 
-// list is entries in no order.
+// list is an unordered list of entries.
 type list[T any] struct {
 	entries []*Entry[T]
-	// emptyUntil is until when nobody is looked for in the list again, as nobody in it may take
-	// a flow, and hasBusy says that this is so because some have enough to do.
+	// emptyUntil is how long the list is known to have no eligible entry; hasBusy is set if some
+	// entries were at their limit.
 	emptyUntil time.Time
 	hasBusy    bool
 }
 
-// Len returns how many candidates there are.
 func (p *Pool[T]) Len() int { return len(p.all.entries) }
 
-// Entries returns the candidates in no order. The list must not be changed.
+// Entries returns the candidates in no particular order. The slice must not be changed.
 func (p *Pool[T]) Entries() []*Entry[T] { return p.all.entries }
 
-// Add enters a candidate.
 func (p *Pool[T]) Add(candidate Candidate, value T) *Entry[T] {
 	entry := &Entry[T]{Candidate: candidate, Value: value}
 	if p.zones == nil {
@@ -74,7 +71,7 @@
 	l.emptyUntil = time.Time{}
 }
 
-// Remove takes a candidate out. The last one of each list takes its place.
+// Remove removes a candidate.
 func (p *Pool[T]) Remove(entry *Entry[T]) {
 	moved := p.all.removeAt(entry.place)
 	moved.place = entry.place
@@ -91,7 +88,7 @@
 	}
 }
 
-// removeAt moves the last entry to a place and returns it.
+// removeAt replaces the entry at a position by the last one, and returns the latter.
 func (l *list[T]) removeAt(place int) *Entry[T] {
 	last := len(l.entries) - 1
 	moved := l.entries[last]
@@ -101,7 +98,7 @@
 	return moved
 }
 
-// Watch says that a candidate was found dead, or is to be passed over.
+// Watch marks a candidate that was found dead or ejected.
 func (p *Pool[T]) Watch(entry *Entry[T]) {
 	if !entry.isWatched {
 		entry.isWatched = true
@@ -109,7 +106,8 @@
 	}
 }
 
-// Slots counts the slots of the candidates that take work, and of those that are passed over.
+// Slots returns the slots of the candidates that are neither dead nor ejected, and of the ejected
+// ones.
 func (p *Pool[T]) Slots(now time.Time) (working, passedOver int) {
 	working = p.slots
 	p.watchedAt, p.passedOver = now, 0
@@ -132,8 +130,8 @@
 	return working, passedOver
 }
 
-// isDoubtful reports whether so many are passed over that the evidence against them is doubted,
-// which takes a look at all.
+// isDoubtful reports whether so many candidates are ejected that some ejections must be ignored,
+// for which all candidates must be visited.
 func (p *Pool[T]) isDoubtful(now time.Time) bool {
 	if now.Sub(p.watchedAt) >= watchInterval {
 		p.Slots(now)
@@ -141,9 +139,9 @@
 	return float64(p.passedOver) > maximumEjectedShare*float64(p.Len())
 }
 
-// warmth tells whether some candidate is past its slow start, without looking at all each time.
+// warmth caches whether some candidate is past its slow start.
 type warmth[T any] struct {
-	// witness is one that is, if not nil; else none is before noneBefore.
+	// witness is such a candidate, or nil; then there is none before noneBefore.
 	witness    *Entry[T]
 	noneBefore time.Time
 }
@@ -169,8 +167,7 @@
 	return false
 }
 
-// Source is a pool that flows are given out of. Allows, if set, says which of its candidates
-// count.
+// Source is a pool to pick from. Allows, if set, filters its candidates.
 type Source[T any] struct {
 	Pool   *Pool[T]
 	Allows func(value T) bool
@@ -179,30 +176,27 @@
 func (s *Source[T]) allows(entry *Entry[T]) bool { return s.Allows == nil || s.Allows(entry.Value) }
 
 const (
-	// scanUpTo is up to how many candidates all are looked at for a flow, which costs some 3 µs
-	// then.
+	// scanUpTo is the number of candidates up to which all are visited for each pick.
 	scanUpTo = 48
-	// mostTries bounds the draws for one choice. It fails where fewer than one candidate in
-	// some ten may take the flow: with one in ten a choice needs more in 0.1 % of the cases.
+	// mostTries bounds the draws for one choice; after that many, probably fewer than one in ten
+	// candidates is eligible.
 	mostTries = 64
-	// watchInterval is how often the candidates are counted that are passed over. Verdicts hold
-	// for seconds.
+	// watchInterval is how long the number of ejected candidates is cached.
 	watchInterval = 50 * time.Millisecond
-	// emptyFor is for how long a list in which nobody may take a flow is not looked through
-	// again: a look at 10,000 candidates takes 1 ms, and callers of a service without room come
-	// by the hundred.
+	// emptyFor is how long a list without eligible entries is not searched again, since a full
+	// scan is expensive and many clients of a service without capacity arrive at once.
 	emptyFor = 10 * time.Millisecond
 )
 
-// Picker picks from pools. The zero value is ready; one goroutine at a time may use it.
+// Picker picks from pools. The zero value is ready for use. It is not safe for concurrent use.
 type Picker[T any] struct {
 	scratch    Scratch
 	all, local sampler[T]
 }
 
-// Pick returns the chosen candidate of some pools, at most two, nil if none may take the flow.
-// From many candidates it draws, so that the cost of a pick does not depend on their number. All
-// are looked at only where draws fail, as few are left that may take the flow.
+// Pick returns a candidate from at most two pools, nil if none may take the flow. Large pools are
+// sampled, so that the cost does not depend on their size; all candidates are visited only if
+// sampling fails because few are eligible.
 func (p *Picker[T]) Pick(request *Request, sources []Source[T], random *rand.Rand) *Entry[T] {
 	p.all.begin(request, sources)
 	if p.all.count <= scanUpTo || isDoubtful(request.Now, sources) {
@@ -230,7 +224,7 @@
 	return slices.ContainsFunc(sources, func(source Source[T]) bool { return source.Pool.isDoubtful(now) })
 }
 
-// scan looks at all candidates.
+// scan visits all candidates.
 func (p *Picker[T]) scan(request *Request, sources []Source[T], random *rand.Rand) *Candidate {
 	given := &p.scratch.given
 	given.clear()
@@ -245,7 +239,7 @@
 	return request.pickOf(&p.scratch, random)
 }
 
-// entryOf returns the entry of a candidate, nil of none.
+// entryOf returns the entry of a candidate, nil for nil.
 func (p *Picker[T]) entryOf(candidate *Candidate, sources []Source[T]) *Entry[T] {
 	if candidate == nil {
 		return nil
@@ -262,5 +256,5 @@
 			}
 		}
 	}
-	panic("a chosen candidate is one of its pools")
+	panic("balance: chosen candidate is in none of the pools")
 }
--- a/internal/balance/pool_test.go
+++ b/internal/balance/pool_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// mixed are candidates of three zones, of which some are cold, slow, dead, ejected, busy or may
-// hold no more flows.
+// mixed returns candidates in three zones, some of them in slow start, dead, ejected, busy, slow or
+// with open flows.
 func mixed(count int) []Candidate {
 	random := rand.New(rand.NewPCG(7, uint64(count)))
 	among := make([]Candidate, count)
@@ -48,11 +48,11 @@
 	return Request{Now: testNow, Zone: "zone1", LeaseHeld: true, PrefersZone: true, KnowsOpen: true, Daemons: 1000}
 }
 
-// TestAPoolIsPickedFromAsIfAllWereLookedAt: the shares of 120 targets, by drawing, are those by
-// looking at all, by a test of chi-square at 5 standard deviations.
+// Sampling must give the same shares as visiting all candidates, by a chi-square test at 5 standard
+// deviations.
 func TestAPoolIsPickedFromAsIfAllWereLookedAt(t *testing.T) {
 	const flows = 60_000
-	for name, prefersZone := range map[string]bool{"of all zones": false, "of one zone first": true} {
+	for name, prefersZone := range map[string]bool{"all zones": false, "preferred zone": true} {
 		t.Run(name, func(t *testing.T) {
 			among := mixed(120)
 			pool, picker := pooled(among), &Picker[int]{}
@@ -80,7 +80,7 @@
 	}
 }
 
-// TestWhereFewAreLeftThoseAreFound, and where nobody is, that is said.
+// If few candidates are eligible they must be found, and nil returned if there are none.
 func TestWhereFewAreLeftThoseAreFound(t *testing.T) {
 	among := candidates(500)
 	for index := range among {
@@ -100,13 +100,13 @@
 	assert.Equal(t, working, 0, "candidates without slots")
 	among[123].Signal.SetDead(testNow.Add(time.Minute), testNow.Add(time.Minute))
 	assert.Assert(t, pick() == nil)
-	t.Run("a new one is found at once", func(t *testing.T) {
+	t.Run("a new candidate is found at once", func(t *testing.T) {
 		entry := pool.Add(Candidate{Signal: &Signal{}, Weight: 1}, 500)
 		assert.Equal(t, pick(), entry)
 	})
 }
 
-// TestWhereMostArePassedOverTheEvidenceIsDoubted, in a large pool as in a small one.
+// Large pools must limit the share of ejected candidates like small ones.
 func TestWhereMostArePassedOverTheEvidenceIsDoubted(t *testing.T) {
 	among := candidates(500)
 	for index := range among[:400] {
@@ -120,11 +120,11 @@
 			passedOver++
 		}
 	}
-	// 250 may be passed over; 150 that are ejected and 100 others get flows.
+	// At most 250 may be ejected; 150 ejected ones and 100 others get flows.
 	assert.Assert(t, passedOver > 4000*5/10 && passedOver < 4000*7/10, "%d of 4000", passedOver)
 }
 
-// TestAPoolHoldsWhatWasAddedAndNotRemoved, in its lists by zone and its count of slots.
+// Random additions and removals must keep lists, zones and the sum of slots consistent.
 func TestAPoolHoldsWhatWasAddedAndNotRemoved(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	pool, held, slots := &Pool[int]{}, map[int]*Entry[int]{}, 0
@@ -155,7 +155,7 @@
 	assert.Equal(t, working, slots)
 }
 
-// TestRemovedCandidatesAreNotKept, though they were found dead.
+// Removed candidates must be released even if they are being watched.
 func TestRemovedCandidatesAreNotKept(t *testing.T) {
 	pool := &Pool[int]{}
 	for number := range 100 {
@@ -168,8 +168,8 @@
 	assert.Equal(t, len(pool.watched), 0)
 }
 
-// BenchmarkPoolPick is a pick among so many targets, an eighth each of which are cold, dead,
-// ejected, at their limit, slow, or have flows open.
+// BenchmarkPoolPick picks among candidates of which an eighth each is in slow start, dead, ejected,
+// at its limit, slow, or has open flows.
 func BenchmarkPoolPick(b *testing.B) {
 	for _, count := range []int{100, 1000, 8000, 20_000} {
 		b.Run(fmt.Sprint(count, " targets"), func(b *testing.B) {
@@ -180,7 +180,7 @@
 			for b.Loop() {
 				*request = mixedRequest()
 				if picker.Pick(request, sources, random) == nil {
-					b.Fatal("nobody")
+					b.Fatal("no candidate picked")
 				}
 			}
 		})
--- a/internal/balance/sampler.go
+++ b/internal/balance/sampler.go
@@ -2,24 +2,23 @@
 
 import "math/rand/v2"
 
-// sampler draws from the candidates of some pools, in one zone or in all, without looking at
-// all of them. It serves drawer.
+// sampler draws from the candidates of some pools, in one zone or all, without visiting all of
+// them. It implements drawer.
 //
-// Each draw takes one of all alike and keeps it with a probability that is its weight's part of
-// the greatest (rejection sampling: von Neumann, "Various techniques used in connection with
-// random digits", 1951), so that the outcome is distributed as if all were looked at.
+// It uses rejection sampling: a uniformly drawn candidate is accepted with a probability of its
+// weight over the maximum weight, so that the distribution is the same as that of a scan.
 type sampler[T any] struct {
 	request *Request
 	sources []Source[T]
 	lists   [2]*list[T]
 	count   int
-	// drawn are the latest that were drawn.
+	// drawn is a ring of the candidates drawn last.
 	drawn [2 + openDraws]*Entry[T]
 	next  int
-	// hasFailed says that draws found nobody.
+	// hasFailed is set once sampling found no eligible candidate.
 	hasFailed bool
-	// exact, if set, is where all that may take the flow are gathered once draws have failed;
-	// isExact says that they are.
+	// exact, if set, receives all eligible candidates once sampling has failed; isExact is set
+	// from then on.
 	exact   *set
 	isExact bool
 }
@@ -33,7 +32,7 @@
 	}
 }
 
-// beginZone prepares for draws from those in the request's zone. exact is memory.
+// beginZone prepares for draws from the request's zone. exact is reused memory.
 func (s *sampler[T]) beginZone(request *Request, sources []Source[T], exact *set) {
 	*s = sampler[T]{request: request, sources: sources, exact: exact}
 	for index := range sources {
@@ -46,7 +45,7 @@
 	}
 }
 
-// wasEmpty reports whether a look through all lists found nobody a moment ago.
+// wasEmpty reports whether all lists are known to have no eligible entry.
 func (s *sampler[T]) wasEmpty() bool {
 	hasBusy := false
 	for _, list := range s.lists {
@@ -62,7 +61,7 @@
 	return true
 }
 
-// noteEmpty takes in that a look through all lists found nobody.
+// noteEmpty records that a scan of all lists found no eligible entry.
 func (s *sampler[T]) noteEmpty() {
 	for _, list := range s.lists {
 		if list != nil {
@@ -72,7 +71,7 @@
 	}
 }
 
-// draw serves drawer.
+// draw implements drawer.
 func (s *sampler[T]) draw(random *rand.Rand, skip *Candidate) *Candidate {
 	if s.count == 0 {
 		return nil
@@ -90,7 +89,7 @@
 	return s.exact.draw(random, skip)
 }
 
-// try draws until a candidate may take the flow, or mostTries.
+// try samples an eligible candidate; nil after mostTries failures.
 func (s *sampler[T]) try(random *rand.Rand, skip *Candidate) *Candidate {
 	weights := &s.sources[0].Pool.weights
 	for range mostTries {
@@ -112,7 +111,7 @@
 	return nil
 }
 
-// gather fills exact with all that may take the flow.
+// gather fills exact with all eligible candidates.
 func (s *sampler[T]) gather() {
 	s.isExact = true
 	s.exact.clear()
@@ -131,7 +130,7 @@
 	}
 }
 
-// any draws one of all entries alike.
+// any draws an entry uniformly.
 func (s *sampler[T]) any(random *rand.Rand) (*Entry[T], *Source[T]) {
 	at := random.IntN(s.count)
 	for index, list := range s.lists {
@@ -143,10 +142,10 @@
 		}
 		at -= len(list.entries)
 	}
-	panic("the lists hold as many entries as were counted")
+	panic("balance: lists hold fewer entries than counted")
 }
 
-// drawnEntry returns the entry of a candidate if it was drawn lately.
+// drawnEntry returns the entry of a recently drawn candidate, nil if it is none.
 func (s *sampler[T]) drawnEntry(candidate *Candidate) *Entry[T] {
 	for _, entry := range s.drawn {
 		if entry != nil && &entry.Candidate == candidate {
@@ -156,17 +155,17 @@
 	return nil
 }
 
-// boundMemory is over how many draws the greatest weight is remembered: one that weighed much
-// more than the others and is gone would make most draws fail.
+// boundMemory is the number of draws after which the maximum weight is renewed. An outdated, much
+// higher maximum would make most draws fail.
 const boundMemory = 512
 
-// weightBound is the greatest weight of those that were drawn lately.
+// weightBound tracks the maximum weight among recent draws.
 type weightBound struct {
 	bound, latest float64
 	draws         int
 }
 
-// atLeast returns the bound with a weight taken in.
+// atLeast includes a weight in the bound and returns the bound.
 func (b *weightBound) atLeast(weight float64) float64 {
 	b.bound, b.latest = max(b.bound, weight), max(b.latest, weight)
 	b.draws++
@@ -176,7 +175,7 @@
 	return b.bound
 }
 
-// isEligible reports whether a candidate may take a flow, if the evidence against targets counts.
+// isEligible reports whether a candidate may take the flow, ejections respected.
 func (r *Request) isEligible(candidate *Candidate) bool {
 	if candidate.Signal == r.Excluded || !r.mayTake(candidate) || candidate.Signal.IsEjected(r.Now) {
 		return false
--- a/internal/balance/slowness.go
+++ b/internal/balance/slowness.go
@@ -7,33 +7,32 @@
 )
 
 const (
-	// slownessStep is by what part the average follows one answer.
+	// slownessStep is the smoothing factor of the average.
 	slownessStep = 0.3
-	// slownessMemory is the time constant with which the average goes back to 1 while
-	// nothing is heard: a target that is passed over must be tried again.
+	// slownessMemory is the time constant with which the average decays to 1 without new
+	// answers, so that an avoided target is tried again.
 	slownessMemory = 4 * time.Second
-	// slownessNoise is up to where the average says nothing, since requests differ, and
-	// slownessMost its bound.
+	// slownessNoise is the average up to which there is no penalty, since requests differ;
+	// slownessMost is the upper bound of the average.
 	slownessNoise = 1.6
 	slownessMost  = 20
 )
 
-// slowness is how many times longer than usual answers of a target take to begin: an
-// average over answers, which one that is awaited for longer raises at once (peak
-// EWMA; Eriksen, "Your Server as a Function", 2013, and its balancers). The zero value is
-// a target of which nothing is known. One goroutine at a time may note.
+// slowness is a peak EWMA (Eriksen, "Your Server as a Function", 2013) of the time to first byte of
+// a target's answers, as a multiple of the usual one. An overdue answer raises it at once. The zero
+// value is an unknown target. It must not be updated concurrently.
 type slowness struct {
 	at      atomic.Int64
 	average atomic.Uint64 // float64 bits
 }
 
-// note takes in that an answer took so many times as long as usual.
+// note records the latency of an answer, as a multiple of the usual one.
 func (s *slowness) note(now time.Time, times float64) {
 	held := s.value(now)
 	s.set(now, held+(min(times, slownessMost)-held)*slownessStep)
 }
 
-// noteAtLeast takes in that an answer has not come yet after so many times as long.
+// noteAtLeast records that an answer has not come after the given multiple of the usual time.
 func (s *slowness) noteAtLeast(now time.Time, times float64) {
 	if times = min(times, slownessMost); times > s.value(now) {
 		s.set(now, times)
@@ -45,7 +44,7 @@
 	s.at.Store(now.UnixNano())
 }
 
-// value is the average as of now, 1 for a target that is as fast as usual.
+// value returns the current average, 1 for a target of usual speed.
 func (s *slowness) value(now time.Time) float64 {
 	at := s.at.Load()
 	if at == 0 {
@@ -55,7 +54,7 @@
 	return 1 + (math.Float64frombits(s.average.Load())-1)*math.Exp(-max(age, 0))
 }
 
-// penalty is by what a target's share is divided.
+// penalty returns the divisor of the target's share of flows.
 func (s *slowness) penalty(now time.Time) float64 {
 	return max(1, s.value(now)/slownessNoise)
 }
--- a/internal/balance/slowness_test.go
+++ b/internal/balance/slowness_test.go
@@ -8,11 +8,11 @@
 
 func TestSlownessFollowsAnswers(t *testing.T) {
 	now := testNow
-	t.Run("a target of which nothing is known is as fast as usual", func(t *testing.T) {
+	t.Run("an unknown target has the usual speed", func(t *testing.T) {
 		assert.Equal(t, new(slowness).value(now), 1.0)
 		assert.Equal(t, new(slowness).penalty(now), 1.0)
 	})
-	t.Run("a few slow answers count, one hardly", func(t *testing.T) {
+	t.Run("a few slow answers count, a single one does not", func(t *testing.T) {
 		var held slowness
 		held.note(now, 2)
 		assert.Equal(t, held.penalty(now), 1.0)
@@ -21,26 +21,25 @@
 		}
 		assert.Assert(t, held.penalty(now) > 2)
 	})
-	t.Run("one that is awaited counts at once, and never lowers", func(t *testing.T) {
+	t.Run("an overdue answer counts at once and never lowers the average", func(t *testing.T) {
 		var held slowness
 		held.noteAtLeast(now, 6)
 		assert.Equal(t, held.value(now), 6.0)
 		held.noteAtLeast(now, 3)
 		assert.Equal(t, held.value(now), 6.0)
 	})
-	t.Run("it fades, so that the target is tried again", func(t *testing.T) {
+	t.Run("the average decays", func(t *testing.T) {
 		var held slowness
 		held.noteAtLeast(now, 6)
 		assert.Equal(t, held.penalty(now.Add(4*slownessMemory)), 1.0)
 	})
-	t.Run("it is bounded", func(t *testing.T) {
+	t.Run("the average is bounded", func(t *testing.T) {
 		var held slowness
 		held.noteAtLeast(now, 1e9)
 		assert.Equal(t, held.value(now), float64(slownessMost))
 	})
 }
 
-// TestASlowTargetGetsFewFlows, and without the mechanism as many as the others.
 func TestASlowTargetGetsFewFlows(t *testing.T) {
 	among := candidates(5)
 	assert.Assert(t, share(t, requestAt(testNow), among)[0] > 0.15)
--- a/internal/balance/speed.go
+++ b/internal/balance/speed.go
@@ -6,24 +6,22 @@
 	"time"
 )
 
-// speedLifetime is how long a speed counts that is not renewed.
+// speedLifetime is how long a speed is valid if it is not renewed.
 const speedLifetime = 30 * time.Second
 
-// speed is how fast a target works compared with the others of its service. The zero value
-// is a target of which nothing is known.
+// speed is a target's speed relative to the mean of its service. The zero value is an unknown target.
 type speed struct {
 	at    atomic.Int64
 	times atomic.Uint64 // float64 bits
 }
 
-// SetSpeed says how fast the target works, 1 being the mean of its service.
+// SetSpeed sets the target's speed relative to the mean of its service.
 func (s *Signal) SetSpeed(now time.Time, times float64) {
 	s.speed.times.Store(math.Float64bits(times))
 	s.speed.at.Store(now.UnixNano())
 }
 
-// Speed returns how fast the target works, 1 being the mean of its service, and 1 if nothing
-// is known.
+// Speed returns the target's speed relative to the mean of its service, 1 if unknown.
 func (s *Signal) Speed(now time.Time) float64 {
 	at := s.speed.at.Load()
 	if at == 0 || now.UnixNano()-at > int64(speedLifetime) {
@@ -32,8 +30,8 @@
 	return math.Float64frombits(s.speed.times.Load())
 }
 
-// slowPenalty is by what the target's share is divided because its answers take longer
-// than its speed explains: what is known to be slow is not punished twice.
+// slowPenalty returns the divisor of the target's share of flows for answers that are slower than
+// its speed explains, so that a known low speed is not counted twice.
 func (s *Signal) slowPenalty(now time.Time) float64 {
 	return max(1, s.slowness.penalty(now)*min(1, s.Speed(now)))
 }
--- a/internal/balance/speed_test.go
+++ b/internal/balance/speed_test.go
@@ -12,7 +12,7 @@
 	among[0].Signal.SetSpeed(testNow, 0.5)
 	shares := share(t, requestAt(testNow), among)
 	assert.Assert(t, shares[0] < 0.15, "%v", shares)
-	t.Run("until its speed is told no more", func(t *testing.T) {
+	t.Run("until the speed expires", func(t *testing.T) {
 		assert.Equal(t, among[0].Signal.Speed(testNow.Add(speedLifetime)), 0.5)
 		assert.Equal(t, among[0].Signal.Speed(testNow.Add(speedLifetime+1)), 1.0)
 	})
@@ -31,7 +31,7 @@
 	assert.Equal(t, request.effectiveWeight(&among[0]), 0.25*float64(among[0].Weight))
 }
 
-// TestASlowTargetIsNoReasonToLeaveTheZone as it does its part of the zone's work.
+// A slow target takes its part of the zone's load, so it must not divert flows to another zone.
 func TestASlowTargetIsNoReasonToLeaveTheZone(t *testing.T) {
 	among := candidates(2)
 	among[0].Zone, among[1].Zone = "here", "elsewhere"
