--- a/internal/balance/pool.go
+++ b/internal/balance/pool.go
@@ -11,7 +11,7 @@
 	Candidate
 	Value T
 
-	place, zonePlace int
+	index, zoneIndex int
 	isWatched        bool
 }
 
@@ -22,22 +22,22 @@
 	zones map[string]*list[T]
 	// slots is the sum over all candidates.
 	slots int
-	// watched holds the candidates that may be dead or ejected. passedOver is the number of
+	// watched holds the candidates that may be dead or ejected. ejected is the number of
 	// ejected ones at watchedAt.
-	watched    []*Entry[T]
-	watchedAt  time.Time
-	passedOver int
-	warmth     warmth[T]
-	weights    weightBound
+	watched   []*Entry[T]
+	watchedAt time.Time
+	ejected   int
+	warmCache warmCache[T]
+	weights   weightBound
 }
 
 // list is an unordered list of entries.
 type list[T any] struct {
 	entries []*Entry[T]
-	// emptyUntil is how long the list is known to have no eligible entry; hasBusy is set if some
+	// emptyUntil is how long the list is known to have no eligible entry; hasLimited is set if some
 	// entries were at their limit.
 	emptyUntil time.Time
-	hasBusy    bool
+	hasLimited bool
 }
 
 func (p *Pool[T]) Len() int { return len(p.all.entries) }
@@ -55,12 +55,12 @@
 		zone = &list[T]{}
 		p.zones[candidate.Zone] = zone
 	}
-	entry.place, entry.zonePlace = len(p.all.entries), len(zone.entries)
+	entry.index, entry.zoneIndex = len(p.all.entries), len(zone.entries)
 	p.all.add(entry)
 	zone.add(entry)
 	p.slots += int(candidate.Slots)
-	p.warmth.noneBefore = time.Time{}
-	if candidate.Signal.hasBeenOut() {
+	p.warmCache.noneBefore = time.Time{}
+	if candidate.Signal.wasEjectedOrDead() {
 		p.Watch(entry)
 	}
 	return entry
@@ -73,26 +73,26 @@
 
 // Remove removes a candidate.
 func (p *Pool[T]) Remove(entry *Entry[T]) {
-	moved := p.all.removeAt(entry.place)
-	moved.place = entry.place
+	moved := p.all.removeAt(entry.index)
+	moved.index = entry.index
 	zone := p.zones[entry.Zone]
-	moved = zone.removeAt(entry.zonePlace)
-	moved.zonePlace = entry.zonePlace
+	moved = zone.removeAt(entry.zoneIndex)
+	moved.zoneIndex = entry.zoneIndex
 	if len(zone.entries) == 0 {
 		delete(p.zones, entry.Zone)
 	}
-	entry.place, entry.zonePlace = -1, -1
+	entry.index, entry.zoneIndex = -1, -1
 	p.slots -= int(entry.Slots)
-	if p.warmth.witness == entry {
-		p.warmth.witness = nil
+	if p.warmCache.warm == entry {
+		p.warmCache.warm = nil
 	}
 }
 
 // removeAt replaces the entry at a position by the last one, and returns the latter.
-func (l *list[T]) removeAt(place int) *Entry[T] {
+func (l *list[T]) removeAt(index int) *Entry[T] {
 	last := len(l.entries) - 1
 	moved := l.entries[last]
-	l.entries[place] = moved
+	l.entries[index] = moved
 	l.entries[last] = nil
 	l.entries = l.entries[:last]
 	return moved
@@ -108,62 +108,62 @@
 
 // Slots returns the slots of the candidates that are neither dead nor ejected, and of the ejected
 // ones.
-func (p *Pool[T]) Slots(now time.Time) (working, passedOver int) {
+func (p *Pool[T]) Slots(now time.Time) (working, ejected int) {
 	working = p.slots
-	p.watchedAt, p.passedOver = now, 0
+	p.watchedAt, p.ejected = now, 0
 	kept := p.watched[:0]
 	for _, entry := range p.watched {
 		isDead, isEjected := entry.Signal.IsDead(now), entry.Signal.IsEjected(now)
-		if entry.place < 0 || !isDead && !isEjected {
+		if entry.index < 0 || !isDead && !isEjected {
 			entry.isWatched = false
 			continue
 		}
 		kept = append(kept, entry)
 		working -= int(entry.Slots)
 		if !isDead {
-			p.passedOver++
-			passedOver += int(entry.Slots)
+			p.ejected++
+			ejected += int(entry.Slots)
 		}
 	}
 	clear(p.watched[len(kept):])
 	p.watched = kept
-	return working, passedOver
+	return working, ejected
 }
 
-// isDoubtful reports whether so many candidates are ejected that some ejections must be ignored,
+// exceedsEjectedShare reports whether so many candidates are ejected that some ejections must be ignored,
 // for which all candidates must be visited.
-func (p *Pool[T]) isDoubtful(now time.Time) bool {
+func (p *Pool[T]) exceedsEjectedShare(now time.Time) bool {
 	if now.Sub(p.watchedAt) >= watchInterval {
 		p.Slots(now)
 	}
-	return float64(p.passedOver) > maximumEjectedShare*float64(p.Len())
+	return float64(p.ejected) > maxEjectedShare*float64(p.Len())
 }
 
-// warmth caches whether some candidate is past its slow start.
-type warmth[T any] struct {
-	// witness is such a candidate, or nil; then there is none before noneBefore.
-	witness    *Entry[T]
+// warmCache caches whether some candidate is past its slow start.
+type warmCache[T any] struct {
+	// warm is such a candidate. If it is nil, there is none before noneBefore.
+	warm       *Entry[T]
 	noneBefore time.Time
 }
 
 func (p *Pool[T]) hasWarm(now time.Time) bool {
-	if p.warmth.witness != nil {
+	if p.warmCache.warm != nil {
 		return true
 	}
-	if now.Before(p.warmth.noneBefore) {
+	if now.Before(p.warmCache.noneBefore) {
 		return false
 	}
 	var earliest time.Time
 	for _, entry := range p.all.entries {
 		if !now.Before(entry.WarmAt) {
-			p.warmth.witness = entry
+			p.warmCache.warm = entry
 			return true
 		}
 		if earliest.IsZero() || entry.WarmAt.Before(earliest) {
 			earliest = entry.WarmAt
 		}
 	}
-	p.warmth.noneBefore = earliest
+	p.warmCache.noneBefore = earliest
 	return false
 }
 
@@ -176,16 +176,16 @@
 func (s *Source[T]) allows(entry *Entry[T]) bool { return s.Allows == nil || s.Allows(entry.Value) }
 
 const (
-	// scanUpTo is the number of candidates up to which all are visited for each pick.
-	scanUpTo = 48
-	// mostTries bounds the draws for one choice; after that many, probably fewer than one in ten
+	// scanThreshold is the number of candidates up to which all are visited for each pick.
+	scanThreshold = 48
+	// maxTries bounds the draws for one choice; after that many, probably fewer than one in ten
 	// candidates is eligible.
-	mostTries = 64
+	maxTries = 64
 	// watchInterval is how long the number of ejected candidates is cached.
 	watchInterval = 50 * time.Millisecond
-	// emptyFor is how long a list without eligible entries is not searched again, since a full
+	// emptyTTL is how long a list without eligible entries is not searched again, since a full
 	// scan is expensive and many clients of a service without capacity arrive at once.
-	emptyFor = 10 * time.Millisecond
+	emptyTTL = 10 * time.Millisecond
 )
 
 // Picker picks from pools. The zero value is ready for use. It is not safe for concurrent use.
@@ -198,45 +198,45 @@
 // sampled, so that the cost does not depend on their size; all candidates are visited only if
 // sampling fails because few are eligible.
 func (p *Picker[T]) Pick(request *Request, sources []Source[T], random *rand.Rand) *Entry[T] {
-	p.all.begin(request, sources)
-	if p.all.count <= scanUpTo || isDoubtful(request.Now, sources) {
+	p.all.reset(request, sources)
+	if p.all.count <= scanThreshold || exceedsEjectedShare(request.Now, sources) {
 		return p.entryOf(p.scan(request, sources, random), sources)
 	}
-	if p.all.wasEmpty() {
+	if p.all.isKnownEmpty() {
 		return nil
 	}
 	request.anyWarm = false
 	for index := range sources {
 		request.anyWarm = request.anyWarm || sources[index].Pool.hasWarm(request.Now)
 	}
-	p.local.beginZone(request, sources, &p.scratch.near)
+	p.local.resetZone(request, sources, &p.scratch.inZone)
 	chosen := request.choose(&p.all, &p.local, random)
 	if chosen == nil || p.all.hasFailed {
 		chosen = p.scan(request, sources, random)
 	}
 	if chosen == nil {
-		p.all.noteEmpty()
+		p.all.markEmpty()
 	}
 	return p.entryOf(chosen, sources)
 }
 
-func isDoubtful[T any](now time.Time, sources []Source[T]) bool {
-	return slices.ContainsFunc(sources, func(source Source[T]) bool { return source.Pool.isDoubtful(now) })
+func exceedsEjectedShare[T any](now time.Time, sources []Source[T]) bool {
+	return slices.ContainsFunc(sources, func(source Source[T]) bool { return source.Pool.exceedsEjectedShare(now) })
 }
 
 // scan visits all candidates.
 func (p *Picker[T]) scan(request *Request, sources []Source[T], random *rand.Rand) *Candidate {
-	given := &p.scratch.given
-	given.clear()
+	input := &p.scratch.input
+	input.clear()
 	for index := range sources {
 		source := &sources[index]
 		for _, entry := range source.Pool.all.entries {
 			if source.allows(entry) {
-				given.add(&entry.Candidate, 0)
+				input.add(&entry.Candidate, 0)
 			}
 		}
 	}
-	return request.pickOf(&p.scratch, random)
+	return request.pickFromInput(&p.scratch, random)
 }
 
 // entryOf returns the entry of a candidate, nil for nil.
--- a/internal/balance/pool_test.go
+++ b/internal/balance/pool_test.go
@@ -10,17 +10,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// mixed returns candidates in three zones, some of them in slow start, dead, ejected, busy, slow or
+// mixedCandidates returns candidates in three zones, some of them in slow start, dead, ejected, busy, slow or
 // with open flows.
-func mixed(count int) []Candidate {
+func mixedCandidates(count int) []Candidate {
 	random := rand.New(rand.NewPCG(7, uint64(count)))
-	among := make([]Candidate, count)
-	for index := range among {
-		among[index] = Candidate{Signal: &Signal{}, Weight: 2, Slots: 2, Zone: fmt.Sprint("zone", index%3)}
-		signal := among[index].Signal
+	targets := make([]Candidate, count)
+	for index := range targets {
+		targets[index] = Candidate{Signal: &Signal{}, Weight: 2, Slots: 2, Zone: fmt.Sprint("zone", index%3)}
+		signal := targets[index].Signal
 		switch random.IntN(8) {
 		case 0:
-			among[index].WarmAt = testNow.Add(time.Duration(random.IntN(8000)) * time.Millisecond)
+			targets[index].WarmAt = testNow.Add(time.Duration(random.IntN(8000)) * time.Millisecond)
 		case 1:
 			signal.SetDead(testNow.Add(time.Minute), testNow.Add(2*time.Minute))
 		case 2:
@@ -33,13 +33,13 @@
 			signal.SetOpen(random.IntN(5))
 		}
 	}
-	return among
+	return targets
 }
 
-func pooled(among []Candidate) *Pool[int] {
+func newPool(targets []Candidate) *Pool[int] {
 	pool := &Pool[int]{}
-	for index := range among {
-		pool.Add(among[index], index)
+	for index := range targets {
+		pool.Add(targets[index], index)
 	}
 	return pool
 }
@@ -50,24 +50,24 @@
 
 // Sampling must give the same shares as visiting all candidates, by a chi-square test at 5 standard
 // deviations.
-func TestAPoolIsPickedFromAsIfAllWereLookedAt(t *testing.T) {
+func TestPoolPickMatchesScan(t *testing.T) {
 	const flows = 60_000
 	for name, prefersZone := range map[string]bool{"all zones": false, "preferred zone": true} {
 		t.Run(name, func(t *testing.T) {
-			among := mixed(120)
-			pool, picker := pooled(among), &Picker[int]{}
+			targets := mixedCandidates(120)
+			pool, picker := newPool(targets), &Picker[int]{}
 			random := rand.New(rand.NewPCG(1, 2))
-			drawn, exact := make([]float64, len(among)), make([]float64, len(among))
+			drawn, exact := make([]float64, len(targets)), make([]float64, len(targets))
 			for range flows {
 				request := mixedRequest()
 				request.PrefersZone = prefersZone
 				drawn[picker.Pick(&request, []Source[int]{{Pool: pool}}, random).Value]++
 				request = mixedRequest()
 				request.PrefersZone = prefersZone
-				exact[Pick(&request, among, random)]++
+				exact[Pick(&request, targets, random)]++
 			}
 			var sum, classes float64
-			for index := range among {
+			for index := range targets {
 				if total := drawn[index] + exact[index]; total > 0 {
 					difference := drawn[index] - exact[index]
 					sum += difference * difference / total
@@ -81,14 +81,14 @@
 }
 
 // If few candidates are eligible they must be found, and nil returned if there are none.
-func TestWhereFewAreLeftThoseAreFound(t *testing.T) {
-	among := candidates(500)
-	for index := range among {
+func TestPickFindsFewEligible(t *testing.T) {
+	targets := candidates(500)
+	for index := range targets {
 		if index != 123 {
-			among[index].Signal.SetDead(testNow.Add(time.Minute), testNow.Add(time.Minute))
+			targets[index].Signal.SetDead(testNow.Add(time.Minute), testNow.Add(time.Minute))
 		}
 	}
-	pool, picker, random := pooled(among), &Picker[int]{}, rand.New(rand.NewPCG(1, 2))
+	pool, picker, random := newPool(targets), &Picker[int]{}, rand.New(rand.NewPCG(1, 2))
 	pick := func() *Entry[int] {
 		request := mixedRequest()
 		return picker.Pick(&request, []Source[int]{{Pool: pool}}, random)
@@ -98,7 +98,7 @@
 	}
 	working, _ := pool.Slots(testNow)
 	assert.Equal(t, working, 0, "candidates without slots")
-	among[123].Signal.SetDead(testNow.Add(time.Minute), testNow.Add(time.Minute))
+	targets[123].Signal.SetDead(testNow.Add(time.Minute), testNow.Add(time.Minute))
 	assert.Assert(t, pick() == nil)
 	t.Run("a new candidate is found at once", func(t *testing.T) {
 		entry := pool.Add(Candidate{Signal: &Signal{}, Weight: 1}, 500)
@@ -107,64 +107,64 @@
 }
 
 // Large pools must limit the share of ejected candidates like small ones.
-func TestWhereMostArePassedOverTheEvidenceIsDoubted(t *testing.T) {
-	among := candidates(500)
-	for index := range among[:400] {
-		among[index].Signal.Eject(testNow.Add(time.Minute), testNow.Add(time.Minute))
+func TestPoolLimitsEjectedShare(t *testing.T) {
+	targets := candidates(500)
+	for index := range targets[:400] {
+		targets[index].Signal.Eject(testNow.Add(time.Minute), testNow.Add(time.Minute))
 	}
-	pool, picker, random := pooled(among), &Picker[int]{}, rand.New(rand.NewPCG(1, 2))
-	passedOver := 0
+	pool, picker, random := newPool(targets), &Picker[int]{}, rand.New(rand.NewPCG(1, 2))
+	ejected := 0
 	for range 4000 {
 		request := mixedRequest()
 		if picker.Pick(&request, []Source[int]{{Pool: pool}}, random).Value < 400 {
-			passedOver++
+			ejected++
 		}
 	}
 	// At most 250 may be ejected; 150 ejected ones and 100 others get flows.
-	assert.Assert(t, passedOver > 4000*5/10 && passedOver < 4000*7/10, "%d of 4000", passedOver)
+	assert.Assert(t, ejected > 4000*5/10 && ejected < 4000*7/10, "%d of 4000", ejected)
 }
 
 // Random additions and removals must keep lists, zones and the sum of slots consistent.
-func TestAPoolHoldsWhatWasAddedAndNotRemoved(t *testing.T) {
+func TestPoolAddAndRemove(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
-	pool, held, slots := &Pool[int]{}, map[int]*Entry[int]{}, 0
+	pool, kept, slots := &Pool[int]{}, map[int]*Entry[int]{}, 0
 	for number := range 5000 {
-		if len(held) > 0 && random.IntN(5) < 2 {
-			for value, entry := range held {
+		if len(kept) > 0 && random.IntN(5) < 2 {
+			for value, entry := range kept {
 				pool.Remove(entry)
 				slots -= int(entry.Slots)
-				delete(held, value)
+				delete(kept, value)
 				break
 			}
 			continue
 		}
 		candidate := Candidate{Signal: &Signal{}, Slots: uint32(number % 4), Zone: fmt.Sprint(number % 5)}
-		held[number] = pool.Add(candidate, number)
+		kept[number] = pool.Add(candidate, number)
 		slots += int(candidate.Slots)
 	}
-	assert.Equal(t, pool.Len(), len(held))
+	assert.Equal(t, pool.Len(), len(kept))
 	inZones := 0
 	for zone, list := range pool.zones {
-		for place, entry := range list.entries {
-			assert.Assert(t, entry.Zone == zone && entry.zonePlace == place && held[entry.Value] == entry)
+		for index, entry := range list.entries {
+			assert.Assert(t, entry.Zone == zone && entry.zoneIndex == index && kept[entry.Value] == entry)
 			inZones++
 		}
 	}
-	assert.Equal(t, inZones, len(held))
+	assert.Equal(t, inZones, len(kept))
 	working, _ := pool.Slots(testNow)
 	assert.Equal(t, working, slots)
 }
 
 // Removed candidates must be released even if they are being watched.
-func TestRemovedCandidatesAreNotKept(t *testing.T) {
+func TestRemovedCandidatesAreReleased(t *testing.T) {
 	pool := &Pool[int]{}
 	for number := range 100 {
 		signal := &Signal{}
 		signal.SetDead(testNow.Add(time.Hour), testNow.Add(time.Hour))
 		pool.Remove(pool.Add(Candidate{Signal: signal, Slots: 2}, number))
 	}
-	working, passedOver := pool.Slots(testNow)
-	assert.Assert(t, working == 0 && passedOver == 0)
+	working, ejected := pool.Slots(testNow)
+	assert.Assert(t, working == 0 && ejected == 0)
 	assert.Equal(t, len(pool.watched), 0)
 }
 
@@ -173,7 +173,7 @@
 func BenchmarkPoolPick(b *testing.B) {
 	for _, count := range []int{100, 1000, 8000, 20_000} {
 		b.Run(fmt.Sprint(count, " targets"), func(b *testing.B) {
-			pool, picker, random := pooled(mixed(count)), &Picker[int]{}, rand.New(rand.NewPCG(1, 2))
+			pool, picker, random := newPool(mixedCandidates(count)), &Picker[int]{}, rand.New(rand.NewPCG(1, 2))
 			sources := []Source[int]{{Pool: pool}}
 			request := new(mixedRequest())
 			b.ReportAllocs()
--- a/internal/balance/sampler.go
+++ b/internal/balance/sampler.go
@@ -13,18 +13,18 @@
 	lists   [2]*list[T]
 	count   int
 	// drawn is a ring of the candidates drawn last.
-	drawn [2 + openDraws]*Entry[T]
+	drawn [2 + openFlowDraws]*Entry[T]
 	next  int
 	// hasFailed is set once sampling found no eligible candidate.
 	hasFailed bool
 	// exact, if set, receives all eligible candidates once sampling has failed; isExact is set
 	// from then on.
-	exact   *set
+	exact   *candidateSet
 	isExact bool
 }
 
-// begin prepares for draws from all candidates of some pools.
-func (s *sampler[T]) begin(request *Request, sources []Source[T]) {
+// reset prepares for draws from all candidates of some pools.
+func (s *sampler[T]) reset(request *Request, sources []Source[T]) {
 	*s = sampler[T]{request: request, sources: sources}
 	for index := range sources {
 		s.lists[index] = &sources[index].Pool.all
@@ -32,22 +32,22 @@
 	}
 }
 
-// beginZone prepares for draws from the request's zone. exact is reused memory.
-func (s *sampler[T]) beginZone(request *Request, sources []Source[T], exact *set) {
+// resetZone prepares for draws from the request's zone. exact is reused memory.
+func (s *sampler[T]) resetZone(request *Request, sources []Source[T], exact *candidateSet) {
 	*s = sampler[T]{request: request, sources: sources, exact: exact}
 	for index := range sources {
 		if s.lists[index] = sources[index].Pool.zones[request.Zone]; s.lists[index] != nil {
 			s.count += len(s.lists[index].entries)
 		}
 	}
-	if s.count > 0 && s.wasEmpty() {
+	if s.count > 0 && s.isKnownEmpty() {
 		s.count = 0
 	}
 }
 
-// wasEmpty reports whether all lists are known to have no eligible entry.
-func (s *sampler[T]) wasEmpty() bool {
-	hasBusy := false
+// isKnownEmpty reports whether all lists are known to have no eligible entry.
+func (s *sampler[T]) isKnownEmpty() bool {
+	hasLimited := false
 	for _, list := range s.lists {
 		if list == nil {
 			continue
@@ -55,18 +55,18 @@
 		if !s.request.Now.Before(list.emptyUntil) {
 			return false
 		}
-		hasBusy = hasBusy || list.hasBusy
+		hasLimited = hasLimited || list.hasLimited
 	}
-	s.request.atLimit = s.request.atLimit || hasBusy
+	s.request.atLimit = s.request.atLimit || hasLimited
 	return true
 }
 
-// noteEmpty records that a scan of all lists found no eligible entry.
-func (s *sampler[T]) noteEmpty() {
+// markEmpty records that a scan of all lists found no eligible entry.
+func (s *sampler[T]) markEmpty() {
 	for _, list := range s.lists {
 		if list != nil {
-			list.emptyUntil = s.request.Now.Add(emptyFor)
-			list.hasBusy = s.request.atLimit
+			list.emptyUntil = s.request.Now.Add(emptyTTL)
+			list.hasLimited = s.request.atLimit
 		}
 	}
 }
@@ -77,23 +77,23 @@
 		return nil
 	}
 	if !s.isExact {
-		if candidate := s.try(random, skip); candidate != nil {
+		if candidate := s.sample(random, skip); candidate != nil {
 			return candidate
 		}
 		s.hasFailed = true
 		if s.exact == nil {
 			return nil
 		}
-		s.gather()
+		s.fillExact()
 	}
 	return s.exact.draw(random, skip)
 }
 
-// try samples an eligible candidate; nil after mostTries failures.
-func (s *sampler[T]) try(random *rand.Rand, skip *Candidate) *Candidate {
+// sample samples an eligible candidate; nil after maxTries failures.
+func (s *sampler[T]) sample(random *rand.Rand, skip *Candidate) *Candidate {
 	weights := &s.sources[0].Pool.weights
-	for range mostTries {
-		entry, source := s.any(random)
+	for range maxTries {
+		entry, source := s.drawUniform(random)
 		candidate := &entry.Candidate
 		if candidate == skip || !source.allows(entry) {
 			continue
@@ -102,7 +102,7 @@
 			continue
 		}
 		weight := s.request.effectiveWeight(candidate)
-		if random.Float64()*weights.atLeast(weight) < weight {
+		if random.Float64()*weights.include(weight) < weight {
 			s.drawn[s.next%len(s.drawn)] = entry
 			s.next++
 			return candidate
@@ -111,8 +111,8 @@
 	return nil
 }
 
-// gather fills exact with all eligible candidates.
-func (s *sampler[T]) gather() {
+// fillExact fills exact with all eligible candidates.
+func (s *sampler[T]) fillExact() {
 	s.isExact = true
 	s.exact.clear()
 	for index, list := range s.lists {
@@ -126,26 +126,26 @@
 		}
 	}
 	if s.exact.isEmpty() {
-		s.noteEmpty()
+		s.markEmpty()
 	}
 }
 
-// any draws an entry uniformly.
-func (s *sampler[T]) any(random *rand.Rand) (*Entry[T], *Source[T]) {
-	at := random.IntN(s.count)
+// drawUniform draws an entry uniformly.
+func (s *sampler[T]) drawUniform(random *rand.Rand) (*Entry[T], *Source[T]) {
+	position := random.IntN(s.count)
 	for index, list := range s.lists {
 		if list == nil {
 			continue
 		}
-		if at < len(list.entries) {
-			return list.entries[at], &s.sources[index]
+		if position < len(list.entries) {
+			return list.entries[position], &s.sources[index]
 		}
-		at -= len(list.entries)
+		position -= len(list.entries)
 	}
 	panic("balance: lists hold fewer entries than counted")
 }
 
-// drawnEntry returns the entry of a recently drawn candidate, nil if it is none.
+// drawnEntry returns the entry of a candidate, nil if it was not drawn recently.
 func (s *sampler[T]) drawnEntry(candidate *Candidate) *Entry[T] {
 	for _, entry := range s.drawn {
 		if entry != nil && &entry.Candidate == candidate {
@@ -155,9 +155,9 @@
 	return nil
 }
 
-// boundMemory is the number of draws after which the maximum weight is renewed. An outdated, much
+// boundRenewalDraws is the number of draws after which the maximum weight is renewed. An outdated, much
 // higher maximum would make most draws fail.
-const boundMemory = 512
+const boundRenewalDraws = 512
 
 // weightBound tracks the maximum weight among recent draws.
 type weightBound struct {
@@ -165,11 +165,11 @@
 	draws         int
 }
 
-// atLeast includes a weight in the bound and returns the bound.
-func (b *weightBound) atLeast(weight float64) float64 {
+// include includes a weight in the bound and returns the bound.
+func (b *weightBound) include(weight float64) float64 {
 	b.bound, b.latest = max(b.bound, weight), max(b.latest, weight)
 	b.draws++
-	if b.draws >= boundMemory {
+	if b.draws >= boundRenewalDraws {
 		b.bound, b.latest, b.draws = b.latest, 0, 0
 	}
 	return b.bound
@@ -177,10 +177,10 @@
 
 // isEligible reports whether a candidate may take the flow, ejections respected.
 func (r *Request) isEligible(candidate *Candidate) bool {
-	if candidate.Signal == r.Excluded || !r.mayTake(candidate) || candidate.Signal.IsEjected(r.Now) {
+	if candidate.Signal == r.Excluded || !r.isAvailable(candidate) || candidate.Signal.IsEjected(r.Now) {
 		return false
 	}
-	if r.isAtLimit(candidate) || r.isAtColdShare(candidate) {
+	if r.isAtLimit(candidate) || r.isAtSlowStartShare(candidate) {
 		r.atLimit = true
 		return false
 	}
--- a/internal/balance/slowness.go
+++ b/internal/balance/slowness.go
@@ -9,13 +9,13 @@
 const (
 	// slownessStep is the smoothing factor of the average.
 	slownessStep = 0.3
-	// slownessMemory is the time constant with which the average decays to 1 without new
+	// slownessDecay is the time constant with which the average decays to 1 without new
 	// answers, so that an avoided target is tried again.
-	slownessMemory = 4 * time.Second
-	// slownessNoise is the average up to which there is no penalty, since requests differ;
-	// slownessMost is the upper bound of the average.
-	slownessNoise = 1.6
-	slownessMost  = 20
+	slownessDecay = 4 * time.Second
+	// slownessTolerance is the average up to which there is no penalty, since requests differ;
+	// maxSlowness is the upper bound of the average.
+	slownessTolerance = 1.6
+	maxSlowness       = 20
 )
 
 // slowness is a peak EWMA (Eriksen, "Your Server as a Function", 2013) of the time to first byte of
@@ -26,16 +26,16 @@
 	average atomic.Uint64 // float64 bits
 }
 
-// note records the latency of an answer, as a multiple of the usual one.
-func (s *slowness) note(now time.Time, times float64) {
-	held := s.value(now)
-	s.set(now, held+(min(times, slownessMost)-held)*slownessStep)
+// record records the latency of an answer, as a multiple of the usual one.
+func (s *slowness) record(now time.Time, ratio float64) {
+	average := s.value(now)
+	s.set(now, average+(min(ratio, maxSlowness)-average)*slownessStep)
 }
 
-// noteAtLeast records that an answer has not come after the given multiple of the usual time.
-func (s *slowness) noteAtLeast(now time.Time, times float64) {
-	if times = min(times, slownessMost); times > s.value(now) {
-		s.set(now, times)
+// recordAtLeast records that an answer has not come after the given multiple of the usual time.
+func (s *slowness) recordAtLeast(now time.Time, ratio float64) {
+	if ratio = min(ratio, maxSlowness); ratio > s.value(now) {
+		s.set(now, ratio)
 	}
 }
 
@@ -50,11 +50,11 @@
 	if at == 0 {
 		return 1
 	}
-	age := float64(now.UnixNano()-at) / float64(slownessMemory)
+	age := float64(now.UnixNano()-at) / float64(slownessDecay)
 	return 1 + (math.Float64frombits(s.average.Load())-1)*math.Exp(-max(age, 0))
 }
 
 // penalty returns the divisor of the target's share of flows.
 func (s *slowness) penalty(now time.Time) float64 {
-	return max(1, s.value(now)/slownessNoise)
+	return max(1, s.value(now)/slownessTolerance)
 }
--- a/internal/balance/speed.go
+++ b/internal/balance/speed.go
@@ -12,12 +12,12 @@
 // speed is a target's speed relative to the mean of its service. The zero value is an unknown target.
 type speed struct {
 	at    atomic.Int64
-	times atomic.Uint64 // float64 bits
+	ratio atomic.Uint64 // float64 bits
 }
 
 // SetSpeed sets the target's speed relative to the mean of its service.
-func (s *Signal) SetSpeed(now time.Time, times float64) {
-	s.speed.times.Store(math.Float64bits(times))
+func (s *Signal) SetSpeed(now time.Time, ratio float64) {
+	s.speed.ratio.Store(math.Float64bits(ratio))
 	s.speed.at.Store(now.UnixNano())
 }
 
@@ -27,7 +27,7 @@
 	if at == 0 || now.UnixNano()-at > int64(speedLifetime) {
 		return 1
 	}
-	return math.Float64frombits(s.speed.times.Load())
+	return math.Float64frombits(s.speed.ratio.Load())
 }
 
 // slowPenalty returns the divisor of the target's share of flows for answers that are slower than
