--- a/internal/targetspeed/codec.go
+++ b/internal/targetspeed/codec.go
@@ -9,24 +9,25 @@
 	"github.com/passtray/passtray/internal/loadshare"
 )
 
-// A report on its way: its head, a byte that says that it is one on speeds, the number of
-// targets (1), and for each of those its mark (2), the logarithm of how many times as
-// long as usual its answers took, signed, in logUnit (1), and how many answers that rests on
-// (1). All numbers are big-endian. The first 12 bytes are as in reports on open flows,
-// behind which these stand: a daemon that does not know them stops reading there.
+// Wire format of a report, all numbers big-endian: the head of a loadshare report, a byte that marks
+// a speed report, the number of targets (1), and for each target its mark (2), the logarithm of the
+// latency ratio as a signed number of logUnit (1), and the number of observations (1).
+//
+// Speed reports follow the open-flow reports of loadshare in a message. A daemon that does not know
+// them stops reading there.
 const (
 	headBytes  = loadshare.HeadBytes + 2
 	entryBytes = 4
 	logUnit    = 1.0 / 64
-	// mostEntries bounds the targets in one report, so that it fits into MaximumBytes.
+	// mostEntries is the maximum number of targets per report, so that it fits into MaximumBytes.
 	mostEntries = 20
-	// MaximumBytes bounds what is told in one message, a third of what messages to the
-	// zone may hold (loadshare.MaximumBytes).
+	// MaximumBytes is the maximum size of the speed reports in a message, a third of the maximum
+	// size of a message within the zone (loadshare.MaximumBytes).
 	MaximumBytes = headBytes + entryBytes*mostEntries
 )
 
-// Message returns reports to pass on, those that were passed on least first, and of them
-// the latest.
+// Message returns reports to send or forward: the least often sent ones first, and of those the
+// latest.
 func (e *Exchange) Message(now time.Time) []byte {
 	addresses := loadshare.InTurn(e.reports, loadshare.MostHeads, func(r *report) loadshare.Turn { return loadshare.Turn{Sent: r.sent, At: r.at} })
 	var message []byte
@@ -54,7 +55,7 @@
 	return to
 }
 
-// Hear takes in a message and returns how many bytes at its end could not be read.
+// Hear handles a message and returns the number of bytes at its end that could not be decoded.
 func (e *Exchange) Hear(now time.Time, message []byte) (unread int) {
 	for len(message) >= headBytes && message[headBytes-2] == loadshare.OtherKind {
 		count := int(message[headBytes-1])
--- a/internal/targetspeed/estimate.go
+++ b/internal/targetspeed/estimate.go
@@ -10,30 +10,27 @@
 )
 
 const (
-	// doubt is how many observations an estimate is drawn towards the usual speed with.
+	// doubt is the weight, in observations, of the prior that a target has the usual speed.
 	doubt = 8
-	// spread is by about how much the logarithms of single answers of one target differ: work
-	// differs. What lies within the standard error that follows is taken for noise. Without
-	// that 640 instead of 485 of 125,000 requests were turned away by 30 equal targets before
-	// 88 daemons of a zone at 70 % load (virtual time, six seeds; 510 if speeds are not
-	// learned).
-	spread = 0.5
-	// Slowest and Fastest bound an estimate.
+	// spread is the approximate standard deviation of the logarithms of a target's single
+	// latencies. A deviation below the resulting standard error is treated as noise, so that equal
+	// targets get equal shares.
+	spread           = 0.5
 	Slowest, Fastest = 0.2, 3
 )
 
-// Estimate is how fast a target works, by all that is known here.
+// Estimate is a target's estimated speed.
 type Estimate struct {
-	// Speed is 1 for a target that is as fast as usual, 0.5 for one half as fast.
+	// Speed is relative to the usual speed: 0.5 is half as fast.
 	Speed float64
-	// Observations is how many answers it rests on, older ones counting less.
+	// Observations is the number of answers behind the estimate, decayed with age.
 	Observations float64
 }
 
-// opinion is what one daemon holds of a target, with the weight it has.
+// opinion is one daemon's weighted estimate: the logarithm of the latency ratio.
 type opinion struct{ times, weight float64 }
 
-// Estimates returns the speeds of the targets of which something is known.
+// Estimates returns the estimates of all targets with observations.
 func (e *Exchange) Estimates(now time.Time) map[loadshare.Mark]Estimate {
 	opinions := map[loadshare.Mark][]opinion{}
 	e.meter.seen(now, func(target loadshare.Mark, held *observed) {
@@ -61,8 +58,8 @@
 	return Estimate{Speed: min(max(math.Exp(log), Slowest), Fastest), Observations: total}
 }
 
-// bound lets no daemon among several weigh more than the second, so that none has more than
-// half, and returns the sum of the weights.
+// bound limits the highest weight to the second highest, so that no daemon has more than half of the
+// total, and returns the total.
 func bound(opinions []opinion) (total float64) {
 	var first, second float64
 	for _, opinion := range opinions {
@@ -81,7 +78,7 @@
 	return total
 }
 
-// median is the weighted median: half of the weight is not above it, half not below.
+// median returns the weighted median.
 func median(opinions []opinion, total float64) float64 {
 	slices.SortFunc(opinions, func(a, b opinion) int {
 		return cmp.Or(cmp.Compare(a.times, b.times), cmp.Compare(a.weight, b.weight))
--- a/internal/targetspeed/exchange.go
+++ b/internal/targetspeed/exchange.go
@@ -13,38 +13,37 @@
 )
 
 const (
-	// ReportInterval is how often a daemon tells what it saw. Of a zone with 22 daemons all
-	// reports pass within it.
+	// ReportInterval is how often a daemon reports its observations.
 	ReportInterval = 3 * time.Second
-	// passedOnFor is how long a report is passed on. What it tells counts on, and fades.
+	// passedOnFor is how long a report is forwarded. Its observations stay valid longer, decaying.
 	passedOnFor = 5 * time.Second
-	// mostReporters bounds what is kept of a target, and mostReports the reports that wait
-	// to be passed on.
+	// mostReporters is the maximum number of reporters stored per target, mostReports the maximum
+	// number of reports kept for forwarding.
 	mostReporters = 64
 	mostReports   = 256
-	// mostWeight is how many observations of one daemon count at most, so that one which
-	// claims many does not decide.
+	// mostWeight is the maximum number of observations counted per daemon, so that a daemon that
+	// claims many does not dominate.
 	mostWeight = 24
 )
 
-// entry is what one daemon tells of one target.
+// entry is one daemon's report on one target.
 type entry struct {
 	target loadshare.Mark
-	// times is the mean logarithm of how many times as long as usual answers took.
+	// times is the mean logarithm of the latency ratio (time to first byte over the usual one).
 	times  float64
 	weight float64
 }
 
-// report is what one daemon told at a time.
+// report is one daemon's latest report.
 type report struct {
 	number  uint32
 	at      time.Time
 	entries []entry
-	// sent is how often it was passed on here.
+	// sent counts how often it was sent from here.
 	sent int
 }
 
-// reporter is a daemon's address and port in six bytes: there are as many as told.
+// reporter is a daemon's IPv4 address and port packed into six bytes, to save memory.
 type reporter uint64
 
 func reporterOf(address netip.AddrPort) reporter {
@@ -52,7 +51,7 @@
 	return reporter(binary.BigEndian.Uint32(host[:]))<<16 | reporter(address.Port())
 }
 
-// told is what counts of a reporter on a target.
+// told is the latest observation of a target from one reporter.
 type told struct {
 	at            int64 // Unix nanoseconds
 	times, weight float32
@@ -63,7 +62,7 @@
 	return float64(t.weight) * math.Exp(-max(0, age.Seconds())/memory.Seconds())
 }
 
-// Exchange is one daemon's part. It is not safe for concurrent use.
+// Exchange is one daemon's part of the exchange of observations. It is not safe for concurrent use.
 type Exchange struct {
 	self    netip.AddrPort
 	number  uint32
@@ -73,8 +72,8 @@
 	heard   map[loadshare.Mark]map[reporter]told
 }
 
-// NewExchange makes the part of a daemon that others know by an address of the fourth
-// version. number is where its reports begin; it must exceed those of its earlier runs.
+// NewExchange returns an exchange for the daemon with the given IPv4 address. number is the initial
+// report number, which must exceed those of the daemon's earlier runs.
 func NewExchange(self netip.AddrPort, number uint32) *Exchange {
 	return &Exchange{
 		self: self, number: number, meter: NewMeter(),
@@ -82,13 +81,13 @@
 	}
 }
 
-// Note takes in that an answer of a target took so many times as long to begin as is usual
-// for its route.
+// Note records the latency ratio of an answer: its time to first byte over the usual one of its
+// route.
 func (e *Exchange) Note(now time.Time, target loadshare.Mark, times float64) {
 	e.meter.Note(now, target, times)
 }
 
-// Tick drops what has faded, and renews this daemon's report if it is time for that.
+// Tick drops expired reports and observations and renews this daemon's report, every ReportInterval.
 func (e *Exchange) Tick(now time.Time) {
 	if now.Before(e.nextOwn) {
 		return
@@ -111,7 +110,7 @@
 	}
 }
 
-// ownEntries returns the targets of which most was seen since they were told.
+// ownEntries returns the targets with the most observations since they were last reported.
 func (e *Exchange) ownEntries(now time.Time) []entry {
 	var news []loadshare.Mark
 	e.meter.seen(now, func(target loadshare.Mark, held *observed) {
@@ -131,7 +130,7 @@
 	return entries
 }
 
-// take keeps a report that is newer than the one that is held of the same daemon.
+// take stores a report if it is newer than the stored one of the same daemon.
 func (e *Exchange) take(now time.Time, from netip.AddrPort, heard *report) {
 	held := e.reports[from]
 	isNews := held == nil && len(e.reports) < mostReports || held != nil && heard.number > held.number
@@ -159,7 +158,7 @@
 	reporters[from] = told{at: at.UnixNano(), times: float32(entry.times), weight: float32(min(entry.weight, mostWeight))}
 }
 
-// faintest is the reporter whose word counts least.
+// faintest returns the reporter with the lowest weight.
 func faintest(now time.Time, reporters map[reporter]told) reporter {
 	return slices.MinFunc(slices.Collect(maps.Keys(reporters)), func(a, b reporter) int {
 		return cmp.Or(cmp.Compare(reporters[a].weightAt(now), reporters[b].weightAt(now)), cmp.Compare(a, b))
--- a/internal/targetspeed/meter.go
+++ b/internal/targetspeed/meter.go
@@ -1,10 +1,10 @@
-// Package targetspeed estimates how fast targets work compared with the others of their
-// service, from how long their answers take to begin.
+// Package targetspeed estimates the speed of targets, relative to others of their service, from the
+// time to first byte of their answers.
 //
-// Each daemon sees few answers of each target, so that the daemons of a zone tell each
-// other what they saw (Exchange). An estimate is the weighted median of what they tell: no
-// single daemon decides. What is not seen again fades, and a target of which little is
-// known counts as being as fast as the others. The package does no I/O and holds no clock.
+// Each daemon sees few answers per target, so the daemons of a zone gossip their observations
+// (Exchange). An estimate is the weighted median over daemons, so that no single one dominates.
+// Observations decay, and an unknown target is assumed to have the usual speed. The package does no
+// I/O and has no clock.
 package targetspeed
 
 import (
@@ -15,25 +15,23 @@
 )
 
 const (
-	// memory is the time constant with which observations fade: a target that turned slow
-	// or recovered shows within as long.
+	// memory is the time constant of the decay of observations.
 	memory = 12 * time.Second
-	// mostTargets bounds the targets that are followed, and the memory for them.
+	// mostTargets is the maximum number of targets in memory.
 	mostTargets = 16384
-	// mostLog bounds one observation, as a logarithm: an answer counts as at most 4.5 times
-	// as long as usual, or as short. A lost packet or a caller that rests must not decide.
+	// mostLog limits the logarithm of one latency ratio, to a factor of 4.5, so that a lost packet
+	// or an idle client does not dominate.
 	mostLog = 1.5
-	// leastWeight is below what number of observations nothing is known any more.
+	// leastWeight is the weight below which observations are dropped.
 	leastWeight = 0.25
 )
 
-// observed is what was seen of one target: the logarithms of how many times as long as
-// usual its answers took, as a fading sum.
+// observed is the exponentially decayed sum of the logarithms of a target's latency ratios.
 type observed struct {
 	at     time.Time
 	weight float64
 	sum    float64
-	// untold is how many answers came since the target was told last.
+	// untold counts the answers since the target was last reported.
 	untold int
 }
 
@@ -44,16 +42,15 @@
 	o.at = now
 }
 
-// Meter keeps what one daemon sees. It is not safe for concurrent use.
+// Meter holds one daemon's own observations. It is not safe for concurrent use.
 type Meter struct {
 	targets map[loadshare.Mark]*observed
 }
 
-// NewMeter makes a meter that has seen nothing.
 func NewMeter() *Meter { return &Meter{targets: map[loadshare.Mark]*observed{}} }
 
-// Note takes in that an answer of a target took so many times as long to begin as is usual
-// for its route.
+// Note records the latency ratio of an answer: its time to first byte over the usual one of its
+// route.
 func (m *Meter) Note(now time.Time, target loadshare.Mark, times float64) {
 	if !(times > 0) {
 		return
@@ -72,7 +69,7 @@
 	held.untold++
 }
 
-// seen fades what was observed and calls for each target of which something is known.
+// seen applies the decay, drops targets without observations, and calls call for each other target.
 func (m *Meter) seen(now time.Time, call func(target loadshare.Mark, held *observed)) {
 	for target, held := range m.targets {
 		held.fade(now)
--- a/internal/targetspeed/targetspeed_test.go
+++ b/internal/targetspeed/targetspeed_test.go
@@ -20,14 +20,14 @@
 	return netip.MustParseAddrPort(fmt.Sprintf("192.0.2.%d:7000", number))
 }
 
-// note lets a daemon see answers of one target.
+// note records answers of one target.
 func note(exchange *Exchange, now time.Time, target loadshare.Mark, count int, times float64) {
 	for range count {
 		exchange.Note(now, target, times)
 	}
 }
 
-// tell lets daemons of a zone, one for each number given, see answers and tell the first.
+// tell returns an exchange that has received a report from one daemon per given latency ratio.
 func tell(t *testing.T, now time.Time, times ...float64) *Exchange {
 	t.Helper()
 	first := NewExchange(daemonAt(1), 0)
@@ -50,15 +50,15 @@
 }
 
 func TestEstimates(t *testing.T) {
-	t.Run("a target whose answers take twice as long is nearly half as fast", func(t *testing.T) {
+	t.Run("doubled latency gives nearly half the speed", func(t *testing.T) {
 		assertNear(t, speedOf(tell(t, testNow, 2, 2, 2, 2), testNow, slowTarget), 0.55)
 	})
-	t.Run("few answers say little", func(t *testing.T) {
+	t.Run("few answers have little effect", func(t *testing.T) {
 		exchange := NewExchange(daemonAt(1), 0)
 		note(exchange, testNow, slowTarget, 1, 4)
 		assert.Assert(t, speedOf(exchange, testNow, slowTarget) > 0.75)
 	})
-	t.Run("what is not seen again fades, and is forgotten", func(t *testing.T) {
+	t.Run("observations decay and are dropped", func(t *testing.T) {
 		exchange := tell(t, testNow, 4, 4, 4)
 		note(exchange, testNow, slowTarget, 20, 4)
 		later := speedOf(exchange, testNow.Add(4*memory), slowTarget)
@@ -66,7 +66,7 @@
 		exchange.Tick(testNow.Add(6 * memory))
 		assert.Equal(t, len(exchange.Estimates(testNow.Add(6*memory))), 0)
 	})
-	t.Run("a target that recovered is known to within two memories", func(t *testing.T) {
+	t.Run("a recovery shows within two decay time constants", func(t *testing.T) {
 		exchange := NewExchange(daemonAt(1), 0)
 		note(exchange, testNow, slowTarget, 50, 4)
 		for second := range int(2 * memory / time.Second) {
@@ -74,13 +74,13 @@
 		}
 		assert.Assert(t, speedOf(exchange, testNow.Add(2*memory), slowTarget) > 0.8)
 	})
-	t.Run("one answer that took for ever counts as a bounded one", func(t *testing.T) {
+	t.Run("the effect of a single answer is bounded", func(t *testing.T) {
 		exchange := NewExchange(daemonAt(1), 0)
 		note(exchange, testNow, usualTarget, 20, 1)
 		note(exchange, testNow, usualTarget, 1, 1e12)
 		assert.Assert(t, speedOf(exchange, testNow, usualTarget) > 0.9)
 	})
-	t.Run("what is no number of times is no answer", func(t *testing.T) {
+	t.Run("invalid ratios are ignored", func(t *testing.T) {
 		exchange := NewExchange(daemonAt(1), 0)
 		for _, times := range []float64{0, -1, math.NaN()} {
 			note(exchange, testNow, usualTarget, 20, times)
@@ -89,20 +89,20 @@
 	})
 }
 
-// TestALiarDecidesNothing whatever it says and however often it says that it looked.
+// A single daemon must not dominate the estimate, whatever ratio and weight it reports.
 func TestALiarDecidesNothing(t *testing.T) {
 	for _, lie := range []float64{0.2, 5} {
 		assertNear(t, speedOf(tell(t, testNow, 1, 1, lie), testNow, slowTarget), 1)
 		assert.Equal(t, estimateOf([]opinion{{0, 3}, {0, 3}, {math.Log(lie), mostWeight}}).Speed, 1.0)
 	}
-	t.Run("nor does one of two with more than half", func(t *testing.T) {
+	t.Run("one of two daemons has at most half of the weight", func(t *testing.T) {
 		held := []opinion{{0, 4}, {math.Log(4), mostWeight}}
 		assert.Assert(t, estimateOf(held).Speed > 0.5)
 	})
 }
 
 func TestReports(t *testing.T) {
-	t.Run("are passed on, and not taken twice", func(t *testing.T) {
+	t.Run("are forwarded, and duplicates ignored", func(t *testing.T) {
 		first := tell(t, testNow, 2)
 		second := NewExchange(daemonAt(9), 0)
 		message := first.Message(testNow)
@@ -111,7 +111,7 @@
 		}
 		assert.Equal(t, second.Estimates(testNow)[slowTarget].Observations, 20.0)
 	})
-	t.Run("replace older ones of the same daemon, and no newer ones", func(t *testing.T) {
+	t.Run("replace only older ones of the same daemon", func(t *testing.T) {
 		other, first := NewExchange(daemonAt(2), 0), NewExchange(daemonAt(1), 0)
 		note(other, testNow, slowTarget, 20, 2)
 		other.Tick(testNow)
@@ -123,7 +123,7 @@
 		assert.Equal(t, first.Hear(later, old), 0)
 		assert.Assert(t, speedOf(first, later, slowTarget) > 0.9)
 	})
-	t.Run("tell first of what was seen most, and of the rest with the next", func(t *testing.T) {
+	t.Run("cover the targets with the most observations first", func(t *testing.T) {
 		other, first := NewExchange(daemonAt(2), 0), NewExchange(daemonAt(1), 0)
 		for target := range loadshare.Mark(mostEntries + 5) {
 			note(other, testNow, target, 1+int(target), 1)
@@ -137,11 +137,11 @@
 			assert.Equal(t, len(first.Estimates(now)), known)
 		}
 	})
-	t.Run("are dropped when they are old", func(t *testing.T) {
+	t.Run("expire", func(t *testing.T) {
 		first := tell(t, testNow, 2)
 		assert.Equal(t, len(first.Message(testNow.Add(passedOnFor))), 0)
 	})
-	t.Run("stand behind those on open flows, which a daemon that knows only these reads", func(t *testing.T) {
+	t.Run("do not prevent older daemons from reading open-flow reports", func(t *testing.T) {
 		loads, heard := loadshare.New(daemonAt(1), 0), loadshare.New(daemonAt(2), 0)
 		loads.Tick(testNow, func() map[uint32]int { return map[uint32]int{0x70000: 3} })
 		speeds := tell(t, testNow, 2).Message(testNow)
@@ -151,7 +151,7 @@
 	})
 }
 
-// TestMemoryIsBounded by reporters and targets, whatever is heard.
+// Memory must be bounded in the number of reporters and reports, whatever is received.
 func TestMemoryIsBounded(t *testing.T) {
 	exchange := NewExchange(daemonAt(1), 0)
 	for number := range 3 * mostReports {
