--- a/internal/targetspeed/codec.go
+++ b/internal/targetspeed/codec.go
@@ -19,11 +19,11 @@
 	headBytes  = loadshare.HeadBytes + 2
 	entryBytes = 4
 	logUnit    = 1.0 / 64
-	// mostEntries is the maximum number of targets per report, so that it fits into MaximumBytes.
-	mostEntries = 20
+	// maxEntries is the maximum number of targets per report, so that it fits into MaximumBytes.
+	maxEntries = 20
 	// MaximumBytes is the maximum size of the speed reports in a message, a third of the maximum
 	// size of a message within the zone (loadshare.MaximumBytes).
-	MaximumBytes = headBytes + entryBytes*mostEntries
+	MaximumBytes = headBytes + entryBytes*maxEntries
 )
 
 // Message returns reports to send or forward: the least often sent ones first, and of those the
@@ -32,27 +32,27 @@
 	addresses := loadshare.InTurn(e.reports, loadshare.MostHeads, func(r *report) loadshare.Turn { return loadshare.Turn{Sent: r.sent, At: r.at} })
 	var message []byte
 	for _, address := range addresses {
-		held := e.reports[address]
-		if now.Sub(held.at) >= passedOnFor {
+		stored := e.reports[address]
+		if now.Sub(stored.at) >= forwardTTL {
 			continue
 		}
-		if len(message)+headBytes+entryBytes*len(held.entries) > MaximumBytes {
+		if len(message)+headBytes+entryBytes*len(stored.entries) > MaximumBytes {
 			break
 		}
-		held.sent++
-		message = held.append(now, message, address)
+		stored.sent++
+		message = stored.append(now, message, address)
 	}
 	return message
 }
 
-func (r *report) append(now time.Time, to []byte, address netip.AddrPort) []byte {
-	to = loadshare.Head{From: address, Number: r.number, At: r.at}.Append(now, to)
-	to = append(to, loadshare.OtherKind, byte(len(r.entries)))
+func (r *report) append(now time.Time, buf []byte, address netip.AddrPort) []byte {
+	buf = loadshare.Head{From: address, Number: r.number, At: r.at}.Append(now, buf)
+	buf = append(buf, loadshare.OtherKind, byte(len(r.entries)))
 	for _, entry := range r.entries {
-		to = binary.BigEndian.AppendUint16(to, uint16(entry.target))
-		to = append(to, byte(int8(math.Round(entry.times/logUnit))), byte(math.Ceil(entry.weight)))
+		buf = binary.BigEndian.AppendUint16(buf, uint16(entry.target))
+		buf = append(buf, byte(int8(math.Round(entry.logRatio/logUnit))), byte(math.Ceil(entry.weight)))
 	}
-	return to
+	return buf
 }
 
 // Hear handles a message and returns the number of bytes at its end that could not be decoded.
@@ -60,11 +60,11 @@
 	for len(message) >= headBytes && message[headBytes-2] == loadshare.OtherKind {
 		count := int(message[headBytes-1])
 		length := headBytes + entryBytes*count
-		if count > mostEntries || len(message) < length {
+		if count > maxEntries || len(message) < length {
 			break
 		}
-		from, heard := decode(now, message[:length])
-		e.take(now, from, heard)
+		from, received := decode(now, message[:length])
+		e.store(now, from, received)
 		message = message[length:]
 	}
 	return len(message)
@@ -72,13 +72,13 @@
 
 func decode(now time.Time, encoded []byte) (netip.AddrPort, *report) {
 	head := loadshare.DecodeHead(now, encoded)
-	heard := &report{number: head.Number, at: head.At}
+	received := &report{number: head.Number, at: head.At}
 	for rest := encoded[headBytes:]; len(rest) > 0; rest = rest[entryBytes:] {
-		heard.entries = append(heard.entries, entry{
-			target: loadshare.Mark(binary.BigEndian.Uint16(rest)),
-			times:  float64(int8(rest[2])) * logUnit,
-			weight: float64(rest[3]),
+		received.entries = append(received.entries, entry{
+			target:   loadshare.Mark(binary.BigEndian.Uint16(rest)),
+			logRatio: float64(int8(rest[2])) * logUnit,
+			weight:   float64(rest[3]),
 		})
 	}
-	return head.From, heard
+	return head.From, received
 }
--- a/internal/targetspeed/estimate.go
+++ b/internal/targetspeed/estimate.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// doubt is the weight, in observations, of the prior that a target has the usual speed.
-	doubt = 8
-	// spread is the approximate standard deviation of the logarithms of a target's single
+	// priorWeight is the weight, in observations, of the prior that a target has the usual speed.
+	priorWeight = 8
+	// logRatioDeviation is the approximate standard deviation of the logarithms of a target's single
 	// latencies. A deviation below the resulting standard error is treated as noise, so that equal
 	// targets get equal shares.
-	spread           = 0.5
-	Slowest, Fastest = 0.2, 3
+	logRatioDeviation = 0.5
+	Slowest, Fastest  = 0.2, 3
 )
 
 // Estimate is a target's estimated speed.
@@ -27,70 +27,70 @@
 	Observations float64
 }
 
-// opinion is one daemon's weighted estimate: the logarithm of the latency ratio.
-type opinion struct{ times, weight float64 }
+// observation is one daemon's weighted estimate: the logarithm of the latency ratio.
+type observation struct{ logRatio, weight float64 }
 
 // Estimates returns the estimates of all targets with observations.
 func (e *Exchange) Estimates(now time.Time) map[loadshare.Mark]Estimate {
-	opinions := map[loadshare.Mark][]opinion{}
-	e.meter.seen(now, func(target loadshare.Mark, held *observed) {
-		opinions[target] = append(opinions[target], opinion{held.sum / held.weight, min(held.weight, mostWeight)})
+	observations := map[loadshare.Mark][]observation{}
+	e.meter.forEach(now, func(target loadshare.Mark, observed *decayedSum) {
+		observations[target] = append(observations[target], observation{observed.sum / observed.weight, min(observed.weight, maxWeight)})
 	})
-	for target, reporters := range e.heard {
-		for _, told := range reporters {
-			if weight := told.weightAt(now); weight >= leastWeight {
-				opinions[target] = append(opinions[target], opinion{float64(told.times), weight})
+	for target, reporters := range e.received {
+		for _, stored := range reporters {
+			if weight := stored.weightAt(now); weight >= minWeight {
+				observations[target] = append(observations[target], observation{float64(stored.logRatio), weight})
 			}
 		}
 	}
-	estimates := make(map[loadshare.Mark]Estimate, len(opinions))
-	for target, of := range opinions {
-		estimates[target] = estimateOf(of)
+	estimates := make(map[loadshare.Mark]Estimate, len(observations))
+	for target, reported := range observations {
+		estimates[target] = estimateOf(reported)
 	}
 	return estimates
 }
 
-func estimateOf(opinions []opinion) Estimate {
-	total := bound(opinions)
-	log := -median(opinions, total) * total / (total + doubt)
-	noise := spread / math.Sqrt(total)
+func estimateOf(observations []observation) Estimate {
+	total := capWeights(observations)
+	log := -median(observations, total) * total / (total + priorWeight)
+	noise := logRatioDeviation / math.Sqrt(total)
 	log = math.Copysign(max(0, math.Abs(log)-noise), log)
 	return Estimate{Speed: min(max(math.Exp(log), Slowest), Fastest), Observations: total}
 }
 
-// bound limits the highest weight to the second highest, so that no daemon has more than half of the
+// capWeights limits the highest weight to the second highest, so that no daemon has more than half of the
 // total, and returns the total.
-func bound(opinions []opinion) (total float64) {
+func capWeights(observations []observation) (total float64) {
 	var first, second float64
-	for _, opinion := range opinions {
-		if opinion.weight > first {
-			first, second = opinion.weight, first
+	for _, observation := range observations {
+		if observation.weight > first {
+			first, second = observation.weight, first
 		} else {
-			second = max(second, opinion.weight)
+			second = max(second, observation.weight)
 		}
 	}
-	for index := range opinions {
-		if len(opinions) > 1 {
-			opinions[index].weight = min(opinions[index].weight, second)
+	for index := range observations {
+		if len(observations) > 1 {
+			observations[index].weight = min(observations[index].weight, second)
 		}
-		total += opinions[index].weight
+		total += observations[index].weight
 	}
 	return total
 }
 
 // median returns the weighted median.
-func median(opinions []opinion, total float64) float64 {
-	slices.SortFunc(opinions, func(a, b opinion) int {
-		return cmp.Or(cmp.Compare(a.times, b.times), cmp.Compare(a.weight, b.weight))
+func median(observations []observation, total float64) float64 {
+	slices.SortFunc(observations, func(a, b observation) int {
+		return cmp.Or(cmp.Compare(a.logRatio, b.logRatio), cmp.Compare(a.weight, b.weight))
 	})
 	below := 0.0
-	for index, opinion := range opinions {
-		below += opinion.weight
-		if below == total/2 && index+1 < len(opinions) {
-			return (opinion.times + opinions[index+1].times) / 2
+	for index, observation := range observations {
+		below += observation.weight
+		if below == total/2 && index+1 < len(observations) {
+			return (observation.logRatio + observations[index+1].logRatio) / 2
 		}
 		if below >= total/2 {
-			return opinion.times
+			return observation.logRatio
 		}
 	}
 	return 0
--- a/internal/targetspeed/exchange.go
+++ b/internal/targetspeed/exchange.go
@@ -15,23 +15,23 @@
 const (
 	// ReportInterval is how often a daemon reports its observations.
 	ReportInterval = 3 * time.Second
-	// passedOnFor is how long a report is forwarded. Its observations stay valid longer, decaying.
-	passedOnFor = 5 * time.Second
-	// mostReporters is the maximum number of reporters stored per target, mostReports the maximum
+	// forwardTTL is how long a report is forwarded. Its observations stay valid longer, decaying.
+	forwardTTL = 5 * time.Second
+	// maxReporters is the maximum number of reporters stored per target, maxReports the maximum
 	// number of reports kept for forwarding.
-	mostReporters = 64
-	mostReports   = 256
-	// mostWeight is the maximum number of observations counted per daemon, so that a daemon that
+	maxReporters = 64
+	maxReports   = 256
+	// maxWeight is the maximum number of observations counted per daemon, so that a daemon that
 	// claims many does not dominate.
-	mostWeight = 24
+	maxWeight = 24
 )
 
 // entry is one daemon's report on one target.
 type entry struct {
 	target loadshare.Mark
-	// times is the mean logarithm of the latency ratio (time to first byte over the usual one).
-	times  float64
-	weight float64
+	// logRatio is the mean logarithm of the latency ratio (time to first byte over the usual one).
+	logRatio float64
+	weight   float64
 }
 
 // report is one daemon's latest report.
@@ -43,33 +43,33 @@
 	sent int
 }
 
-// reporter is a daemon's IPv4 address and port packed into six bytes, to save memory.
-type reporter uint64
+// reporterID is a daemon's IPv4 address and port packed into six bytes, to save memory.
+type reporterID uint64
 
-func reporterOf(address netip.AddrPort) reporter {
+func reporterIDOf(address netip.AddrPort) reporterID {
 	host := address.Addr().As4()
-	return reporter(binary.BigEndian.Uint32(host[:]))<<16 | reporter(address.Port())
+	return reporterID(binary.BigEndian.Uint32(host[:]))<<16 | reporterID(address.Port())
 }
 
-// told is the latest observation of a target from one reporter.
-type told struct {
-	at            int64 // Unix nanoseconds
-	times, weight float32
+// storedObservation is the latest observation of a target from one reporter.
+type storedObservation struct {
+	at               int64 // Unix nanoseconds
+	logRatio, weight float32
 }
 
-func (t told) weightAt(now time.Time) float64 {
+func (t storedObservation) weightAt(now time.Time) float64 {
 	age := time.Duration(now.UnixNano() - t.at)
-	return float64(t.weight) * math.Exp(-max(0, age.Seconds())/memory.Seconds())
+	return float64(t.weight) * math.Exp(-max(0, age.Seconds())/decayTime.Seconds())
 }
 
 // Exchange is one daemon's part of the exchange of observations. It is not safe for concurrent use.
 type Exchange struct {
-	self    netip.AddrPort
-	number  uint32
-	nextOwn time.Time
-	meter   *Meter
-	reports map[netip.AddrPort]*report
-	heard   map[loadshare.Mark]map[reporter]told
+	self       netip.AddrPort
+	number     uint32
+	nextReport time.Time
+	meter      *Meter
+	reports    map[netip.AddrPort]*report
+	received   map[loadshare.Mark]map[reporterID]storedObservation
 }
 
 // NewExchange returns an exchange for the daemon with the given IPv4 address. number is the initial
@@ -77,90 +77,90 @@
 func NewExchange(self netip.AddrPort, number uint32) *Exchange {
 	return &Exchange{
 		self: self, number: number, meter: NewMeter(),
-		reports: map[netip.AddrPort]*report{}, heard: map[loadshare.Mark]map[reporter]told{},
+		reports: map[netip.AddrPort]*report{}, received: map[loadshare.Mark]map[reporterID]storedObservation{},
 	}
 }
 
 // Note records the latency ratio of an answer: its time to first byte over the usual one of its
 // route.
-func (e *Exchange) Note(now time.Time, target loadshare.Mark, times float64) {
-	e.meter.Note(now, target, times)
+func (e *Exchange) Note(now time.Time, target loadshare.Mark, ratio float64) {
+	e.meter.Note(now, target, ratio)
 }
 
 // Tick drops expired reports and observations and renews this daemon's report, every ReportInterval.
 func (e *Exchange) Tick(now time.Time) {
-	if now.Before(e.nextOwn) {
+	if now.Before(e.nextReport) {
 		return
 	}
-	e.nextOwn = now.Add(ReportInterval)
-	maps.DeleteFunc(e.reports, func(_ netip.AddrPort, held *report) bool { return now.Sub(held.at) >= passedOnFor })
-	e.forget(now)
+	e.nextReport = now.Add(ReportInterval)
+	maps.DeleteFunc(e.reports, func(_ netip.AddrPort, stored *report) bool { return now.Sub(stored.at) >= forwardTTL })
+	e.dropDecayed(now)
 	e.number++
 	if entries := e.ownEntries(now); len(entries) > 0 {
 		e.reports[e.self] = &report{number: e.number, at: now, entries: entries}
 	}
 }
 
-func (e *Exchange) forget(now time.Time) {
-	for target, reporters := range e.heard {
-		maps.DeleteFunc(reporters, func(_ reporter, held told) bool { return held.weightAt(now) < leastWeight })
+func (e *Exchange) dropDecayed(now time.Time) {
+	for target, reporters := range e.received {
+		maps.DeleteFunc(reporters, func(_ reporterID, stored storedObservation) bool { return stored.weightAt(now) < minWeight })
 		if len(reporters) == 0 {
-			delete(e.heard, target)
+			delete(e.received, target)
 		}
 	}
 }
 
 // ownEntries returns the targets with the most observations since they were last reported.
 func (e *Exchange) ownEntries(now time.Time) []entry {
-	var news []loadshare.Mark
-	e.meter.seen(now, func(target loadshare.Mark, held *observed) {
-		if held.untold > 0 {
-			news = append(news, target)
+	var pending []loadshare.Mark
+	e.meter.forEach(now, func(target loadshare.Mark, observed *decayedSum) {
+		if observed.unreported > 0 {
+			pending = append(pending, target)
 		}
 	})
-	slices.SortFunc(news, func(a, b loadshare.Mark) int {
-		return cmp.Or(cmp.Compare(e.meter.targets[b].untold, e.meter.targets[a].untold), cmp.Compare(a, b))
+	slices.SortFunc(pending, func(a, b loadshare.Mark) int {
+		return cmp.Or(cmp.Compare(e.meter.targets[b].unreported, e.meter.targets[a].unreported), cmp.Compare(a, b))
 	})
-	entries := make([]entry, 0, mostEntries)
-	for _, target := range news[:min(len(news), mostEntries)] {
-		held := e.meter.targets[target]
-		held.untold = 0
-		entries = append(entries, entry{target: target, times: held.sum / held.weight, weight: min(held.weight, mostWeight)})
+	entries := make([]entry, 0, maxEntries)
+	for _, target := range pending[:min(len(pending), maxEntries)] {
+		observed := e.meter.targets[target]
+		observed.unreported = 0
+		entries = append(entries, entry{target: target, logRatio: observed.sum / observed.weight, weight: min(observed.weight, maxWeight)})
 	}
 	return entries
 }
 
-// take stores a report if it is newer than the stored one of the same daemon.
-func (e *Exchange) take(now time.Time, from netip.AddrPort, heard *report) {
-	held := e.reports[from]
-	isNews := held == nil && len(e.reports) < mostReports || held != nil && heard.number > held.number
-	if from == e.self || !isNews || now.Sub(heard.at) >= passedOnFor {
+// store stores a report if it is newer than the stored one of the same daemon.
+func (e *Exchange) store(now time.Time, from netip.AddrPort, received *report) {
+	stored := e.reports[from]
+	isNewer := stored == nil && len(e.reports) < maxReports || stored != nil && received.number > stored.number
+	if from == e.self || !isNewer || now.Sub(received.at) >= forwardTTL {
 		return
 	}
-	e.reports[from] = heard
-	for _, entry := range heard.entries {
-		e.hear(now, reporterOf(from), heard.at, entry)
+	e.reports[from] = received
+	for _, entry := range received.entries {
+		e.storeEntry(now, reporterIDOf(from), received.at, entry)
 	}
 }
 
-func (e *Exchange) hear(now time.Time, from reporter, at time.Time, entry entry) {
-	reporters := e.heard[entry.target]
+func (e *Exchange) storeEntry(now time.Time, from reporterID, at time.Time, entry entry) {
+	reporters := e.received[entry.target]
 	if reporters == nil {
-		if len(e.heard) >= mostTargets {
+		if len(e.received) >= maxTargets {
 			return
 		}
-		reporters = map[reporter]told{}
-		e.heard[entry.target] = reporters
+		reporters = map[reporterID]storedObservation{}
+		e.received[entry.target] = reporters
 	}
-	if _, isKnown := reporters[from]; !isKnown && len(reporters) >= mostReporters {
-		delete(reporters, faintest(now, reporters))
+	if _, isKnown := reporters[from]; !isKnown && len(reporters) >= maxReporters {
+		delete(reporters, lowestWeight(now, reporters))
 	}
-	reporters[from] = told{at: at.UnixNano(), times: float32(entry.times), weight: float32(min(entry.weight, mostWeight))}
+	reporters[from] = storedObservation{at: at.UnixNano(), logRatio: float32(entry.logRatio), weight: float32(min(entry.weight, maxWeight))}
 }
 
-// faintest returns the reporter with the lowest weight.
-func faintest(now time.Time, reporters map[reporter]told) reporter {
-	return slices.MinFunc(slices.Collect(maps.Keys(reporters)), func(a, b reporter) int {
+// lowestWeight returns the reporter with the lowest weight.
+func lowestWeight(now time.Time, reporters map[reporterID]storedObservation) reporterID {
+	return slices.MinFunc(slices.Collect(maps.Keys(reporters)), func(a, b reporterID) int {
 		return cmp.Or(cmp.Compare(reporters[a].weightAt(now), reporters[b].weightAt(now)), cmp.Compare(a, b))
 	})
 }
--- a/internal/targetspeed/meter.go
+++ b/internal/targetspeed/meter.go
@@ -15,28 +15,28 @@
 )
 
 const (
-	// memory is the time constant of the decay of observations.
-	memory = 12 * time.Second
-	// mostTargets is the maximum number of targets in memory.
-	mostTargets = 16384
-	// mostLog limits the logarithm of one latency ratio, to a factor of 4.5, so that a lost packet
+	// decayTime is the time constant of the decay of observations.
+	decayTime = 12 * time.Second
+	// maxTargets is the maximum number of targets in memory.
+	maxTargets = 16384
+	// maxLogRatio limits the logarithm of one latency ratio, to a factor of 4.5, so that a lost packet
 	// or an idle client does not dominate.
-	mostLog = 1.5
-	// leastWeight is the weight below which observations are dropped.
-	leastWeight = 0.25
+	maxLogRatio = 1.5
+	// minWeight is the weight below which observations are dropped.
+	minWeight = 0.25
 )
 
-// observed is the exponentially decayed sum of the logarithms of a target's latency ratios.
-type observed struct {
+// decayedSum is the exponentially decayed sum of the logarithms of a target's latency ratios.
+type decayedSum struct {
 	at     time.Time
 	weight float64
 	sum    float64
-	// untold counts the answers since the target was last reported.
-	untold int
+	// unreported counts the answers since the target was last reported.
+	unreported int
 }
 
-func (o *observed) fade(now time.Time) {
-	part := math.Exp(-max(0, now.Sub(o.at).Seconds()) / memory.Seconds())
+func (o *decayedSum) fade(now time.Time) {
+	part := math.Exp(-max(0, now.Sub(o.at).Seconds()) / decayTime.Seconds())
 	o.weight *= part
 	o.sum *= part
 	o.at = now
@@ -44,39 +44,39 @@
 
 // Meter holds one daemon's own observations. It is not safe for concurrent use.
 type Meter struct {
-	targets map[loadshare.Mark]*observed
+	targets map[loadshare.Mark]*decayedSum
 }
 
-func NewMeter() *Meter { return &Meter{targets: map[loadshare.Mark]*observed{}} }
+func NewMeter() *Meter { return &Meter{targets: map[loadshare.Mark]*decayedSum{}} }
 
 // Note records the latency ratio of an answer: its time to first byte over the usual one of its
 // route.
-func (m *Meter) Note(now time.Time, target loadshare.Mark, times float64) {
-	if !(times > 0) {
+func (m *Meter) Note(now time.Time, target loadshare.Mark, ratio float64) {
+	if !(ratio > 0) {
 		return
 	}
-	held := m.targets[target]
-	if held == nil {
-		if len(m.targets) >= mostTargets {
+	observed := m.targets[target]
+	if observed == nil {
+		if len(m.targets) >= maxTargets {
 			return
 		}
-		held = &observed{at: now}
-		m.targets[target] = held
+		observed = &decayedSum{at: now}
+		m.targets[target] = observed
 	}
-	held.fade(now)
-	held.weight++
-	held.sum += min(max(math.Log(times), -mostLog), mostLog)
-	held.untold++
+	observed.fade(now)
+	observed.weight++
+	observed.sum += min(max(math.Log(ratio), -maxLogRatio), maxLogRatio)
+	observed.unreported++
 }
 
-// seen applies the decay, drops targets without observations, and calls call for each other target.
-func (m *Meter) seen(now time.Time, call func(target loadshare.Mark, held *observed)) {
-	for target, held := range m.targets {
-		held.fade(now)
-		if held.weight < leastWeight {
+// forEach applies the decay, drops targets without observations, and calls visit for each other target.
+func (m *Meter) forEach(now time.Time, visit func(target loadshare.Mark, observed *decayedSum)) {
+	for target, observed := range m.targets {
+		observed.fade(now)
+		if observed.weight < minWeight {
 			delete(m.targets, target)
 			continue
 		}
-		call(target, held)
+		visit(target, observed)
 	}
 }
--- a/internal/targetspeed/targetspeed_test.go
+++ b/internal/targetspeed/targetspeed_test.go
@@ -21,19 +21,19 @@
 }
 
 // note records answers of one target.
-func note(exchange *Exchange, now time.Time, target loadshare.Mark, count int, times float64) {
+func note(exchange *Exchange, now time.Time, target loadshare.Mark, count int, ratio float64) {
 	for range count {
-		exchange.Note(now, target, times)
+		exchange.Note(now, target, ratio)
 	}
 }
 
-// tell returns an exchange that has received a report from one daemon per given latency ratio.
-func tell(t *testing.T, now time.Time, times ...float64) *Exchange {
+// receiveReports returns an exchange that has received a report from one daemon per given latency ratio.
+func receiveReports(t *testing.T, now time.Time, ratios ...float64) *Exchange {
 	t.Helper()
 	first := NewExchange(daemonAt(1), 0)
-	for index, of := range times {
+	for index, ratio := range ratios {
 		other := NewExchange(daemonAt(2+index), 0)
-		note(other, now, slowTarget, 20, of)
+		note(other, now, slowTarget, 20, ratio)
 		other.Tick(now)
 		assert.Equal(t, first.Hear(now, other.Message(now)), 0)
 	}
@@ -44,14 +44,14 @@
 	return exchange.Estimates(now)[target].Speed
 }
 
-func assertNear(t *testing.T, found, wanted float64) {
+func assertNear(t *testing.T, got, want float64) {
 	t.Helper()
-	assert.Assert(t, math.Abs(found-wanted) < 0.05, "%.3f instead of %.2f", found, wanted)
+	assert.Assert(t, math.Abs(got-want) < 0.05, "%.3f instead of %.2f", got, want)
 }
 
 func TestEstimates(t *testing.T) {
 	t.Run("doubled latency gives nearly half the speed", func(t *testing.T) {
-		assertNear(t, speedOf(tell(t, testNow, 2, 2, 2, 2), testNow, slowTarget), 0.55)
+		assertNear(t, speedOf(receiveReports(t, testNow, 2, 2, 2, 2), testNow, slowTarget), 0.55)
 	})
 	t.Run("few answers have little effect", func(t *testing.T) {
 		exchange := NewExchange(daemonAt(1), 0)
@@ -59,20 +59,20 @@
 		assert.Assert(t, speedOf(exchange, testNow, slowTarget) > 0.75)
 	})
 	t.Run("observations decay and are dropped", func(t *testing.T) {
-		exchange := tell(t, testNow, 4, 4, 4)
+		exchange := receiveReports(t, testNow, 4, 4, 4)
 		note(exchange, testNow, slowTarget, 20, 4)
-		later := speedOf(exchange, testNow.Add(4*memory), slowTarget)
+		later := speedOf(exchange, testNow.Add(4*decayTime), slowTarget)
 		assert.Assert(t, later > 0.7, "%.2f", later)
-		exchange.Tick(testNow.Add(6 * memory))
-		assert.Equal(t, len(exchange.Estimates(testNow.Add(6*memory))), 0)
+		exchange.Tick(testNow.Add(6 * decayTime))
+		assert.Equal(t, len(exchange.Estimates(testNow.Add(6*decayTime))), 0)
 	})
 	t.Run("a recovery shows within two decay time constants", func(t *testing.T) {
 		exchange := NewExchange(daemonAt(1), 0)
 		note(exchange, testNow, slowTarget, 50, 4)
-		for second := range int(2 * memory / time.Second) {
+		for second := range int(2 * decayTime / time.Second) {
 			note(exchange, testNow.Add(time.Duration(second)*time.Second), slowTarget, 4, 1)
 		}
-		assert.Assert(t, speedOf(exchange, testNow.Add(2*memory), slowTarget) > 0.8)
+		assert.Assert(t, speedOf(exchange, testNow.Add(2*decayTime), slowTarget) > 0.8)
 	})
 	t.Run("the effect of a single answer is bounded", func(t *testing.T) {
 		exchange := NewExchange(daemonAt(1), 0)
@@ -82,28 +82,28 @@
 	})
 	t.Run("invalid ratios are ignored", func(t *testing.T) {
 		exchange := NewExchange(daemonAt(1), 0)
-		for _, times := range []float64{0, -1, math.NaN()} {
-			note(exchange, testNow, usualTarget, 20, times)
+		for _, ratio := range []float64{0, -1, math.NaN()} {
+			note(exchange, testNow, usualTarget, 20, ratio)
 		}
 		assert.Equal(t, len(exchange.Estimates(testNow)), 0)
 	})
 }
 
 // A single daemon must not dominate the estimate, whatever ratio and weight it reports.
-func TestALiarDecidesNothing(t *testing.T) {
-	for _, lie := range []float64{0.2, 5} {
-		assertNear(t, speedOf(tell(t, testNow, 1, 1, lie), testNow, slowTarget), 1)
-		assert.Equal(t, estimateOf([]opinion{{0, 3}, {0, 3}, {math.Log(lie), mostWeight}}).Speed, 1.0)
+func TestSingleDaemonDoesNotDominate(t *testing.T) {
+	for _, ratio := range []float64{0.2, 5} {
+		assertNear(t, speedOf(receiveReports(t, testNow, 1, 1, ratio), testNow, slowTarget), 1)
+		assert.Equal(t, estimateOf([]observation{{0, 3}, {0, 3}, {math.Log(ratio), maxWeight}}).Speed, 1.0)
 	}
 	t.Run("one of two daemons has at most half of the weight", func(t *testing.T) {
-		held := []opinion{{0, 4}, {math.Log(4), mostWeight}}
-		assert.Assert(t, estimateOf(held).Speed > 0.5)
+		observations := []observation{{0, 4}, {math.Log(4), maxWeight}}
+		assert.Assert(t, estimateOf(observations).Speed > 0.5)
 	})
 }
 
 func TestReports(t *testing.T) {
 	t.Run("are forwarded, and duplicates ignored", func(t *testing.T) {
-		first := tell(t, testNow, 2)
+		first := receiveReports(t, testNow, 2)
 		second := NewExchange(daemonAt(9), 0)
 		message := first.Message(testNow)
 		for range 2 {
@@ -125,10 +125,10 @@
 	})
 	t.Run("cover the targets with the most observations first", func(t *testing.T) {
 		other, first := NewExchange(daemonAt(2), 0), NewExchange(daemonAt(1), 0)
-		for target := range loadshare.Mark(mostEntries + 5) {
+		for target := range loadshare.Mark(maxEntries + 5) {
 			note(other, testNow, target, 1+int(target), 1)
 		}
-		for round, known := range []int{mostEntries, mostEntries + 5} {
+		for round, known := range []int{maxEntries, maxEntries + 5} {
 			now := testNow.Add(time.Duration(round) * ReportInterval)
 			other.Tick(now)
 			message := other.Message(now)
@@ -138,15 +138,15 @@
 		}
 	})
 	t.Run("expire", func(t *testing.T) {
-		first := tell(t, testNow, 2)
-		assert.Equal(t, len(first.Message(testNow.Add(passedOnFor))), 0)
+		first := receiveReports(t, testNow, 2)
+		assert.Equal(t, len(first.Message(testNow.Add(forwardTTL))), 0)
 	})
 	t.Run("do not prevent older daemons from reading open-flow reports", func(t *testing.T) {
-		loads, heard := loadshare.New(daemonAt(1), 0), loadshare.New(daemonAt(2), 0)
+		loads, receiver := loadshare.New(daemonAt(1), 0), loadshare.New(daemonAt(2), 0)
 		loads.Tick(testNow, func() map[uint32]int { return map[uint32]int{0x70000: 3} })
-		speeds := tell(t, testNow, 2).Message(testNow)
-		assert.Equal(t, heard.Hear(testNow, append(loads.Message(testNow), speeds...)), len(speeds))
-		totals, _ := heard.Totals(testNow)
+		speeds := receiveReports(t, testNow, 2).Message(testNow)
+		assert.Equal(t, receiver.Hear(testNow, append(loads.Message(testNow), speeds...)), len(speeds))
+		totals, _ := receiver.Totals(testNow)
 		assert.DeepEqual(t, totals, map[loadshare.Mark]int{7: 3})
 	})
 }
@@ -154,12 +154,12 @@
 // Memory must be bounded in the number of reporters and reports, whatever is received.
 func TestMemoryIsBounded(t *testing.T) {
 	exchange := NewExchange(daemonAt(1), 0)
-	for number := range 3 * mostReports {
+	for number := range 3 * maxReports {
 		from := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(number >> 8), byte(number)}), 1)
-		exchange.take(testNow, from, &report{number: 1, at: testNow, entries: []entry{{target: slowTarget, weight: 9}}})
+		exchange.store(testNow, from, &report{number: 1, at: testNow, entries: []entry{{target: slowTarget, weight: 9}}})
 	}
-	assert.Equal(t, len(exchange.reports), mostReports)
-	assert.Equal(t, len(exchange.heard[slowTarget]), mostReporters)
+	assert.Equal(t, len(exchange.reports), maxReports)
+	assert.Equal(t, len(exchange.received[slowTarget]), maxReporters)
 }
 
 func FuzzHear(f *testing.F) {
@@ -169,11 +169,11 @@
 	f.Add(exchange.Message(testNow))
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, message []byte) {
-		heard := NewExchange(daemonAt(2), 0)
-		unread := heard.Hear(testNow, message)
+		receiver := NewExchange(daemonAt(2), 0)
+		unread := receiver.Hear(testNow, message)
 		assert.Assert(t, unread >= 0 && unread <= len(message))
-		assert.Assert(t, len(heard.Message(testNow)) <= MaximumBytes)
-		for _, estimate := range heard.Estimates(testNow) {
+		assert.Assert(t, len(receiver.Message(testNow)) <= MaximumBytes)
+		for _, estimate := range receiver.Estimates(testNow) {
 			assert.Assert(t, estimate.Speed >= Slowest && estimate.Speed <= Fastest)
 		}
 	})
