--- a/internal/coldshare/coldshare.go
+++ b/internal/coldshare/coldshare.go
@@ -1,12 +1,11 @@
-// Package coldshare divides what a cold target can take among daemons. While it is slow
-// from its start, all daemons together may give a target only so many new flows in any
-// second. A daemon sees no others' flows in time, so each must keep to a part of its own
-// such that the parts add up.
+// Package coldshare divides a target's slow-start rate limit among daemons. During slow start all
+// daemons together may give a target only a limited number of new flows per second. Daemons do not
+// learn of each other's flows in time, so each keeps to a share, and the shares add up to at most
+// the limit.
 //
-// Few daemons, chosen by the target, have a part, the others pass the target over until
-// it is warm. To give each daemon of a large fleet its even part does not work: the part
-// is less than one flow a second, and as many single flows as there are daemons may come
-// at once.
+// Only a few daemons per target, chosen by rendezvous hashing, have a share. An equal share for each
+// daemon of a large fleet does not work: it would be less than one flow per second, and many single
+// flows could arrive at once.
 package coldshare
 
 import (
@@ -16,16 +15,16 @@
 )
 
 const (
-	// usedPart is the part of the bound that is given out. Daemons that disagree on who
-	// lives, as the two sides of a partition do, may give it out twice.
+	// usedPart is the fraction of the limit that is allocated. Daemons that disagree on the
+	// membership, as in a partition, may allocate it twice.
 	usedPart = 0.5
-	// leastShare is the least part of a daemon, in flows a second. With smaller ones, more
-	// of them stay unused, as callers come unevenly.
+	// leastShare is the minimum share of a daemon in flows per second. More of smaller shares would
+	// stay unused, since clients are not spread evenly.
 	leastShare = 2
 )
 
-// Of returns how many new flows a second a daemon may give to a cold target, of which all
-// together may give it bound.
+// Of returns how many new flows per second a daemon may give to a target in slow start, if all
+// daemons together may give it at most bound.
 func Of(target uint64, bound float64, daemon netip.AddrPort, daemons []netip.AddrPort) int {
 	given := int(bound * usedPart)
 	if given < 1 {
--- a/internal/coldshare/coldshare_test.go
+++ b/internal/coldshare/coldshare_test.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	bound        = 20.0 // flows a second to one target
+	bound        = 20.0 // flows per second to one target
 	coldTargets  = 20
 	modelSeconds = 10
 )
@@ -42,7 +42,7 @@
 	assert.Equal(t, Of(1, 1.5, daemons(3)[0], daemons(3)), 0)
 }
 
-// way gives a daemon's part of a target's bound.
+// way computes a daemon's share of a target's limit.
 type way func(target uint64, daemon netip.AddrPort, known []netip.AddrPort) int
 
 func evenly(_ uint64, _ netip.AddrPort, known []netip.AddrPort) int {
@@ -60,9 +60,9 @@
 	return Of(target, bound, daemon, known)
 }
 
-// play lets flows come unevenly to daemons that each offer every flow to a random cold
-// target; a tenth of the daemons lacks a fifth of the members. It returns the seconds in
-// which a target got more than its bound, and what part of the bound was used.
+// play simulates an uneven load on daemons that offer each flow to targets in slow start, starting at
+// a random one. One in ten daemons misses a fifth of the members. It returns the number of seconds in
+// which a target exceeded its limit, over all targets, and the used fraction of the limits.
 func play(count int, share way, seed uint64) (broken int, used float64) {
 	random := rand.New(rand.NewPCG(seed, uint64(count)))
 	all := daemons(count)
@@ -76,7 +76,7 @@
 		for target := range uint64(coldTargets) {
 			shares[index] = append(shares[index], share(target, daemon, known))
 		}
-		demand[index] = 16 * math.Exp(random.NormFloat64()) // new flows a second
+		demand[index] = 16 * math.Exp(random.NormFloat64()) // new flows per second
 	}
 	taken := 0
 	for range modelSeconds {
@@ -85,7 +85,7 @@
 			left := slices.Clone(shares[index])
 			for flows := demand[index] * (0.5 + random.Float64()); flows > 0; flows-- {
 				target := random.IntN(coldTargets)
-				for step := range coldTargets { // the next one that it may use
+				for step := range coldTargets { // the next target with a share left
 					if place := (target + step) % coldTargets; left[place] > 0 {
 						left[place]--
 						got[place]++
@@ -104,18 +104,18 @@
 	return broken, float64(taken) / (bound * coldTargets * modelSeconds)
 }
 
-// TestWaysToKeepABoundTogether compares an even part for each daemon, one holder, and the
-// few that Of chooses.
+// Compares equal shares, a single holder and the few holders that Of chooses; with the latter no
+// target may exceed its limit.
 func TestWaysToKeepABoundTogether(t *testing.T) {
 	for _, count := range []int{8, 100, 350, 1400} {
 		evenBroken, evenUsed := play(count, evenly, 1)
 		oneBroken, oneUsed := play(count, oneHolder, 1)
 		broken, used := play(count, ours, 1)
-		t.Logf("%d daemons: evenly %d broken seconds, %.0f %% used; one holder %d, %.0f %%; few holders %d, %.0f %%",
+		t.Logf("%d daemons: equal shares exceed in %d seconds, use %.0f %%; one holder %d, %.0f %%; few holders %d, %.0f %%",
 			count, evenBroken, 100*evenUsed, oneBroken, 100*oneUsed, broken, 100*used)
 		assert.Equal(t, broken, 0)
 		if count > bound {
-			assert.Assert(t, evenBroken > 0, "the model finds no broken second, so this test shows nothing")
+			assert.Assert(t, evenBroken > 0, "the limit is never exceeded, so the simulation is too weak for this test")
 		}
 	}
 }
