--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous chooses daemons by rendezvous hashing: all that agree on who lives
-// choose the same ones, and one that comes or goes changes only the choices that it is part
-// of (Thaler, Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998).
+// Package rendezvous selects daemons by rendezvous hashing (Thaler, Ravishankar, "Using Name-Based
+// Mappings to Increase Hit Rates", 1998): all daemons with the same membership select the same ones,
+// and a membership change only affects selections that include the changed member.
 package rendezvous
 
 import (
@@ -12,10 +12,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// keyBytes is the length of what is hashed: a key, an address and a port.
+// keyBytes is the length of the hash input: a key, an IP address and a port.
 const keyBytes = 8 + 16 + 2
 
-// Rank is a daemon's rank for a key; the highest is chosen first.
+// Rank returns a daemon's score for a key; higher scores are selected first.
 func Rank(key uint64, daemon netip.AddrPort) uint64 {
 	var hashed [keyBytes]byte
 	binary.BigEndian.PutUint64(hashed[:8], key)
@@ -25,8 +25,8 @@
 	return xxhash.Sum64(hashed[:])
 }
 
-// First returns the first daemons for a key, at most count, in order. Each is hashed once, and
-// only the first are put in order: count is small.
+// First returns the count highest-scoring daemons for a key, in descending order. It sorts by
+// insertion, which suits a small count.
 func First(key uint64, daemons []netip.AddrPort, count int) []netip.AddrPort {
 	count = min(count, len(daemons))
 	first, ranks := make([]netip.AddrPort, 0, count+1), make([]uint64, 0, count+1)
@@ -42,7 +42,7 @@
 	return first
 }
 
-// IsAmongFirst reports whether a daemon is among the first for a key.
+// IsAmongFirst reports whether a daemon is among the count highest-scoring ones for a key.
 func IsAmongFirst(key uint64, daemon netip.AddrPort, daemons []netip.AddrPort, count int) bool {
 	own := Rank(key, daemon)
 	ahead := 0
