--- a/internal/statistics/imbalance.go
+++ b/internal/statistics/imbalance.go
@@ -1,19 +1,18 @@
-// Package statistics holds the measures that reports and models share.
+// Package statistics provides measures of load distribution for reports and simulations.
 package statistics
 
 import "math"
 
-// Imbalance says how unevenly something is spread over targets.
+// Imbalance measures how unevenly values are distributed.
 type Imbalance struct {
-	// MaximumToMean is the highest value over the mean; 1 is even. It is 0 where
-	// the mean is 0, so that there is nothing to spread.
+	// MaximumToMean is the maximum over the mean; 1 means even. It is 0 if the mean is.
 	MaximumToMean float64 `json:"max_to_mean"`
-	// Variation is the coefficient of variation, the standard deviation over the
-	// mean; 0 is even.
+	// Variation is the coefficient of variation, the standard deviation over the mean; 0 means
+	// even.
 	Variation float64 `json:"coefficient_of_variation"`
 }
 
-// ImbalanceOf returns the imbalance of values, and their mean.
+// ImbalanceOf returns the imbalance of values and their mean.
 func ImbalanceOf(values []float64) (Imbalance, float64) {
 	total, highest := 0.0, 0.0
 	for _, value := range values {
