--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -12,44 +12,44 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// keyBytes is the length of the hash input: a key, an IP address and a port.
-const keyBytes = 8 + 16 + 2
+// inputBytes is the length of the hash input: a key, an IP address and a port.
+const inputBytes = 8 + 16 + 2
 
 // Rank returns a daemon's score for a key; higher scores are selected first.
 func Rank(key uint64, daemon netip.AddrPort) uint64 {
-	var hashed [keyBytes]byte
-	binary.BigEndian.PutUint64(hashed[:8], key)
+	var input [inputBytes]byte
+	binary.BigEndian.PutUint64(input[:8], key)
 	address := daemon.Addr().As16()
-	copy(hashed[8:24], address[:])
-	binary.BigEndian.PutUint16(hashed[24:], daemon.Port())
-	return xxhash.Sum64(hashed[:])
+	copy(input[8:24], address[:])
+	binary.BigEndian.PutUint16(input[24:], daemon.Port())
+	return xxhash.Sum64(input[:])
 }
 
 // First returns the count highest-scoring daemons for a key, in descending order. It sorts by
 // insertion, which suits a small count.
 func First(key uint64, daemons []netip.AddrPort, count int) []netip.AddrPort {
 	count = min(count, len(daemons))
-	first, ranks := make([]netip.AddrPort, 0, count+1), make([]uint64, 0, count+1)
+	first, scores := make([]netip.AddrPort, 0, count+1), make([]uint64, 0, count+1)
 	for _, daemon := range daemons {
-		rank := Rank(key, daemon)
-		if len(first) == count && (count == 0 || rank <= ranks[count-1]) {
+		score := Rank(key, daemon)
+		if len(first) == count && (count == 0 || score <= scores[count-1]) {
 			continue
 		}
-		place, _ := slices.BinarySearchFunc(ranks, rank, func(held, wanted uint64) int { return cmp.Compare(wanted, held) })
-		first, ranks = slices.Insert(first, place, daemon), slices.Insert(ranks, place, rank)
-		first, ranks = first[:min(count, len(first))], ranks[:min(count, len(ranks))]
+		position, _ := slices.BinarySearchFunc(scores, score, func(stored, wanted uint64) int { return cmp.Compare(wanted, stored) })
+		first, scores = slices.Insert(first, position, daemon), slices.Insert(scores, position, score)
+		first, scores = first[:min(count, len(first))], scores[:min(count, len(scores))]
 	}
 	return first
 }
 
 // IsAmongFirst reports whether a daemon is among the count highest-scoring ones for a key.
 func IsAmongFirst(key uint64, daemon netip.AddrPort, daemons []netip.AddrPort, count int) bool {
-	own := Rank(key, daemon)
-	ahead := 0
+	ownScore := Rank(key, daemon)
+	higher := 0
 	for _, other := range daemons {
-		if other != daemon && Rank(key, other) > own {
-			ahead++
+		if other != daemon && Rank(key, other) > ownScore {
+			higher++
 		}
 	}
-	return ahead < count
+	return higher < count
 }
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -8,11 +8,11 @@
 )
 
 func daemons(count int) []netip.AddrPort {
-	var made []netip.AddrPort
+	var list []netip.AddrPort
 	for index := range count {
-		made = append(made, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(index >> 8), byte(index)}), 8166))
+		list = append(list, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(index >> 8), byte(index)}), 8166))
 	}
-	return made
+	return list
 }
 
 func TestFirstAgreesWithIsAmongFirst(t *testing.T) {
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestOneThatGoesChangesOnlyItsOwnChoices(t *testing.T) {
+func TestRemovalAffectsOnlyOwnKeys(t *testing.T) {
 	all := daemons(30)
 	for key := range uint64(200) {
 		before := First(key, daemons(30), 1)[0]
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestKeysAreSpread(t *testing.T) {
+func TestKeysAreSpreadEvenly(t *testing.T) {
 	counts := map[netip.AddrPort]int{}
 	for key := range uint64(3000) {
 		counts[First(key, daemons(30), 1)[0]]++
