--- a/internal/liveness/detector.go
+++ b/internal/liveness/detector.go
@@ -7,8 +7,8 @@
 // Zones are judged in the same way. An unresponsive zone does not make its targets dead, since
 // idle ones may be up, but lets a daemon decide on its own about targets that it has clients at.
 //
-// Slow or overloaded targets still acknowledge data and are not suspected. A daemon whose own
-// forwarded requests have gone unanswered since the silence began has probably lost its own
+// Slow or overloaded targets still acknowledge data and are not suspected. If no request that a
+// daemon forwarded since the silence began was answered, the daemon has probably lost its own
 // path, and neither reports nor judges.
 //
 // The package has no clock, socket or randomness, and is not safe for concurrent use.
--- a/internal/liveness/detector_test.go
+++ b/internal/liveness/detector_test.go
@@ -352,8 +352,8 @@
 		}
 		group.retransmit(4, 9)
 		group.advance(700 * time.Millisecond)
-		_, isBuried := group.verdicts[4]
-		assert.Equal(t, isBuried, !answers)
+		_, isDeclaredDead := group.verdicts[4]
+		assert.Equal(t, isDeclaredDead, !answers)
 	}
 }
 
--- a/internal/liveness/early.go
+++ b/internal/liveness/early.go
@@ -6,7 +6,6 @@
 // early. With one, packet loss at two daemons could get a live target declared dead.
 const minEarlyReporters = 2
 
-// tokenBucket is a token bucket.
 type tokenBucket struct {
 	tokens    float64
 	updatedAt time.Time
--- a/internal/liveness/judge.go
+++ b/internal/liveness/judge.go
@@ -77,7 +77,7 @@
 }
 
 // evaluateLocally declares a target of an unresponsive zone dead on local evidence: a client's
-// retransmission and a failed probe of that target. Where clients are few compared with targets,
+// retransmission and a failed probe of that target. This is needed where clients are so few that
 // no target has clients at several daemons.
 func (d *Detector) evaluateLocally(now time.Time, directory Directory, subject Subject, suspected *suspect, output *Output) {
 	own, hasOwn := suspected.evidence[self]
@@ -133,13 +133,13 @@
 // had a failed probe has no clients and does not count.
 func (d *Detector) hasSeveralReporters(suspected *suspect) bool {
 	flows, retransmissions, _ := suspected.sumEvidence()
-	callers := 0
+	daemons := 0
 	for _, item := range suspected.evidence {
 		if item.flows > 0 {
-			callers++
+			daemons++
 		}
 	}
-	return callers >= d.config.Reporters && flows >= d.config.Flows && retransmissions >= d.config.Sends
+	return daemons >= d.config.Reporters && flows >= d.config.Flows && retransmissions >= d.config.Sends
 }
 
 // requiredSilence returns how long a subject must be unresponsive, given the expected number of
