--- a/internal/liveness/config.go
+++ b/internal/liveness/config.go
@@ -3,9 +3,8 @@
 import "time"
 
 type Config struct {
-	// Reporters, Flows and Sends are the minimum numbers of reporting daemons, affected flows and
-	// retransmissions for suspecting a target. A single daemon may have lost its own path, and
-	// single packets get lost.
+	// The minimum numbers of reporting daemons, affected flows and retransmissions for suspecting
+	// a target. A single daemon may have lost its own path, and single packets get lost.
 	Reporters int
 	Flows     int
 	Sends     int
--- a/internal/liveness/detector.go
+++ b/internal/liveness/detector.go
@@ -28,8 +28,8 @@
 	Subject Subject
 	// Until is when the verdict expires.
 	Until time.Time
-	// Silence is how long no daemon has seen activity. Reporters, Flows and Sends are the
-	// evidence; they are 0 if another daemon decided.
+	// Silence is how long no daemon has seen activity. The other numbers are the evidence; they
+	// are 0 if another daemon decided.
 	Silence                 time.Duration
 	Reporters, Flows, Sends int
 }
@@ -42,7 +42,7 @@
 	// Alive holds targets whose verdict was withdrawn because of activity.
 	Alive   []uint64
 	Reports []Outgoing
-	// Probes are the probes to make. Report each result, also a failure, to Probed.
+	// Probes are the probes to make. The detector needs the result of each, also a failure.
 	Probes []Probe
 }
 
--- a/internal/liveness/report.go
+++ b/internal/liveness/report.go
@@ -38,10 +38,10 @@
 	// AgeMilliseconds is how long before sending the silence began or, for Alive, the last
 	// activity was seen.
 	AgeMilliseconds uint32 `cbor:"3,keyasint"`
-	// Flows and Sends are, for Silent, the number of affected flows and of retransmissions.
+	// The numbers of affected flows and of retransmissions, in reports to judges.
 	Flows int `cbor:"4,keyasint,omitempty"`
 	Sends int `cbor:"5,keyasint,omitempty"`
-	// Rank is, for Silent, the receiver's rank among the judges, from 0.
+	// Rank is the receiver's rank among the judges, from 0, in reports to judges.
 	Rank int `cbor:"6,keyasint,omitempty"`
 }
 
