--- a/internal/liveness/detector.go
+++ b/internal/liveness/detector.go
@@ -1,20 +1,17 @@
-// Package liveness finds targets that are dead: callers at several daemons send again what
-// nobody acknowledges, and no daemon sees a sign of life. A daemon that suspects a target
-// tells a few judges, chosen by the target. A judge with the evidence of several asks all
-// daemons, and those that have heard from the target object; it also probes the target
-// itself. If nobody gets anything from it in time, the judge tells all that the target is dead,
-// until anybody does.
+// Package liveness is a distributed failure detector for targets. A daemon whose clients
+// retransmit data that a target does not acknowledge reports this to a few judges, daemons
+// chosen per target. A judge with enough evidence suspects the target: it broadcasts the
+// suspicion and probes the target itself. Any daemon that has seen activity since refutes the
+// suspicion (as in SWIM); otherwise the judge declares the target dead until activity is seen.
 //
-// A zone none of whose targets is heard from is held for silent in the same way. That buries
-// none of them, as one that nobody uses may live; it lets a daemon judge alone of a target
-// that it has callers at.
+// Zones are judged in the same way. An unresponsive zone does not make its targets dead, since
+// idle ones may be up, but lets a daemon decide on its own about targets that it has clients at.
 //
-// A target that is slow, overloaded or fails requests acknowledges what it receives, and
-// is not suspected. One that some daemons cannot reach answers the judge's probe, or is
-// heard from by others. A daemon that has forwarded nothing since a silence began that was
-// answered has likely lost its own path, and neither reports nor judges.
+// Slow or overloaded targets still acknowledge data and are not suspected. If no request that a
+// daemon forwarded since the silence began was answered, the daemon has probably lost its own
+// path, and neither reports nor judges.
 //
-// The package holds no clock, socket or randomness; it is not safe for concurrent use.
+// The package has no clock, socket or randomness, and is not safe for concurrent use.
 package liveness
 
 import (
@@ -26,82 +23,80 @@
 	"github.com/passtray/passtray/internal/pause"
 )
 
-// Verdict is the decision that a target is dead, or a zone silent.
+// Verdict is the decision that a target is dead or a zone unresponsive.
 type Verdict struct {
 	Subject Subject
-	// Until is how long it holds.
+	// Until is when the verdict expires.
 	Until time.Time
-	// Silence is for how long nobody has heard from it. Reporters, Flows and Sends
-	// are what decided; they are 0 if another daemon did.
+	// Silence is how long no daemon has seen activity. The other numbers are the evidence; they
+	// are 0 if another daemon decided.
 	Silence                 time.Duration
 	Reporters, Flows, Sends int
 }
 
-// Output is what one step brought forth.
+// Output holds the decisions of one step and what the caller must send and probe.
 type Output struct {
 	Dead []Verdict
-	// Silent are verdicts on zones. They bury no target: one that nobody uses may live.
+	// Silent holds verdicts on zones. They do not make the zones' targets dead.
 	Silent []Verdict
-	// Alive are targets that were held for dead and are not.
+	// Alive holds targets whose verdict was withdrawn because of activity.
 	Alive   []uint64
 	Reports []Outgoing
-	// Probes are to be made: the outcome of each is to be told to Probed, whatever it is.
+	// Probes are the probes to make. The detector needs the result of each, also a failure.
 	Probes []Probe
 }
 
-// Probe is a target that is to be probed for a subject.
+// Probe requests a probe of a target on behalf of a subject.
 type Probe struct {
 	Subject Subject
 	Target  uint64
-	// IsAlone says that this daemon judges by itself, IsEarly that there is the evidence of
-	// one other daemon only.
+	// IsAlone marks a probe for a decision by this daemon alone, IsEarly one made on evidence
+	// from one other daemon only.
 	IsAlone bool
 	IsEarly bool
 }
 
-// Directory tells what this daemon knows of targets.
+// Directory provides what this daemon knows of targets.
 type Directory interface {
-	// ZoneOf returns a target's zone; found is false if flows of it are not forwarded.
+	// ZoneOf returns a target's zone; found is false if flows to it are not forwarded.
 	ZoneOf(target uint64) (zone string, found bool)
-	// IsKnown reports whether flows of a subject are forwarded.
+	// IsKnown reports whether flows to a subject are forwarded.
 	IsKnown(subject Subject) bool
-	// LastLife is when this daemon last saw that a subject sent something, zero if it
-	// never did.
+	// LastLife returns when this daemon last saw the subject send something, zero if never.
 	LastLife(subject Subject) time.Time
-	// ExpectedRate is how many signs of life of a subject all daemons together are
-	// expected to see in a second.
+	// ExpectedRate returns how many observations of a subject's activity all daemons together
+	// are expected to make per second.
 	ExpectedRate(subject Subject) float64
-	// TargetsToProbe returns some targets, at most count, that speak for a subject.
+	// TargetsToProbe returns at most count targets to probe for a subject.
 	TargetsToProbe(subject Subject, count int) []uint64
-	// LastAnswered is when this daemon forwarded the latest request that some target has
+	// LastAnswered returns when this daemon forwarded the latest request that any target
 	// answered.
 	LastAnswered() time.Time
 }
 
-// Detector is one daemon's part.
+// Detector is one daemon's part of the distributed failure detector.
 type Detector struct {
 	config   Config
 	suspects map[Subject]*suspect
-	// observed are reports on what was observed since the last tick.
-	observed Output
-	// early is what is left of the bound on early probes.
-	early budget
+	// pending holds reports from Observe for the next tick.
+	pending Output
+	// early limits the rate of early probes.
+	early tokenBucket
 	pause pause.Detector
 }
 
-// New makes a detector.
 func New(config Config) *Detector {
-	return &Detector{config: config, suspects: map[Subject]*suspect{}, early: budget{left: config.EarlyBurst}}
+	return &Detector{config: config, suspects: map[Subject]*suspect{}, early: tokenBucket{tokens: config.EarlyBurst}}
 }
 
-// self is this daemon as a reporter.
+// self stands for this daemon as a reporter.
 var self netip.AddrPort
 
-// Observe takes in that a caller of this daemon sent data again on a flow; the target had
-// not acknowledged it since a time. What is to be told of it comes with the next tick.
+// Observe records that a client retransmitted data on a flow that the target has not
+// acknowledged since the given time. Resulting reports are returned by the next Tick.
 func (d *Detector) Observe(now time.Time, directory Directory, target, flow uint64, since time.Time) {
 	zone, found := directory.ZoneOf(target)
-	if !found || !reachesTargets(directory, since) {
+	if !found || !hasWorkingPath(directory, since) {
 		return
 	}
 	d.observe(now, directory, Subject{Target: target}, flow, since)
@@ -110,45 +105,46 @@
 
 func (d *Detector) observe(now time.Time, directory Directory, subject Subject, flow uint64, since time.Time) {
 	suspected := d.suspect(subject)
-	suspected.seeLife(directory.LastLife(subject))
-	if !suspected.lifeAt.Before(since) || suspected.isDead(now) {
+	suspected.recordActivity(directory.LastLife(subject))
+	if !suspected.lastActivity.Before(since) || suspected.isDead(now) {
 		return
 	}
-	own, isHeld := suspected.evidence[self]
-	if !isHeld {
+	own, hasOwn := suspected.evidence[self]
+	if !hasOwn {
 		own.since = since
 		clear(suspected.flows)
-		suspected.told = 0
+		suspected.reportsSent = 0
 	}
 	suspected.flows[flow] = true
-	own.flows, own.sends, own.until = len(suspected.flows), own.sends+1, now.Add(d.config.Window)
+	own.flows, own.retransmissions, own.until = len(suspected.flows), own.retransmissions+1, now.Add(d.config.Window)
 	suspected.evidence[self] = own
-	judges := min(d.config.FirstJudges<<min(suspected.told, maximumDoublings), d.config.MostJudges)
-	suspected.told++
-	report := Report{Subject: subject, Kind: Silent, Flows: own.flows, Sends: own.sends}
-	d.observed.tell(Outgoing{Judges: judges, Report: report}, now.Sub(own.since))
+	judges := min(d.config.FirstJudges<<min(suspected.reportsSent, maxDoublings), d.config.MostJudges)
+	suspected.reportsSent++
+	report := Report{Subject: subject, Kind: Silent, Flows: own.flows, Sends: own.retransmissions}
+	d.pending.addReport(Outgoing{Judges: judges, Report: report}, now.Sub(own.since))
 }
 
-// reachesTargets reports whether what this daemon forwarded since a time was answered, so
-// that a silence since then is not its own path's.
-func reachesTargets(directory Directory, since time.Time) bool {
+// hasWorkingPath reports whether a request forwarded after the given time was answered: this
+// daemon's own path works, so it does not explain a silence since then.
+func hasWorkingPath(directory Directory, since time.Time) bool {
 	return directory.LastAnswered().After(since)
 }
 
-// noteTime is called at the beginning of each step. After this daemon stood still its questions are
-// forgotten: nobody knows who objected meanwhile, nor whether a probe failed or only ran out of time.
-func (d *Detector) noteTime(now time.Time) {
+// detectPause is called at the start of each step. If the process was paused, it resets pending
+// suspicions: refutations may have been missed, and a probe may have run into its timeout
+// only because of the pause.
+func (d *Detector) detectPause(now time.Time) {
 	if !d.pause.Note(now) {
 		return
 	}
 	for _, suspected := range d.suspects {
-		suspected.forgetQuestion()
+		suspected.resetSuspicion()
 	}
 }
 
-// Probed takes in whether a target that was to be probed answered.
+// Probed handles the result of a probe.
 func (d *Detector) Probed(now time.Time, probe Probe, hasAnswered bool) {
-	d.noteTime(now)
+	d.detectPause(now)
 	suspected := d.suspects[probe.Subject]
 	if suspected == nil {
 		return
@@ -156,22 +152,22 @@
 	suspected.probedAt = now
 	switch {
 	case hasAnswered:
-		suspected.seeLife(now)
-	case probe.IsAlone && suspected.alone == probePending:
-		suspected.alone = probeFailed
+		suspected.recordActivity(now)
+	case probe.IsAlone && suspected.localProbe == probePending:
+		suspected.localProbe = probeFailed
 	case probe.IsEarly && suspected.early == probePending:
 		suspected.early = probeFailed
-	case !probe.IsAlone && !probe.IsEarly && suspected.askedHere:
+	case !probe.IsAlone && !probe.IsEarly && suspected.suspectedHere:
 		suspected.probesLeft--
 	default:
-		// The question was forgotten while the probe was under way: it says nothing of a later silence.
+		// The suspicion was reset while the probe was in flight; the result does not apply to a later one.
 	}
 }
 
-// maximumDoublings keeps the doubling of judges within its type.
-const maximumDoublings = 10
+// maxDoublings prevents an overflow when the number of judges is doubled.
+const maxDoublings = 10
 
-// suspect returns what is held of a subject.
+// suspect returns the state of a subject, and creates it if needed.
 func (d *Detector) suspect(subject Subject) *suspect {
 	suspected := d.suspects[subject]
 	if suspected == nil {
@@ -181,87 +177,87 @@
 	return suspected
 }
 
-// tell adds a report on something of an age.
-func (o *Output) tell(outgoing Outgoing, age time.Duration) {
+// addReport adds a report about something that happened the given time ago.
+func (o *Output) addReport(outgoing Outgoing, age time.Duration) {
 	outgoing.AgeMilliseconds = uint32(max(0, age).Milliseconds())
 	o.Reports = append(o.Reports, outgoing)
 }
 
-// Hear takes in others' reports.
+// Hear handles reports from other daemons.
 func (d *Detector) Hear(now time.Time, directory Directory, reports []Received) Output {
 	var output Output
-	d.noteTime(now)
+	d.detectPause(now)
 	for index := range reports {
 		if directory.IsKnown(reports[index].Subject) {
-			d.hearOne(now, directory, &reports[index], &output)
+			d.handleReport(now, directory, &reports[index], &output)
 		}
 	}
 	return output
 }
 
-func (d *Detector) hearOne(now time.Time, directory Directory, report *Received, output *Output) {
+func (d *Detector) handleReport(now time.Time, directory Directory, report *Received, output *Output) {
 	suspected := d.suspect(report.Subject)
-	suspected.seeLife(directory.LastLife(report.Subject))
+	suspected.recordActivity(directory.LastLife(report.Subject))
 	since := now.Add(-report.Age())
-	if report.Kind != Alive && !suspected.lifeAt.Before(since) {
-		d.object(now, report, suspected, output)
+	if report.Kind != Alive && !suspected.lastActivity.Before(since) {
+		d.refute(now, report, suspected, output)
 		return
 	}
 	switch report.Kind {
 	case Silent:
 		if suspected.isDead(now) {
 			verdict := Outgoing{To: report.From, Report: Report{Subject: report.Subject, Kind: Dead}}
-			output.tell(verdict, now.Sub(suspected.silentSince))
+			output.addReport(verdict, now.Sub(suspected.unresponsiveSince))
 			return
 		}
 		suspected.rank = report.Rank
-		suspected.takeEvidence(report, evidence{since: since, until: now.Add(d.config.Window), flows: report.Flows, sends: report.Sends})
+		suspected.addEvidence(report, evidence{since: since, until: now.Add(d.config.Window), flows: report.Flows, retransmissions: report.Sends})
 		d.probeEarly(now, directory, report.Subject, suspected, output)
-		d.judge(now, directory, report.Subject, suspected, output)
+		d.evaluate(now, directory, report.Subject, suspected, output)
 	case Asked:
-		if suspected.askedAt.IsZero() {
-			suspected.askedAt = now
+		if suspected.suspectedAt.IsZero() {
+			suspected.suspectedAt = now
 		}
 	case Alive:
-		suspected.seeLife(since)
-		d.revive(now, report.Subject, suspected, output)
+		suspected.recordActivity(since)
+		d.withdrawVerdict(now, report.Subject, suspected, output)
 	case Dead:
-		if !suspected.isDead(now) && reachesTargets(directory, since) {
-			d.bury(now, report.Subject, suspected, Verdict{Silence: report.Age()}, output)
+		if !suspected.isDead(now) && hasWorkingPath(directory, since) {
+			d.declareDead(now, report.Subject, suspected, Verdict{Silence: report.Age()}, output)
 		}
 	}
 }
 
-// object answers with a sign of life that the sender of a report does not know of. After a
-// verdict all have to know.
-func (d *Detector) object(now time.Time, report *Received, suspected *suspect, output *Output) {
-	objection := Outgoing{Report: Report{Subject: report.Subject, Kind: Alive}}
+// refute refutes a report with activity that its sender has not seen. A refuted verdict is
+// broadcast, since all daemons may have acted on it.
+func (d *Detector) refute(now time.Time, report *Received, suspected *suspect, output *Output) {
+	refutation := Outgoing{Report: Report{Subject: report.Subject, Kind: Alive}}
 	if report.Kind != Dead {
-		objection.To = report.From
+		refutation.To = report.From
 	}
-	output.tell(objection, now.Sub(suspected.lifeAt))
+	output.addReport(refutation, now.Sub(suspected.lastActivity))
 }
 
-// Tick lets time pass.
+// Tick advances the detector to now.
 func (d *Detector) Tick(now time.Time, directory Directory) Output {
-	d.noteTime(now)
-	output := d.observed
-	d.observed = Output{}
-	for _, subject := range slices.SortedFunc(maps.Keys(d.suspects), Subject.compare) { // for seeded runs
+	d.detectPause(now)
+	output := d.pending
+	d.pending = Output{}
+	for _, subject := range slices.SortedFunc(maps.Keys(d.suspects), Subject.compare) { // deterministic order for seeded runs
 		suspected := d.suspects[subject]
 		suspected.expire(now)
 		wasDead := suspected.isDead(now)
-		if suspected.seeLife(directory.LastLife(subject)) {
-			d.revive(now, subject, suspected, &output)
+		if suspected.recordActivity(directory.LastLife(subject)) {
+			d.withdrawVerdict(now, subject, suspected, &output)
 		}
 		if wasDead && !suspected.isDead(now) {
-			output.tell(Outgoing{Report: Report{Subject: subject, Kind: Alive}}, now.Sub(suspected.lifeAt))
+			output.addReport(Outgoing{Report: Report{Subject: subject, Kind: Alive}}, now.Sub(suspected.lastActivity))
 		}
-		d.tellEarly(now, directory, subject, suspected, &output)
-		d.judge(now, directory, subject, suspected, &output)
-		d.judgeAlone(now, directory, subject, suspected, &output)
-		d.repeat(now, subject, suspected, &output)
-		if suspected.isOver(now, d.config.Window) {
+		d.reportEarlyFailure(now, directory, subject, suspected, &output)
+		d.evaluate(now, directory, subject, suspected, &output)
+		d.evaluateLocally(now, directory, subject, suspected, &output)
+		d.repeatVerdict(now, subject, suspected, &output)
+		if suspected.isExpired(now, d.config.Window) {
 			delete(d.suspects, subject)
 		}
 	}
--- a/internal/liveness/suspect.go
+++ b/internal/liveness/suspect.go
@@ -5,41 +5,39 @@
 	"time"
 )
 
-// suspect is what is known of a subject that somebody holds for silent.
+// suspect is the state of a subject that some daemon reported as unresponsive.
 type suspect struct {
-	// evidence is by reporter; the zero address is this daemon.
+	// evidence is keyed by reporter; the zero address is this daemon.
 	evidence map[netip.AddrPort]evidence
-	// flows are those of this daemon's own evidence, told how often it was told.
-	flows map[uint64]bool
-	told  int
-	// lifeAt is the latest sign of life, seen here or told by others.
-	lifeAt time.Time
-	// askedAt is when all were asked about the evidence, by this daemon or another one;
-	// askedHere says that it was this one.
-	askedAt   time.Time
-	askedHere bool
-	// probesLeft is how many probes were not answered yet; 0 if there are none to be made.
+	// flows holds the flows in this daemon's own evidence, reportsSent counts the reports on it.
+	flows       map[uint64]bool
+	reportsSent int
+	// lastActivity is when the latest activity was seen, by this daemon or another one.
+	lastActivity time.Time
+	// suspectedAt is when the suspicion was broadcast, by any daemon; suspectedHere is set if it was
+	// this one.
+	suspectedAt   time.Time
+	suspectedHere bool
+	// probesLeft is the number of probes for the suspicion that have not failed yet.
 	probesLeft int
-	// alone is how the probe ended by which this daemon judges alone.
-	alone probeState
-	// early is how the probe ended that was made at the first evidence, at earlyAt; earlyTold
-	// says that others were told of its failure. probedAt is when any probe ended last.
-	early     probeState
-	earlyAt   time.Time
-	earlyTold bool
-	probedAt  time.Time
-	// rank is this daemon's among the judges, enoughAt since when the evidence is enough.
-	rank     int
-	enoughAt time.Time
-	// deadUntil is until when the target is held for dead, silentSince from when on it
-	// said nothing.
-	deadUntil   time.Time
-	silentSince time.Time
-	// repeatAt is when a verdict of this daemon is told once more, zero if it is not.
+	// localProbe is the state of the probe for a decision by this daemon alone.
+	localProbe probeState
+	// early is the state of the early probe, sent at earlyAt; earlyReported is set once its failure
+	// was reported. probedAt is when a probe of any kind last ended.
+	early         probeState
+	earlyAt       time.Time
+	earlyReported bool
+	probedAt      time.Time
+	// rank is this daemon's rank among the judges, sufficientAt when the evidence first sufficed.
+	rank         int
+	sufficientAt time.Time
+	// deadUntil is when the verdict expires, unresponsiveSince when the silence behind it began.
+	deadUntil         time.Time
+	unresponsiveSince time.Time
+	// repeatAt is when this daemon's verdict is to be sent a second time, zero if it is not.
 	repeatAt time.Time
 }
 
-// probeState is how far a probe has come.
 type probeState uint8
 
 const (
@@ -48,77 +46,77 @@
 	probeFailed
 )
 
-// evidence is what one daemon saw: from when on its callers got no acknowledgement.
+// evidence is what one daemon reported: no acknowledgements since a time.
 type evidence struct {
-	since        time.Time
-	until        time.Time
-	flows, sends int
+	since                  time.Time
+	until                  time.Time
+	flows, retransmissions int
 }
 
 func newSuspect() *suspect {
 	return &suspect{evidence: map[netip.AddrPort]evidence{}, flows: map[uint64]bool{}}
 }
 
-// takeEvidence takes in what another daemon tells. That its probe failed, too, takes nothing of
-// what it told of its callers.
-func (s *suspect) takeEvidence(report *Received, told evidence) {
-	if held, isHeld := s.evidence[report.From]; isHeld && report.Sends == 0 {
-		held.until = told.until
-		told = held
+// addEvidence records another daemon's evidence. A report of a failed probe (without
+// retransmissions) only extends what the daemon reported on its clients.
+func (s *suspect) addEvidence(report *Received, update evidence) {
+	if known, found := s.evidence[report.From]; found && report.Sends == 0 {
+		known.until = update.until
+		update = known
 	}
-	s.evidence[report.From] = told
+	s.evidence[report.From] = update
 }
 
-// seeLife takes in a sign of life, and reports whether it is later than those before.
-// Silence that began before it says nothing any more.
-func (s *suspect) seeLife(at time.Time) bool {
-	if !at.After(s.lifeAt) {
+// recordActivity records activity and reports whether it is later than any seen before. Evidence of a
+// silence that began earlier is dropped.
+func (s *suspect) recordActivity(at time.Time) bool {
+	if !at.After(s.lastActivity) {
 		return false
 	}
-	s.lifeAt = at
-	for reporter, held := range s.evidence {
-		if held.since.Before(at) {
+	s.lastActivity = at
+	for reporter, item := range s.evidence {
+		if item.since.Before(at) {
 			delete(s.evidence, reporter)
 		}
 	}
-	s.forgetQuestion()
+	s.resetSuspicion()
 	return true
 }
 
-// expire forgets evidence that is too old.
+// expire drops expired evidence.
 func (s *suspect) expire(now time.Time) {
-	for reporter, held := range s.evidence {
-		if !now.Before(held.until) {
+	for reporter, item := range s.evidence {
+		if !now.Before(item.until) {
 			delete(s.evidence, reporter)
 		}
 	}
 	if len(s.evidence) == 0 {
-		s.forgetQuestion()
+		s.resetSuspicion()
 	}
 }
 
-func (s *suspect) forgetQuestion() {
-	s.askedAt, s.enoughAt = time.Time{}, time.Time{}
-	s.askedHere, s.probesLeft, s.alone = false, 0, probeNone
-	s.early, s.earlyTold = probeNone, false
+func (s *suspect) resetSuspicion() {
+	s.suspectedAt, s.sufficientAt = time.Time{}, time.Time{}
+	s.suspectedHere, s.probesLeft, s.localProbe = false, 0, probeNone
+	s.early, s.earlyReported = probeNone, false
 }
 
-// weigh sums the evidence. since is when the silence began that all of it is of.
-func (s *suspect) weigh() (flows, sends int, since time.Time) {
-	for _, held := range s.evidence {
-		flows += held.flows
-		sends += held.sends
-		if since.IsZero() || held.since.Before(since) {
-			since = held.since
+// sumEvidence sums the evidence; since is the earliest beginning of a silence in it.
+func (s *suspect) sumEvidence() (flows, retransmissions int, since time.Time) {
+	for _, item := range s.evidence {
+		flows += item.flows
+		retransmissions += item.retransmissions
+		if since.IsZero() || item.since.Before(since) {
+			since = item.since
 		}
 	}
-	return flows, sends, since
+	return flows, retransmissions, since
 }
 
 func (s *suspect) isDead(now time.Time) bool { return now.Before(s.deadUntil) }
 
-// isOver reports whether nothing speaks against the subject any more. What a probe found is
-// kept for a window, to object to the questions of others.
-func (s *suspect) isOver(now time.Time, window time.Duration) bool {
+// isExpired reports whether the state can be dropped. After a probe it is kept for a window, since
+// its result may refute suspicions of others.
+func (s *suspect) isExpired(now time.Time, window time.Duration) bool {
 	return len(s.evidence) == 0 && !s.isDead(now) && now.Sub(s.probedAt) >= window
 }
--- a/internal/targetspeed/codec.go
+++ b/internal/targetspeed/codec.go
@@ -9,61 +9,62 @@
 	"github.com/passtray/passtray/internal/loadshare"
 )
 
-// A report on its way: its head, a byte that says that it is one on speeds, the number of
-// targets (1), and for each of those its mark (2), the logarithm of how many times as
-// long as usual its answers took, signed, in logUnit (1), and how many answers that rests on
-// (1). All numbers are big-endian. The first 12 bytes are as in reports on open flows,
-// behind which these stand: a daemon that does not know them stops reading there.
+// Wire format of a report, all numbers big-endian: the head of a loadshare report, a byte that marks
+// a speed report, the number of targets (1), and for each target its mark (2), the logarithm of the
+// latency ratio as a signed number of logUnit (1), and the number of observations (1).
+//
+// Speed reports follow the open-flow reports of loadshare in a message. A daemon that does not know
+// them stops reading there.
 const (
 	headBytes  = loadshare.HeadBytes + 2
 	entryBytes = 4
 	logUnit    = 1.0 / 64
-	// mostEntries bounds the targets in one report, so that it fits into MaximumBytes.
-	mostEntries = 20
-	// MaximumBytes bounds what is told in one message, a third of what messages to the
-	// zone may hold (loadshare.MaximumBytes).
-	MaximumBytes = headBytes + entryBytes*mostEntries
+	// maxEntries is the maximum number of targets per report, so that it fits into MaximumBytes.
+	maxEntries = 20
+	// MaximumBytes is the maximum size of the speed reports in a message, a third of the maximum
+	// size of a message within the zone (loadshare.MaximumBytes).
+	MaximumBytes = headBytes + entryBytes*maxEntries
 )
 
-// Message returns reports to pass on, those that were passed on least first, and of them
-// the latest.
+// Message returns reports to send or forward: the least often sent ones first, and of those the
+// latest.
 func (e *Exchange) Message(now time.Time) []byte {
 	addresses := loadshare.InTurn(e.reports, loadshare.MostHeads, func(r *report) loadshare.Turn { return loadshare.Turn{Sent: r.sent, At: r.at} })
 	var message []byte
 	for _, address := range addresses {
-		held := e.reports[address]
-		if now.Sub(held.at) >= passedOnFor {
+		stored := e.reports[address]
+		if now.Sub(stored.at) >= forwardTTL {
 			continue
 		}
-		if len(message)+headBytes+entryBytes*len(held.entries) > MaximumBytes {
+		if len(message)+headBytes+entryBytes*len(stored.entries) > MaximumBytes {
 			break
 		}
-		held.sent++
-		message = held.append(now, message, address)
+		stored.sent++
+		message = stored.append(now, message, address)
 	}
 	return message
 }
 
-func (r *report) append(now time.Time, to []byte, address netip.AddrPort) []byte {
-	to = loadshare.Head{From: address, Number: r.number, At: r.at}.Append(now, to)
-	to = append(to, loadshare.OtherKind, byte(len(r.entries)))
+func (r *report) append(now time.Time, buf []byte, address netip.AddrPort) []byte {
+	buf = loadshare.Head{From: address, Number: r.number, At: r.at}.Append(now, buf)
+	buf = append(buf, loadshare.OtherKind, byte(len(r.entries)))
 	for _, entry := range r.entries {
-		to = binary.BigEndian.AppendUint16(to, uint16(entry.target))
-		to = append(to, byte(int8(math.Round(entry.times/logUnit))), byte(math.Ceil(entry.weight)))
+		buf = binary.BigEndian.AppendUint16(buf, uint16(entry.target))
+		buf = append(buf, byte(int8(math.Round(entry.logRatio/logUnit))), byte(math.Ceil(entry.weight)))
 	}
-	return to
+	return buf
 }
 
-// Hear takes in a message and returns how many bytes at its end could not be read.
+// Hear handles a message and returns the number of bytes at its end that could not be decoded.
 func (e *Exchange) Hear(now time.Time, message []byte) (unread int) {
 	for len(message) >= headBytes && message[headBytes-2] == loadshare.OtherKind {
 		count := int(message[headBytes-1])
 		length := headBytes + entryBytes*count
-		if count > mostEntries || len(message) < length {
+		if count > maxEntries || len(message) < length {
 			break
 		}
-		from, heard := decode(now, message[:length])
-		e.take(now, from, heard)
+		from, received := decode(now, message[:length])
+		e.store(now, from, received)
 		message = message[length:]
 	}
 	return len(message)
@@ -71,13 +72,13 @@
 
 func decode(now time.Time, encoded []byte) (netip.AddrPort, *report) {
 	head := loadshare.DecodeHead(now, encoded)
-	heard := &report{number: head.Number, at: head.At}
+	received := &report{number: head.Number, at: head.At}
 	for rest := encoded[headBytes:]; len(rest) > 0; rest = rest[entryBytes:] {
-		heard.entries = append(heard.entries, entry{
-			target: loadshare.Mark(binary.BigEndian.Uint16(rest)),
-			times:  float64(int8(rest[2])) * logUnit,
-			weight: float64(rest[3]),
+		received.entries = append(received.entries, entry{
+			target:   loadshare.Mark(binary.BigEndian.Uint16(rest)),
+			logRatio: float64(int8(rest[2])) * logUnit,
+			weight:   float64(rest[3]),
 		})
 	}
-	return head.From, heard
+	return head.From, received
 }
