--- a/internal/storeview/change.go
+++ b/internal/storeview/change.go
@@ -15,15 +15,15 @@
 	LacksBase bool
 	// Refused lists the rejected entries, each with its reason.
 	Refused []string
-	// Details lists state changes of targets, at most maximumDetails; Omitted counts the rest.
+	// Details lists state changes of targets, at most maxDetails; Omitted counts the rest.
 	Details []string
 	Omitted int
 }
 
-const maximumDetails = 20
+const maxDetails = 20
 
-func (c *Change) detail(key, state string) {
-	if len(c.Details) >= maximumDetails {
+func (c *Change) addDetail(key, state string) {
+	if len(c.Details) >= maxDetails {
 		c.Omitted++
 		return
 	}
--- a/internal/storeview/config.go
+++ b/internal/storeview/config.go
@@ -26,13 +26,13 @@
 }
 
 const (
-	// renewalsToExpire is the number of missed renewals after which a target's entry expires.
-	renewalsToExpire = 3
-	// restoredMargin allows for store calls and the propagation of updates.
-	restoredMargin = time.Second
+	// missedRenewalsToExpire is the number of missed renewals after which a target's entry expires.
+	missedRenewalsToExpire = 3
+	// propagationMargin allows for store calls and the propagation of updates.
+	propagationMargin = time.Second
 )
 
 // RestoredForRenewal derives RestoredFor from the interval at which targets renew their entries.
 func RestoredForRenewal(renewal time.Duration) time.Duration {
-	return renewalsToExpire*renewal + restoredMargin
+	return missedRenewalsToExpire*renewal + propagationMargin
 }
--- a/internal/storeview/versions.go
+++ b/internal/storeview/configuration.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// versions holds the active configuration and its latest deltas. Unlike other entries it is never
-// removed: the last valid version stays active.
-type versions struct {
+// configurationState holds the active configuration and its latest deltas. Unlike other entries it
+// is never removed: the last valid version stays active.
+type configurationState struct {
 	current   *Configuration
 	key       string
 	revision  uint64
@@ -17,7 +17,7 @@
 
 // isNewer reports whether a version written at a revision supersedes the active one. Version
 // numbers never decrease, even if a restored store has an earlier version under a later revision.
-func (v *versions) isNewer(version, revision uint64) bool {
+func (v *configurationState) isNewer(version, revision uint64) bool {
 	if v.current == nil || version == v.current.Version {
 		return revision > v.revision
 	}
@@ -25,23 +25,23 @@
 }
 
 // merge activates the entry's configuration if it is newer.
-func (v *versions) merge(learned time.Time, entry *Entry, change *Change) {
+func (v *configurationState) merge(learned time.Time, entry *Entry, change *Change) {
 	if !v.isNewer(entry.Configuration.Version, entry.Revision) {
-		v.refuse(entry, entry.Configuration.Version, change)
+		v.rejectOlder(entry, entry.Configuration.Version, change)
 		return
 	}
 	var difference *Difference
 	if v.current != nil {
-		difference = differenceOf(v.current, v.revision, entry.Configuration)
+		difference = newDifference(v.current, v.revision, entry.Configuration)
 	}
 	v.install(learned, entry, entry.Configuration, difference, change)
 }
 
 // mergeDifference activates a newer version that was sent as a delta; if its base is not the
 // version held here, it only sets LacksBase.
-func (v *versions) mergeDifference(learned time.Time, entry *Entry, change *Change) {
+func (v *configurationState) mergeDifference(learned time.Time, entry *Entry, change *Change) {
 	if !v.isNewer(entry.Difference.Version, entry.Revision) {
-		v.refuse(entry, entry.Difference.Version, change)
+		v.rejectOlder(entry, entry.Difference.Version, change)
 		return
 	}
 	var next *Configuration
@@ -55,8 +55,8 @@
 	v.install(learned, entry, next, entry.Difference, change)
 }
 
-// refuse reports a later write with an earlier version than the active one.
-func (v *versions) refuse(entry *Entry, version uint64, change *Change) {
+// rejectOlder reports a later write with an earlier version than the active one.
+func (v *configurationState) rejectOlder(entry *Entry, version uint64, change *Change) {
 	if entry.Revision > v.revision {
 		change.Refused = append(change.Refused, fmt.Sprintf("%s: version %d is older than the active version %d",
 			entry.Key, version, v.current.Version))
@@ -66,11 +66,11 @@
 // mayBeBase reports whether the active version may be the one of a revision. A restored store lists
 // it again under a revision of its new epoch, which peers may not know; the fingerprint of the
 // result decides.
-func (v *versions) mayBeBase(revision uint64) bool {
+func (v *configurationState) mayBeBase(revision uint64) bool {
 	return revision == v.revision || EpochOf(revision) != EpochOf(v.revision)
 }
 
-func (v *versions) install(learned time.Time, entry *Entry, next *Configuration, difference *Difference, change *Change) {
+func (v *configurationState) install(learned time.Time, entry *Entry, next *Configuration, difference *Difference, change *Change) {
 	v.current = next
 	v.key = entry.Key
 	v.revision = entry.Revision
@@ -87,7 +87,7 @@
 // configuration: deltas if the history covers them, otherwise the full configuration. A later
 // version is sent whatever its revision, since a restored store may list an earlier one under a
 // later revision.
-func (v *versions) since(now time.Time, revision uint64, held Held) []Entry {
+func (v *configurationState) since(now time.Time, revision uint64, held Held) []Entry {
 	if v.current == nil || v.revision == held.Revision {
 		return nil
 	}
@@ -103,7 +103,7 @@
 
 // differencesSince returns the deltas from the version of a revision to the active one; found is
 // false if they are not known.
-func (v *versions) differencesSince(now time.Time, revision uint64) (entries []Entry, found bool) {
+func (v *configurationState) differencesSince(now time.Time, revision uint64) (entries []Entry, found bool) {
 	steps, found := v.history.since(revision)
 	for _, step := range steps {
 		entries = append(entries, Entry{
--- a/internal/storeview/refusals.go
+++ b/internal/storeview/invalid.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// mostRefusals bounds the invalid entries that are remembered, some 200 bytes each. Further ones
-// are rejected as well, but neither listed nor sent to peers as invalid.
-const mostRefusals = 1024
+// maxInvalidEntries bounds the invalid entries that are remembered, some 200 bytes each. Further
+// ones are rejected as well, but neither listed nor sent to peers as invalid.
+const maxInvalidEntries = 1024
 
 // Refusal is a rejected, invalid entry.
 type Refusal struct {
@@ -20,31 +20,31 @@
 	LearnedAt time.Time
 }
 
-// refusals holds the invalid entries by key. An invalid entry may stay in the store indefinitely,
-// so that it must not cause work each time it is listed.
-type refusals map[string]Refusal
+// invalidEntries holds the invalid entries by key. An invalid entry may stay in the store
+// indefinitely, so that it must not cause work each time it is listed.
+type invalidEntries map[string]Refusal
 
 // add remembers an invalid entry; it reports false if it, or a later one, is already known.
-func (r refusals) add(entry *Entry, at time.Time) bool {
+func (r invalidEntries) add(entry *Entry, at time.Time) bool {
 	held, isHeld := r[entry.Key]
 	if isHeld && entry.Revision <= held.Revision {
 		return false
 	}
-	if isHeld || len(r) < mostRefusals {
+	if isHeld || len(r) < maxInvalidEntries {
 		r[entry.Key] = Refusal{Key: entry.Key, Revision: entry.Revision, Reason: entry.Fault, LearnedAt: at}
 	}
 	return true
 }
 
-// lift forgets an invalid entry once its key has a later one or a removal.
-func (r refusals) lift(key string, revision uint64) {
+// dropOlder forgets an invalid entry once its key has a later one or a removal.
+func (r invalidEntries) dropOlder(key string, revision uint64) {
 	if held, isHeld := r[key]; isHeld && revision > held.Revision {
 		delete(r, key)
 	}
 }
 
-// conclude forgets invalid entries that a full list as of a revision lacks.
-func (r refusals) conclude(listed listedKeys, revision uint64) {
+// dropUnlisted forgets invalid entries that a full list as of a revision lacks.
+func (r invalidEntries) dropUnlisted(listed listedKeys, revision uint64) {
 	for key, held := range r {
 		if !listed.isListedIn(EpochOf(revision), key) && held.Revision <= revision {
 			delete(r, key)
@@ -52,7 +52,7 @@
 	}
 }
 
-func (r refusals) sorted() []Refusal {
+func (r invalidEntries) sorted() []Refusal {
 	all := make([]Refusal, 0, len(r))
 	for _, held := range r {
 		all = append(all, held)
@@ -62,7 +62,7 @@
 }
 
 // since returns the invalid entries with a higher revision, unordered.
-func (r refusals) since(now time.Time, revision uint64) []Entry {
+func (r invalidEntries) since(now time.Time, revision uint64) []Entry {
 	var entries []Entry
 	for _, held := range r {
 		if held.Revision > revision {
--- a/internal/storeview/refusals_test.go
+++ b/internal/storeview/invalid_test.go
@@ -14,7 +14,7 @@
 }
 
 // An invalid entry removes only the target that was held under its key.
-func TestAnUnreadableEntryNamesNoTarget(t *testing.T) {
+func TestInvalidEntryRemovesTarget(t *testing.T) {
 	view := New(time.Minute)
 	view.Merge(testStart, []Entry{targetEntry("a", 2), targetEntry("b", 3)})
 	change := view.Merge(testStart, []Entry{faultEntry("a", 4)})
@@ -36,7 +36,7 @@
 	})
 }
 
-func TestAnUnreadableEntryIsSaidOnce(t *testing.T) {
+func TestInvalidEntryIsReportedOnce(t *testing.T) {
 	view := New(time.Minute)
 	content := []Entry{targetEntry("a", 2), faultEntry("b", 3), faultEntry("c", 4)}
 	assert.Equal(t, len(view.MergeAll(testStart, content, 5).Refused), 2)
@@ -49,19 +49,19 @@
 	assert.Equal(t, len(view.Refused()), 0, "no longer listed")
 }
 
-func TestRefusalsAreBounded(t *testing.T) {
+func TestInvalidEntriesAreBounded(t *testing.T) {
 	view := New(time.Minute)
-	for number := range uint64(mostRefusals + 100) {
+	for number := range uint64(maxInvalidEntries + 100) {
 		key := "k" + string(rune('a'+number%26)) + time.Duration(number).String()
 		view.Merge(testStart, []Entry{targetEntry(key, 2*number+1), faultEntry(key, 2*number+2)})
 	}
-	assert.Equal(t, len(view.Refused()), mostRefusals)
+	assert.Equal(t, len(view.Refused()), maxInvalidEntries)
 	assert.Equal(t, view.Present(), 0)
 }
 
 // A daemon that reads the store and one that learns from it, in any order, agree on which targets
 // are present.
-func TestDaemonsAgreeOnUnreadableEntries(t *testing.T) {
+func TestDaemonsAgreeOnInvalidEntries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reader, peer := New(time.Minute), New(time.Minute)
 		var revision uint64
@@ -72,12 +72,12 @@
 			since := reader.Revision()
 			reader.Merge(testStart, []Entry{entry})
 			reader.AdvanceTo(revision)
-			if rapid.Bool().Draw(t, "is told") {
-				told := reader.EntriesSince(testStart, min(since, peer.Revision()), Held{})
+			if rapid.Bool().Draw(t, "is synced") {
+				entries := reader.EntriesSince(testStart, min(since, peer.Revision()), Held{})
 				if rapid.Bool().Draw(t, "is reversed") {
-					slices.Reverse(told)
+					slices.Reverse(entries)
 				}
-				peer.Merge(testStart, told)
+				peer.Merge(testStart, entries)
 				peer.AdvanceTo(revision)
 			}
 		}
--- a/internal/storeview/records.go
+++ b/internal/storeview/lwwmap.go
@@ -24,57 +24,57 @@
 
 func (r *Record) record() *Record { return r }
 
-// known is the latest known state of an entry.
-type known interface {
+// knownEntry is the latest known state of an entry.
+type knownEntry interface {
 	record() *Record
 	// identity identifies what the entry describes; it may change under one key.
 	identity() uint64
 	// state returns the entry's state for log messages.
 	state() string
-	// described returns the entry as sent to another daemon now, without the fields of its record.
-	described(now time.Time) Entry
-	// note adds the changed entry to a change; hasNewState reports whether its state differs, too.
-	note(change *Change, hasNewState bool)
+	// toEntry returns the entry as sent to another daemon now, without the fields of its record.
+	toEntry(now time.Time) Entry
+	// addTo adds the changed entry to a change; hasNewState reports whether its state differs, too.
+	addTo(change *Change, hasNewState bool)
 }
 
-// keepable is a known entry of type K. Held entries are immutable, since others read them
+// mergeable is a known entry of type K. Held entries are immutable, since others read them
 // concurrently; changes are made to a copy.
-type keepable[K any] interface {
-	known
+type mergeable[K any] interface {
+	knownEntry
 	comparable
-	copied() K
-	// outlives reports whether the entry is newer than copied, an entry with its key from a backup
+	clone() K
+	// supersedes reports whether the entry is newer than other, an entry with its key from a backup
 	// of the store: a draining target, for instance, does not become open again in the same
 	// incarnation.
-	outlives(copied K) bool
+	supersedes(other K) bool
 }
 
-// records is a last-writer-wins map of the entries of one kind. Removed entries are kept for the
+// lwwMap is a last-writer-wins map of the entries of one kind. Removed entries are kept for the
 // retention period, since peers need their removal and open flows may still use them.
-type records[K keepable[K]] struct {
-	removed  *tombstones
-	restored *restoration
-	// doubted holds entries of a restored store that conflict with newer earlier state.
-	doubted map[string]K
-	byKey   map[string]K
+type lwwMap[K mergeable[K]] struct {
+	removed *tombstones
+	grace   *restoreGrace
+	// deferred holds entries of a restored store that conflict with newer earlier state.
+	deferred map[string]K
+	byKey    map[string]K
 	// gone holds the keys of removed entries, so that expiry needs no full scan.
 	gone map[string]bool
-	// recent indexes the entries by revision.
-	recent recentEntries[K]
+	// index indexes the entries by revision.
+	index revisionIndex[K]
 }
 
-func newRecords[K keepable[K]](removed *tombstones, restored *restoration) *records[K] {
-	return &records[K]{
-		removed: removed, restored: restored,
-		doubted: map[string]K{}, byKey: map[string]K{}, gone: map[string]bool{},
+func newLWWMap[K mergeable[K]](removed *tombstones, grace *restoreGrace) *lwwMap[K] {
+	return &lwwMap[K]{
+		removed: removed, grace: grace,
+		deferred: map[string]K{}, byKey: map[string]K{}, gone: map[string]bool{},
 	}
 }
 
 // present returns the number of entries that are not removed.
-func (r *records[K]) present() int { return len(r.byKey) - len(r.gone) }
+func (r *lwwMap[K]) present() int { return len(r.byKey) - len(r.gone) }
 
 // sorted returns all entries by key, including removed ones.
-func (r *records[K]) sorted() []K {
+func (r *lwwMap[K]) sorted() []K {
 	all := make([]K, 0, len(r.byKey))
 	for _, held := range r.byKey {
 		all = append(all, held)
@@ -85,48 +85,48 @@
 
 // merge merges an entry. An entry that is not held and whose revision is at most upTo, up to which
 // everything is known, has been removed since.
-func (r *records[K]) merge(learned K, upTo uint64, change *Change) {
+func (r *lwwMap[K]) merge(learned K, upTo uint64, change *Change) {
 	record := learned.record()
 	if record.Revision <= r.removed.revisionOf(record.Key) {
 		return
 	}
 	held, isHeld := r.byKey[record.Key]
 	switch {
-	case !isHeld && r.restored.lacks(r.removed.revisionOf(record.Key), record.Revision):
-		r.doubtFirst(learned, upTo)
+	case !isHeld && r.grace.isNewerThanBackup(r.removed.revisionOf(record.Key), record.Revision):
+		r.deferInitial(learned, upTo)
 		return
 	case isHeld && record.Revision <= held.record().Revision:
-		if !r.contradicts(learned, held) {
+		if !r.supersedesRestored(learned, held) {
 			return
 		}
-		r.doubt(held)
-	case isHeld && r.contradicts(held, learned):
-		r.doubtFirst(learned, upTo)
+		r.deferEntry(held)
+	case isHeld && r.supersedesRestored(held, learned):
+		r.deferInitial(learned, upTo)
 		return
 	default:
-		r.decide(record.Key, record.Revision)
+		r.dropDeferred(record.Key, record.Revision)
 	}
 	record.Gone = record.Revision <= upTo && r.wasAbsent(record, upTo)
 	if record.Gone {
 		// Peers that hold the entry must see its removal as newer.
 		record.Revision = upTo
 	}
-	r.place(learned, change)
+	r.put(learned, change)
 }
 
 // wasAbsent reports whether the complete state known up to revision upTo lacks the entry's key in
 // the entry's epoch.
-func (r *records[K]) wasAbsent(learned *Record, upTo uint64) bool {
+func (r *lwwMap[K]) wasAbsent(learned *Record, upTo uint64) bool {
 	held, isHeld := r.byKey[learned.Key]
 	if !isHeld {
-		return !r.restored.isBefore(learned.Revision)
+		return !r.grace.isEarlierEpoch(learned.Revision)
 	}
 	epoch := EpochOf(learned.Revision)
 	return EpochOf(held.record().Revision) < epoch && epoch == EpochOf(upTo)
 }
 
-// place stores an entry under its key, replacing the previous one.
-func (r *records[K]) place(learned K, change *Change) {
+// put stores an entry under its key, replacing the previous one.
+func (r *lwwMap[K]) put(learned K, change *Change) {
 	record := learned.record()
 	held, isHeld := r.byKey[record.Key]
 	r.byKey[record.Key] = learned
@@ -134,75 +134,75 @@
 	if record.Gone {
 		r.gone[record.Key] = true
 	}
-	r.removed.lift(record.Key)
-	r.note(learned)
+	r.removed.remove(record.Key)
+	r.addToIndex(learned)
 	if isHeld && held.identity() != learned.identity() {
-		held.note(change, false)
+		held.addTo(change, false)
 	}
-	learned.note(change, !isHeld || held.state() != learned.state())
+	learned.addTo(change, !isHeld || held.state() != learned.state())
 }
 
 // remove handles a removal and reports whether the key is held here.
-func (r *records[K]) remove(key string, revision uint64, at time.Time, change *Change) bool {
-	r.decide(key, revision)
+func (r *lwwMap[K]) remove(key string, revision uint64, at time.Time, change *Change) bool {
+	r.dropDeferred(key, revision)
 	held, isHeld := r.byKey[key]
 	switch {
 	case !isHeld:
 	case revision > held.record().Revision:
-		r.end(held, revision, at, change)
+		r.markGone(held, revision, at, change)
 	default:
-		r.removeFromCopy(held, revision, at, change)
+		r.removeRestored(held, revision, at, change)
 	}
 	return isHeld
 }
 
-// refuse handles an invalid entry under a key.
-func (r *records[K]) refuse(key string, revision uint64, at time.Time, change *Change) {
+// markInvalid handles an invalid entry under a key.
+func (r *lwwMap[K]) markInvalid(key string, revision uint64, at time.Time, change *Change) {
 	held, isHeld := r.byKey[key]
 	if !isHeld {
 		return
 	}
-	r.decide(key, revision)
+	r.dropDeferred(key, revision)
 	isNews := held.record().Gone && !held.record().Refused
-	refused := held.copied()
+	refused := held.clone()
 	refused.record().Refused = true
-	ended := r.end(refused, revision, at, change)
+	ended := r.markGone(refused, revision, at, change)
 	if isNews {
-		ended.note(change, false)
+		ended.addTo(change, false)
 	}
 }
 
-// isLater reports whether a newer state of the key is held than that of a revision. An entry
+// hasNewer reports whether a newer state of the key is held than that of a revision. An entry
 // written at that very revision counts as newer, as the removal may be a peer's report of an
 // invalid entry.
-func (r *records[K]) isLater(key string, revision uint64) bool {
+func (r *lwwMap[K]) hasNewer(key string, revision uint64) bool {
 	held, isHeld := r.byKey[key]
 	return isHeld && (held.record().Revision > revision || held.record().Written >= revision)
 }
 
-// conclude removes entries that a full list as of a revision lacks. The removals get the list's
+// dropUnlisted removes entries that a full list as of a revision lacks. The removals get the list's
 // revision, so that a later write counts as newer.
-func (r *records[K]) conclude(listed listedKeys, revision uint64, at time.Time, change *Change) {
-	missing := r.expiredFromCopy(listed, revision)
+func (r *lwwMap[K]) dropUnlisted(listed listedKeys, revision uint64, at time.Time, change *Change) {
+	missing := r.takeExpiredDeferred(listed, revision)
 	for key, held := range r.byKey {
 		isMissing := !listed.isListedIn(EpochOf(revision), key) && held.record().Revision <= revision
-		if isMissing && !r.restored.isBefore(held.record().Revision) {
+		if isMissing && !r.grace.isEarlierEpoch(held.record().Revision) {
 			missing = append(missing, key)
 		}
 	}
 	slices.Sort(missing) // in a fixed order, for seeded runs
 	for _, key := range missing {
 		if held, isHeld := r.byKey[key]; isHeld {
-			r.end(held, revision, at, change)
+			r.markGone(held, revision, at, change)
 		} else {
 			r.removed.add(key, revision, at)
 		}
 	}
 }
 
-// end marks an entry as removed and returns the copy that is now held.
-func (r *records[K]) end(held K, revision uint64, at time.Time, change *Change) K {
-	ended := held.copied()
+// markGone marks an entry as removed and returns the copy that is now held.
+func (r *lwwMap[K]) markGone(held K, revision uint64, at time.Time, change *Change) K {
+	ended := held.clone()
 	record := ended.record()
 	wasGone := record.Gone
 	record.Revision = max(record.Revision, revision)
@@ -212,24 +212,24 @@
 		r.gone[record.Key] = true
 	}
 	r.byKey[record.Key] = ended
-	r.note(ended)
+	r.addToIndex(ended)
 	if !wasGone {
-		ended.note(change, true)
+		ended.addTo(change, true)
 	}
 	return ended
 }
 
-// note adds an entry with a new revision to the index.
-func (r *records[K]) note(entry K) {
-	r.recent.add(entry.record().Revision, entry)
-	if r.recent.isWasteful(len(r.byKey)) {
-		r.recent.rebuild(r.byKey)
+// addToIndex adds an entry with a new revision to the index.
+func (r *lwwMap[K]) addToIndex(entry K) {
+	r.index.add(entry.record().Revision, entry)
+	if r.index.needsRebuild(len(r.byKey)) {
+		r.index.rebuild(r.byKey)
 	}
 }
 
 // expire drops entries that were removed at least the retention period ago and returns the highest
 // revision among them.
-func (r *records[K]) expire(now time.Time, retention time.Duration, change *Change) (forgotten uint64) {
+func (r *lwwMap[K]) expire(now time.Time, retention time.Duration, change *Change) (forgotten uint64) {
 	for _, key := range slices.Sorted(maps.Keys(r.gone)) {
 		held := r.byKey[key]
 		record := held.record()
@@ -240,24 +240,24 @@
 		delete(r.gone, key)
 		r.removed.add(key, record.Revision, now)
 		forgotten = max(forgotten, record.Revision)
-		held.note(change, false)
+		held.addTo(change, false)
 	}
 	return forgotten
 }
 
 // since returns the entries with a higher revision, oldest first.
-func (r *records[K]) since(now time.Time, revision uint64) []Entry {
-	return r.told(now, r.recent.after(revision))
+func (r *lwwMap[K]) since(now time.Time, revision uint64) []Entry {
+	return r.toEntries(now, r.index.after(revision))
 }
 
-// told returns index items as entries for peers. A removed entry is sent as last written and then
-// as removed, so that peers know what its open flows use.
-func (r *records[K]) told(now time.Time, places []listedEntry[K]) []Entry {
+// toEntries returns index items as entries for peers. A removed entry is sent as last written and
+// then as removed, so that peers know what its open flows use.
+func (r *lwwMap[K]) toEntries(now time.Time, items []indexItem[K]) []Entry {
 	var entries []Entry
-	for _, listed := range places {
-		held := listed.entry
+	for _, item := range items {
+		held := item.entry
 		record := held.record()
-		if record.Revision != listed.revision || r.byKey[record.Key] != held {
+		if record.Revision != item.revision || r.byKey[record.Key] != held {
 			continue // stale: a later item holds the current state
 		}
 		entry := entryOf(now, held)
@@ -273,9 +273,9 @@
 }
 
 // entryOf returns a known entry as sent to peers.
-func entryOf[K keepable[K]](now time.Time, held K) Entry {
+func entryOf[K mergeable[K]](now time.Time, held K) Entry {
 	record := held.record()
-	entry := held.described(now)
+	entry := held.toEntry(now)
 	entry.Key, entry.Revision, entry.Age = record.Key, record.Revision, max(0, now.Sub(record.LearnedAt))
 	return entry
 }
--- a/internal/storeview/orders.go
+++ b/internal/storeview/orders.go
@@ -47,23 +47,23 @@
 	return StateInForce
 }
 
-func (o *KnownOrder) copied() *KnownOrder {
-	copied := *o
-	return &copied
+func (o *KnownOrder) clone() *KnownOrder {
+	clone := *o
+	return &clone
 }
 
-func (o *KnownOrder) outlives(copied *KnownOrder) bool { return o.Gone && !copied.Gone }
+func (o *KnownOrder) supersedes(other *KnownOrder) bool { return o.Gone && !other.Gone }
 
 func (o *KnownOrder) identity() uint64 { return 0 }
 
 func (o *KnownOrder) state() string { return o.State() }
 
-func (o *KnownOrder) described(time.Time) Entry {
+func (o *KnownOrder) toEntry(time.Time) Entry {
 	order := o.Order
 	return Entry{Order: &order}
 }
 
-func (o *KnownOrder) note(change *Change, hasNewState bool) {
+func (o *KnownOrder) addTo(change *Change, hasNewState bool) {
 	if hasNewState {
 		change.Orders = append(change.Orders, *o)
 	}
--- a/internal/storeview/targets.go
+++ b/internal/storeview/targets.go
@@ -33,26 +33,26 @@
 	return StateOpen
 }
 
-func (t *KnownTarget) copied() *KnownTarget {
-	copied := *t
-	return &copied
+func (t *KnownTarget) clone() *KnownTarget {
+	clone := *t
+	return &clone
 }
 
-func (t *KnownTarget) outlives(copied *KnownTarget) bool {
+func (t *KnownTarget) supersedes(other *KnownTarget) bool {
 	switch {
-	case t.Incarnation != copied.Incarnation:
-		return t.Incarnation > copied.Incarnation
+	case t.Incarnation != other.Incarnation:
+		return t.Incarnation > other.Incarnation
 	case t.Gone:
-		return !copied.Gone
+		return !other.Gone
 	}
-	return t.Draining && !copied.Draining && !copied.Gone
+	return t.Draining && !other.Draining && !other.Gone
 }
 
 func (t *KnownTarget) identity() uint64 { return t.Identifier }
 
 func (t *KnownTarget) state() string { return t.State() }
 
-func (t *KnownTarget) described(now time.Time) Entry {
+func (t *KnownTarget) toEntry(now time.Time) Entry {
 	target := t.Target
 	target.ColdFor = max(0, t.WarmAt.Sub(now))
 	if !t.Gone {
@@ -62,10 +62,10 @@
 	return Entry{Target: &target}
 }
 
-func (t *KnownTarget) note(change *Change, hasNewState bool) {
+func (t *KnownTarget) addTo(change *Change, hasNewState bool) {
 	change.Targets = true
 	change.Altered = append(change.Altered, t)
 	if hasNewState {
-		change.detail(t.Key, t.State())
+		change.addDetail(t.Key, t.State())
 	}
 }
--- a/internal/storeview/tombstones_test.go
+++ b/internal/storeview/tombstones_test.go
@@ -9,7 +9,7 @@
 
 // A newly started daemon must pass on removals of entries that it never held, as peers may still
 // hold them.
-func TestARemovalOfWhatIsNotHeldIsToldToPeers(t *testing.T) {
+func TestTombstonesOfUnknownEntriesReachPeers(t *testing.T) {
 	started := New(time.Minute)
 	started.MergeAll(testStart, []Entry{configurationEntry(5, 1)}, 5)
 	started.Merge(testStart, []Entry{removalEntry("a", 6)})
