--- a/internal/overload/hold.go
+++ b/internal/overload/hold.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	// mostHold is how long a new flow may wait at a daemon for room: shorter than the pause after
-	// which a caller sends a packet again, which is 200 ms.
+	// mostHold limits how long a new flow may be queued. It is below the 200 ms after which callers
+	// retransmit.
 	mostHold = 100 * time.Millisecond
-	// holdShare is the part of a route's objective that may pass so. What is refused in the
-	// end leaves its caller time for another try.
+	// holdShare is the fraction of a route's objective that a new flow may be queued, so that a
+	// rejected caller has time for a retry.
 	holdShare = 1.0 / 6
 )
 
 const (
-	// mostDataHold is how long a request on an open flow may wait. Its caller sends it again
-	// meanwhile, once. Longer than a new flow, as it can't be refused: while it waits its
-	// caller asks for no more on the flow, which is what slows callers down.
+	// mostDataHold limits how long a request on an open flow may be queued; callers retransmit at
+	// most once in that time. It is longer than for new flows, since such requests cannot be
+	// rejected and the wait acts as backpressure: the caller sends no further request on the flow.
 	mostDataHold = 190 * time.Millisecond
-	// dataHoldShare is the part of a route's objective that may pass so.
+	// dataHoldShare is the fraction of a route's objective that such a request may be queued.
 	dataHoldShare = 1.0 / 2
 )
 
-// DataHoldFor returns how long a request on an open flow of a route may wait, by the time
-// that the route's answers should take; 0 if that is not known.
+// DataHoldFor returns how long a request on an open flow may be queued, given the route's latency
+// objective (0 if none).
 func DataHoldFor(objective time.Duration) time.Duration {
 	if objective <= 0 {
 		return mostDataHold
@@ -32,8 +32,8 @@
 	return min(mostDataHold, time.Duration(float64(objective)*dataHoldShare))
 }
 
-// HoldFor returns how long a new flow of a route may wait, by the time that its answers should
-// take; 0 if that is not known.
+// HoldFor returns how long a new flow may be queued, given the route's latency objective (0 if
+// none).
 func HoldFor(objective time.Duration) time.Duration {
 	if objective <= 0 {
 		return mostHold
@@ -41,12 +41,12 @@
 	return min(mostHold, time.Duration(float64(objective)*holdShare))
 }
 
-// places returns how many new flows of a rank may wait at once: those for which room is
-// expected while they may, and any number while there is no bound.
+// places returns how many new flows of a rank may be queued at once: as many as are expected to be
+// admitted in time, without limit while there is no concurrency limit.
 func (c *Controller) places(now time.Time, rank Rank) int {
 	bound, isBound := c.Bound(now)
 	if !isBound {
-		return math.MaxInt // it may go on at once
+		return math.MaxInt // admitted immediately
 	}
 	if rank == Ordinary {
 		bound = max(leastBound, bound-c.InProgress(now, Preferred))
--- a/internal/overload/lengths.go
+++ b/internal/overload/lengths.go
@@ -3,51 +3,49 @@
 import "slices"
 
 const (
-	// shortAnswer is the part of a route's usual length below which an answer is short:
-	// rejections are, where what a route serves is long.
+	// shortAnswer is the fraction of a route's usual answer length below which an answer is short,
+	// as rejections are.
 	shortAnswer = 1.0 / 3
-	// learnedAfter is how many answers a route's usual length is begun from, as their upper
-	// quartile: what a daemon sees first may for the most part be rejections.
+	// learnedAfter is the number of answers from which the usual length is initialized, as their
+	// upper quartile, since most of a daemon's first answers may be rejections.
 	learnedAfter = 16
-	// riseStep is by what part the usual length follows a longer answer, fallStep by what a
-	// shorter one. Their ratio makes it the length that one answer in six exceeds (Robbins,
-	// Monro, "A Stochastic Approximation Method", 1951), so that five rejections in six
-	// answers do not become usual. relearnStep is by what it follows a short one.
+	// riseStep and fallStep are the relative steps by which the usual length moves up for a longer
+	// answer and down for a shorter one. Their ratio makes it track the length that one answer in
+	// six exceeds (Robbins, Monro, "A Stochastic Approximation Method", 1951), so that it
+	// withstands five rejections in six answers. relearnStep is the step for a short answer.
 	riseStep    = 0.05
 	fallStep    = 0.01
 	relearnStep = 0.0005
-	// mostRoutes bounds the routes that are remembered.
+	// mostRoutes bounds the routes with learned lengths.
 	mostRoutes = 4096
 )
 
 const (
-	// fastMemory is over how many answers the share of short ones is taken now: a daemon of
-	// a large fleet sees as many in a second or two.
+	// fastMemory is the window, in answers, of the current share of short answers.
 	fastMemory = 64
-	// usualMemory is over how many answers it is taken for usual, and boundedMemory while
-	// work is bounded: rejections of minutes must not become usual.
+	// usualMemory is the window of the baseline share, boundedMemory that while the limit is
+	// active: minutes of rejections must not become the baseline.
 	usualMemory   = 4096
 	boundedMemory = 32768
-	// mostUsualBegun is the share that is usual at most after the first fastMemory answers:
-	// with more, a daemon that starts into overload would see none.
+	// mostUsualBegun caps the baseline initialized from the first fastMemory answers, so that a
+	// daemon that starts during overload detects it.
 	mostUsualBegun = 0.25
-	// Short answers count as rejections while their share now is more than countsTimes what
-	// is usual and countsOver more. The first keeps the chance of fastMemory answers from
-	// counting, the second few failing targets; it is below Config.Rejected, at which a
-	// bound rests.
+	// Short answers count as rejections while their current share exceeds countsTimes the baseline
+	// plus countsOver. The factor absorbs the variance of fastMemory answers, the margin a few
+	// failing targets; the margin must be below Config.Rejected, at which the limit is stable.
 	countsTimes = 2
 	countsOver  = 0.05
 )
 
-// lengths tells a route's rejections from its answers: rejections are short, and there are
-// more short answers than usual.
+// lengths tells a route's rejections from its other answers: rejections are short, and there are
+// more short answers than in the baseline.
 type lengths struct {
-	// first are the answers that the usual length is begun from.
+	// first holds the answer lengths from which the usual length is initialized.
 	first []uint32
-	// usual is the usual length in bytes, a high quantile.
+	// usual is the usual length in bytes, an estimate of a high quantile.
 	usual float64
-	// count is of how many answers shares are known; now and before are the shares of short
-	// ones, by exponential smoothing.
+	// count is the number of classified answers; now and before are the current and the baseline
+	// share of short ones, as EWMAs.
 	count       int
 	now, before float64
 }
@@ -56,7 +54,7 @@
 	held := c.lengths[route]
 	if held == nil {
 		if len(c.lengths) >= mostRoutes {
-			clear(c.lengths) // routes come and go; what still answers is learned again
+			clear(c.lengths) // routes in use are learned again
 		}
 		held = &lengths{}
 		c.lengths[route] = held
@@ -64,9 +62,9 @@
 	return held
 }
 
-// note takes in an answer. It returns how much it adds to the evidence of rejections, below
-// 0 if there are no more short answers than usual, and whether it counts as one. memory is
-// over how many answers the usual share of short ones follows.
+// note handles an answer. It returns its contribution to the evidence of overload, negative if
+// there are no more short answers than in the baseline, and whether it counts as a rejection.
+// memory is the window of the baseline share.
 func (l *lengths) note(length uint32, memory float64) (excess float64, isRejection bool) {
 	if l.usual == 0 {
 		l.begin(length)
@@ -82,12 +80,12 @@
 	return excess, isShort && l.counts()
 }
 
-// counts reports whether short answers count as rejections.
+// counts reports whether short answers currently count as rejections.
 func (l *lengths) counts() bool {
 	return l.count > fastMemory && l.now > countsTimes*l.before+countsOver
 }
 
-// begin gathers the answers that the usual length is begun from.
+// begin collects the first answers and initializes the usual length from them.
 func (l *lengths) begin(length uint32) {
 	l.first = append(l.first, length)
 	if len(l.first) < learnedAfter {
@@ -98,7 +96,7 @@
 	l.first = nil
 }
 
-// follow moves the usual length.
+// follow updates the usual length.
 func (l *lengths) follow(length float64, isShort bool) {
 	switch {
 	case length > l.usual:
@@ -110,7 +108,7 @@
 	}
 }
 
-// share moves the shares of short answers.
+// share updates the shares of short answers.
 func (l *lengths) share(isShort bool, memory float64) {
 	hit := 0.0
 	if isShort {
--- a/internal/overload/lengths_test.go
+++ b/internal/overload/lengths_test.go
@@ -9,18 +9,18 @@
 	"gotest.tools/v3/assert"
 )
 
-// mixedLoad is ten minutes of 100 requests a second that take 200 ms each at targets that
-// bound nothing themselves.
+// mixedLoad is ten minutes of 100 requests per second that take 200 ms each at targets without a
+// limit of their own.
 type mixedLoad struct {
-	// shortShare of the answers are short.
+	// shortShare is the share of short answers.
 	shortShare float64
-	// From overloadFrom to overloadUntil four in five answers are rejections.
+	// From overloadFrom until overloadUntil four in five answers are rejections.
 	overloadFrom, overloadUntil time.Duration
 	seed                        uint64
 }
 
-// mixedResult is what a mixedLoad leads to: requests that were refused, and those of them of
-// the last five minutes, and whether there is a bound in the end.
+// mixedResult counts rejected requests, in total and in the last five minutes, and reports whether
+// the limit is active at the end.
 type mixedResult struct {
 	refused, refusedLate int
 	isBound              bool
@@ -67,10 +67,10 @@
 	return result
 }
 
-// nearlyNone is how many of the 60,000 requests of a mixedLoad chance may have refused.
+// nearlyNone is how many of the 60,000 requests of a mixedLoad may be rejected by chance.
 const nearlyNone = 30
 
-// TestShortAnswersThatAreUsualBoundNothing: many routes' answers come in two lengths.
+// Many routes have answers of two lengths, which must not activate the limit.
 func TestShortAnswersThatAreUsualBoundNothing(t *testing.T) {
 	for _, oneIn := range []int{3, 4, 5, 6, 8, 20, 50} {
 		t.Run(fmt.Sprint("one in ", oneIn), func(t *testing.T) {
@@ -83,14 +83,13 @@
 	}
 }
 
-// TestABoundEndsAfterAnOverloadAlsoWhereShortAnswersAreUsual: a minute of rejections, after
-// which answers are as before.
+// The limit must end after a minute of rejections, also on routes with regular short answers.
 func TestABoundEndsAfterAnOverloadAlsoWhereShortAnswersAreUsual(t *testing.T) {
 	for _, oneIn := range []int{3, 5, 8, 20} {
 		t.Run(fmt.Sprint("one in ", oneIn), func(t *testing.T) {
 			for seed := range uint64(10) {
 				result := mixedLoad{shortShare: 1 / float64(oneIn), overloadFrom: time.Minute, overloadUntil: 2 * time.Minute, seed: seed}.play()
-				assert.Assert(t, result.refused > 1000, "the overload was not seen: %d, seed %d", result.refused, seed)
+				assert.Assert(t, result.refused > 1000, "overload not detected: %d, seed %d", result.refused, seed)
 				assert.Assert(t, result.refusedLate <= nearlyNone, "%d refused, seed %d", result.refusedLate, seed)
 				assert.Assert(t, !result.isBound, "seed %d", seed)
 			}
@@ -98,7 +97,7 @@
 	}
 }
 
-// TestOneFailingTargetOfAHundredBoundsNothing: its answers are errors, short and fast.
+// The short error answers of one failing target in a hundred must not activate the limit.
 func TestOneFailingTargetOfAHundredBoundsNothing(t *testing.T) {
 	const answers, pause = 300000, 2 * time.Millisecond
 	for seed := range uint64(5) {
@@ -117,12 +116,12 @@
 				bounded++
 			}
 		}
-		assert.Assert(t, bounded < answers/20, "bounded in %d of %d answers, seed %d", bounded, answers, seed)
+		assert.Assert(t, bounded < answers/20, "limit active for %d of %d answers, seed %d", bounded, answers, seed)
 	}
 }
 
-// TestADaemonThatStartsIntoOverloadSeesRejections: of a minute's answers, the first one
-// included, more than half are rejections.
+// A daemon that starts during overload must detect rejections, although more than half of its
+// answers, including the first, are rejections.
 func TestADaemonThatStartsIntoOverloadSeesRejections(t *testing.T) {
 	for seed := range uint64(5) {
 		random := rand.New(rand.NewPCG(seed, 2))
@@ -138,13 +137,12 @@
 				seen++
 			}
 		}
-		assert.Assert(t, seen > 1000, "%d rejections seen of some 3,840, seed %d", seen, seed)
+		assert.Assert(t, seen > 1000, "%d of some 3,840 rejections detected, seed %d", seen, seed)
 	}
 }
 
-// TestAFewMoreShortAnswersThanUsualBeginFewBounds: a daemon of a large fleet sees a dozen answers a
-// second, of which a fifth are short although none were at first. That is no overload, and is
-// learned to be usual. Where every short answer is evidence, 154 bounds begin.
+// A moderate increase of short answers is no overload and becomes the baseline, without the limit
+// being activated again and again.
 func TestAFewMoreShortAnswersThanUsualBeginFewBounds(t *testing.T) {
 	begun := 0
 	for seed := range uint64(20) {
@@ -162,5 +160,5 @@
 			}
 		}
 	}
-	assert.Assert(t, begun <= 75, "%d bounds in 20 times five minutes", begun)
+	assert.Assert(t, begun <= 75, "limit activated %d times in 20 times five minutes", begun)
 }
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -1,12 +1,9 @@
-// Package overload decides how much of one service's work a daemon lets through, and whose
-// goes first, while callers ask for more than the targets can serve.
-//
-// A unit of work is one request in progress at a target, from the caller's data, or the
-// opening packet of its flow, to the first byte of the answer. A Controller bounds this
-// daemon's units at a whole service. The bound follows what targets turn away, so that all
-// daemons find their parts without a message: each sees the same share of rejections, and
-// none falls below its equal part of the targets' slots. While targets turn nothing away
-// there is no bound. The package does no I/O and holds no clock.
+// Package overload is an adaptive concurrency limiter with priorities. A Controller limits one
+// daemon's requests in progress at one service, where a request runs from the caller's data, or the
+// first packet of its flow, to the first byte of the answer. The limit adapts to the share of
+// rejections among the targets' answers, which is the same at all daemons, so that they need no
+// coordination; it is never below the daemon's fair share of the targets' slots. While targets
+// reject nothing there is no limit. The package does no I/O and reads no clock.
 package overload
 
 import (
@@ -14,23 +11,21 @@
 	"time"
 )
 
-// Rank orders work.
+// Rank is the priority class of a request or flow.
 type Rank uint8
 
-// The ranks.
 const (
-	// Preferred work goes before ordinary work wherever they contend.
+	// Preferred requests take precedence over ordinary ones.
 	Preferred Rank = iota
 	Ordinary
 
 	rankCount
 )
 
-// mostPreferredPriority is up to what priority of its route, 0 being highest, work is
-// preferred.
+// mostPreferredPriority is the lowest route priority, 0 being the highest, that is preferred.
 const mostPreferredPriority = 1
 
-// RankOf returns the rank of a route's priority.
+// RankOf returns the rank of a route priority.
 func RankOf(priority int) Rank {
 	if priority <= mostPreferredPriority {
 		return Preferred
@@ -38,68 +33,67 @@
 	return Ordinary
 }
 
-// Config is how a service's work is bounded.
+// Config configures the limiter of a service.
 type Config struct {
-	// Enabled says whether it is at all.
 	Enabled bool
-	// PerSlot is how many requests in progress for each of the targets' slots all daemons
-	// together let through in any case. More keeps slots busy while answers travel; with
-	// too many, targets turn requests away before the bound is felt.
+	// PerSlot is the number of requests in progress per target slot that all daemons together
+	// always admit. It should be above 1 to keep slots busy while answers are in transit; if it is
+	// too high, targets reject requests before the limit takes effect.
 	PerSlot float64
-	// Rejected is the share of answers that may be rejections before the bound falls. With
-	// less, targets stand idle between requests; with more, callers wait at a target only
-	// to be turned away.
+	// Rejected is the share of rejections among answers at which the limit is stable. If it is too
+	// low, targets idle between requests; if too high, callers wait for targets only to be
+	// rejected.
 	Rejected float64
 }
 
-// DefaultConfig returns what holds where nothing is said.
 func DefaultConfig() Config { return Config{Enabled: true, PerSlot: 2, Rejected: 0.15} }
 
 const (
-	// gain is by what part a rejection lowers the bound. A daemon of a large fleet sees
-	// some tens of answers a second: with a tenth it halves its bound within ten rejections.
+	// gain is the relative step of the limit per rejection. At 0.1 about ten rejections halve it,
+	// at a rate of some tens of answers per second in a large fleet.
 	gain = 0.1
-	// evidenceMemory is over what time rejections are counted before there is a bound,
-	// evidenceLeast how many it takes: few short answers may be answers all the same.
+	// evidenceMemory is the decay time of the evidence of overload while there is no limit,
+	// evidenceLeast the evidence that activates the limit, as a few short answers may be regular
+	// ones.
 	evidenceMemory = time.Second
 	evidenceLeast  = 5
-	// calm is how long after the last rejection, and after the bound was last felt, there
-	// is none any more: longer than callers' returns after a refusal. Fewer rejections than
-	// Config.Rejected do not keep a bound that nobody feels.
+	// calm is how long the limit outlasts the last rejection and the last time it took effect. It
+	// is longer than the retry delay of rejected callers. Rejections below Config.Rejected do not
+	// prolong a limit that has no effect.
 	calm = 3 * time.Second
-	// felt is how long after work was held or refused answers count as given under the
-	// bound: a bound that nobody feels must not rise.
+	// felt is how long after a request was queued or rejected the limit may grow: a limit that has
+	// no effect must not grow.
 	felt = 200 * time.Millisecond
-	// preferredExcess is how many times the bound preferred work may take: callers are spread
-	// over daemons by chance, and what one daemon has too much of another has too little.
+	// preferredExcess is the multiple of the limit that preferred requests may use, since callers
+	// are spread randomly over daemons.
 	preferredExcess = 3
-	// openingLife is how long a new flow counts as work until its caller's data is seen: a
-	// round trip between caller and target, with some slack.
+	// openingLife is the decay time of new flows in the count of requests in progress, until their
+	// data is seen: a round trip between caller and target, with some slack.
 	openingLife = 150 * time.Millisecond
-	// floorInterval is how often one ordinary flow goes on although preferred work has
-	// taken all: nobody is starved for good.
+	// floorInterval is how often an ordinary flow is admitted regardless of the limit, to prevent
+	// starvation by preferred requests.
 	floorInterval = time.Second
-	// leastBound keeps a daemon of a large fleet serving: one request at a time.
+	// leastBound lets a daemon of a large fleet serve one request at a time.
 	leastBound = 1
 )
 
-// Controller bounds the work of one service through one daemon. It is not safe for
-// concurrent use. A nil controller bounds nothing.
+// Controller limits one daemon's requests in progress at one service. It is not safe for concurrent
+// use. A nil Controller limits nothing.
 type Controller struct {
 	config Config
-	// share is this daemon's equal part of what the targets can take, 0 if not known.
+	// share is this daemon's fair share of the targets' capacity, 0 if unknown.
 	share float64
-	// bound is meaningful while isBound. What holds is no less than share; a share of a moment
-	// leaves no trace in it.
+	// bound is valid while isBound. Bound returns at least share; the clamping is not stored, so
+	// that a momentarily wrong share has no lasting effect.
 	bound   float64
 	isBound bool
 
-	// rejected is the share of rejections among the last fastMemory answers or so.
+	// rejected is the share of rejections among recent answers, an EWMA over fastMemory answers.
 	rejected float64
 
 	evidence   float64
 	evidenceAt time.Time
-	begunAt    time.Time // the bound
+	begunAt    time.Time // when the limit was activated
 	rejectedAt time.Time
 	feltAt     time.Time
 	floorAt    time.Time
@@ -111,13 +105,12 @@
 	lengths map[uint32]*lengths
 }
 
-// New makes a controller.
 func New(config Config) *Controller {
 	return &Controller{config: config, lengths: map[uint32]*lengths{}}
 }
 
-// SetShare says how many slots the service's live targets have, and among how many daemons
-// they are shared. Where one of them is 0, it is not known, and there is no bound.
+// SetShare sets the number of slots of the service's live targets and of the daemons that share
+// them. If either is 0, it is unknown and there is no limit.
 func (c *Controller) SetShare(slots, daemons int) {
 	c.share = 0
 	if daemons > 0 && slots > 0 {
@@ -125,7 +118,7 @@
 	}
 }
 
-// Opened counts a new flow that goes to a target.
+// Opened counts a new flow to a target.
 func (c *Controller) Opened(now time.Time, rank Rank) {
 	if c == nil {
 		return
@@ -134,7 +127,7 @@
 	c.openingAt[rank] = now
 }
 
-// Established says that a flow that was opened shows its work by itself from now on.
+// Established stops counting a new flow, whose requests are counted by Begin from now on.
 func (c *Controller) Established(now time.Time, rank Rank) {
 	if c == nil {
 		return
@@ -148,27 +141,26 @@
 	return c.opening[rank] * math.Exp(-max(age, 0))
 }
 
-// Begin counts a request that waits for a target, End one that does so no longer.
+// Begin counts a request that waits for a target; End must be called when it no longer does.
 func (c *Controller) Begin(rank Rank) {
 	if c != nil {
 		c.waiting[rank]++
 	}
 }
 
-// End is the end of what Begin counted.
+// End ends what Begin counted.
 func (c *Controller) End(rank Rank) {
 	if c != nil {
 		c.waiting[rank]--
 	}
 }
 
-// InProgress returns the units of work of a rank.
+// InProgress returns the number of requests of a rank in progress, including new flows.
 func (c *Controller) InProgress(now time.Time, rank Rank) float64 {
 	return float64(c.waiting[rank]) + c.openings(now, rank)
 }
 
-// Bound returns how many units of work are let through; it reports false while there is no
-// bound.
+// Bound returns the concurrency limit, or false if there is none.
 func (c *Controller) Bound(now time.Time) (float64, bool) {
 	if c == nil || !c.isBound || c.share == 0 || !c.config.Enabled {
 		return 0, false
@@ -179,8 +171,8 @@
 	return max(c.bound, c.share), true
 }
 
-// expire ends a bound that nobody has felt for calm, if there were no rejections for as long
-// or their share is one at which a bound would not fall.
+// expire deactivates a limit that was active for calm but had no effect in that time, once there
+// were no rejections for calm or their share is below Config.Rejected.
 func (c *Controller) expire(now time.Time) {
 	isFew := now.Sub(c.rejectedAt) >= calm || c.rejected < c.config.Rejected
 	if isFew && now.Sub(c.feltAt) >= calm && now.Sub(c.begunAt) >= calm {
@@ -188,8 +180,8 @@
 	}
 }
 
-// Admit reports whether work of a rank may go on now. Preferred work contends only with
-// its like; ordinary work takes what that leaves.
+// Admit reports whether a request of a rank may proceed now. Preferred requests compete only with
+// each other; ordinary ones use what they leave.
 func (c *Controller) Admit(now time.Time, rank Rank) bool {
 	bound, isBound := c.Bound(now)
 	if !isBound {
@@ -208,8 +200,8 @@
 	return false
 }
 
-// AdmitFlow reports whether a new flow of a rank may go on now. One ordinary flow may once
-// in floorInterval, whatever is in progress.
+// AdmitFlow reports whether a new flow of a rank may proceed now. One ordinary flow per
+// floorInterval is admitted regardless of the limit.
 func (c *Controller) AdmitFlow(now time.Time, rank Rank) bool {
 	if c.Admit(now, rank) {
 		return true
@@ -221,12 +213,12 @@
 	return true
 }
 
-// roundingSlack lets the last whole unit of a bound through although new flows fade only
-// slowly from what is counted.
+// roundingSlack admits the last whole unit of a limit although counted new flows decay only
+// gradually.
 const roundingSlack = 0.5
 
-// NoteAnswer takes in the length, in bytes, of the beginning of a route's answer, and
-// reports whether the target turned the request away.
+// NoteAnswer handles the length, in bytes, of the beginning of a route's answer and reports whether
+// the target rejected the request.
 func (c *Controller) NoteAnswer(now time.Time, route uint32, length uint32) (isRejection bool) {
 	if c == nil || !c.config.Enabled {
 		return false
@@ -252,7 +244,7 @@
 	return false
 }
 
-// noteRejection lowers the bound, or, if there is none, sets it once the rejections suffice.
+// noteRejection lowers the limit, or activates it once there is enough evidence of overload.
 func (c *Controller) noteRejection(now time.Time) {
 	c.rejectedAt = now
 	if c.isBound {
@@ -268,9 +260,9 @@
 	c.bound = max(c.share, c.InProgress(now, Preferred)+c.InProgress(now, Ordinary))
 }
 
-// noteEvidence sums, while there is no bound, by how much short answers exceed what is usual
-// (a cumulative sum, as of Page, "Continuous Inspection Schemes", 1954). Those that came before
-// the route's share of them was one that counts are evidence with the first that does.
+// noteEvidence accumulates the excess of short answers over the baseline while there is no limit,
+// as a decaying cumulative sum (CUSUM: Page, "Continuous Inspection Schemes", 1954). Short answers
+// from before the route's share exceeds its threshold are part of the evidence.
 func (c *Controller) noteEvidence(now time.Time, excess float64) {
 	faded := c.evidence * math.Exp(-float64(now.Sub(c.evidenceAt))/float64(evidenceMemory))
 	c.evidence = max(0, faded+excess)
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -15,7 +15,8 @@
 	rejectSize = 150
 )
 
-// learned is a controller that knows how long answers are, one of ten daemons before 20 slots.
+// learned returns a controller with learned answer lengths, at one of ten daemons that share 20
+// slots.
 func learned(t *testing.T) *Controller {
 	t.Helper()
 	controller := New(DefaultConfig())
@@ -26,17 +27,17 @@
 	return controller
 }
 
-// beforeItCounts is how many short answers come before their share is one that counts, where
-// none are usual.
+// beforeItCounts is the number of short answers before the share of short ones exceeds the
+// threshold, from a baseline of 0.
 const beforeItCounts = 3
 
-// rejected is a controller whose targets have turned some requests away.
+// rejected returns a controller whose targets rejected count requests.
 func rejected(t *testing.T, count int) *Controller {
 	t.Helper()
 	controller := learned(t)
 	for index := range count {
 		if index < beforeItCounts {
-			assert.Assert(t, !controller.NoteAnswer(start, route, rejectSize), "few short answers may be answers")
+			assert.Assert(t, !controller.NoteAnswer(start, route, rejectSize), "a few short answers are not rejections")
 			continue
 		}
 		assert.Assert(t, controller.NoteAnswer(start, route, rejectSize))
@@ -44,7 +45,7 @@
 	return controller
 }
 
-// admitted counts how many requests of a rank go on.
+// admitted counts how many requests of a rank are admitted.
 func admitted(controller *Controller, now time.Time, rank Rank) int {
 	for count := range 100 {
 		if !controller.Admit(now, rank) {
@@ -68,14 +69,14 @@
 	assert.Equal(t, admitted(controller, start, Ordinary), 4)
 	assert.Assert(t, !controller.Admit(start, Ordinary))
 	controller.End(Ordinary)
-	assert.Assert(t, controller.Admit(start, Ordinary), "the next goes on when one has ended")
+	assert.Assert(t, controller.Admit(start, Ordinary), "a request is admitted once another has ended")
 }
 
 func TestPreferredWorkGoesOnWhereOrdinaryWorkHasTakenAll(t *testing.T) {
 	controller := rejected(t, 100)
 	admitted(controller, start, Ordinary)
 	assert.Assert(t, controller.Admit(start, Preferred))
-	t.Run("and takes room from ordinary work", func(t *testing.T) {
+	t.Run("and displaces ordinary requests", func(t *testing.T) {
 		controller := rejected(t, 100)
 		admitted(controller, start, Preferred)
 		assert.Equal(t, admitted(controller, start, Ordinary), 0)
@@ -92,7 +93,7 @@
 		}
 		controller.rejectedAt = start.Add(time.Duration(tick) * 100 * time.Millisecond)
 	}
-	assert.Equal(t, count, 10, "one in floorInterval")
+	assert.Equal(t, count, 10, "one per floorInterval")
 }
 
 func TestTheBoundRisesWithAnswersWhileItIsFelt(t *testing.T) {
@@ -104,7 +105,7 @@
 	}
 	after, _ := controller.Bound(start)
 	assert.Assert(t, after > 2*before, "%v after %v", after, before)
-	t.Run("and not while nobody feels it", func(t *testing.T) {
+	t.Run("and not while it has no effect", func(t *testing.T) {
 		controller := rejected(t, 100)
 		before, _ := controller.Bound(start)
 		for range 100 {
@@ -146,7 +147,6 @@
 	assert.Equal(t, admitted(controller, start, Ordinary), 1)
 }
 
-// TestRejectionsDoNotBecomeUsual: under overload most answers are rejections.
 func TestRejectionsDoNotBecomeUsual(t *testing.T) {
 	controller := rejected(t, beforeItCounts)
 	for range 1000 {
@@ -163,10 +163,10 @@
 	controller.Begin(Ordinary)
 	assert.Equal(t, controller.InProgress(start, Ordinary), 1.0)
 	controller.Opened(start, Preferred)
-	assert.Assert(t, controller.InProgress(start.Add(10*openingLife), Preferred) < 0.01, "a flow that is given up")
+	assert.Assert(t, controller.InProgress(start.Add(10*openingLife), Preferred) < 0.01, "an abandoned flow")
 }
 
-// waitAt is a packet that waits from start on for room at a service.
+// waitAt returns a packet queued at start for a service.
 func waitAt(controller *Controller, rank Rank, isOpening bool, name string) Waiting[string] {
 	return Waiting[string]{Load: controller, Rank: rank, IsOpening: isOpening, At: start, Until: start.Add(mostHold), Packet: name}
 }
@@ -183,14 +183,14 @@
 	first, _ := queue.Take(start)
 	assert.Equal(t, first.Packet, "three")
 	_, found := queue.Take(start)
-	assert.Assert(t, !found, "there is no room for ordinary work")
+	assert.Assert(t, !found, "the limit is reached for ordinary requests")
 	controller.End(Ordinary)
 	second, _ := queue.Take(start)
 	assert.Equal(t, second.Packet, "one")
 	controller.Begin(Ordinary)
 	third, found := queue.Take(start.Add(mostHold))
 	assert.Assert(t, found)
-	assert.Equal(t, third.Packet, "two", "it has waited for as long as it may")
+	assert.Equal(t, third.Packet, "two", "it has reached its deadline")
 }
 
 func TestAFlowForWhichNoRoomIsExpectedDoesNotWait(t *testing.T) {
@@ -204,13 +204,13 @@
 	assert.Equal(t, queue.Len(), 5)
 }
 
-// TestAShareOfAMomentLeavesNoTrace: members may be lost from view for a moment.
+// A momentarily wrong number of daemons must have no lasting effect on the limit.
 func TestAShareOfAMomentLeavesNoTrace(t *testing.T) {
 	controller := rejected(t, 100)
 	before, _ := controller.Bound(start)
 	controller.SetShare(20, 1)
 	during, _ := controller.Bound(start)
-	assert.Assert(t, during > before, "the bound is no lower than the equal part")
+	assert.Assert(t, during > before, "the limit is at least the fair share")
 	controller.NoteAnswer(start, route, rejectSize)
 	controller.SetShare(20, 10)
 	after, _ := controller.Bound(start)
@@ -239,7 +239,7 @@
 	assert.Assert(t, !none.NoteAnswer(start, route, rejectSize))
 }
 
-// TestAFlowMayWaitWhereTheBoundHasJustGone: between the decision to hold it and its place.
+// The limit may expire between the decision to queue a flow and its queuing.
 func TestAFlowMayWaitWhereTheBoundHasJustGone(t *testing.T) {
 	controller := rejected(t, 100)
 	admitted(controller, start, Ordinary)
--- a/internal/overload/queue.go
+++ b/internal/overload/queue.go
@@ -6,41 +6,41 @@
 	"time"
 )
 
-// Flow names a flow by its two ends, and tells its opening from what is sent on it once it is
-// open: one does not wait behind the other. The zero Flow is none.
+// Flow identifies a flow by its two endpoints, and whether it is being opened: packets that open it
+// and those that follow do not queue behind each other. The zero Flow means none.
 type Flow struct {
 	Source, Destination netip.AddrPort
 	IsOpening           bool
 }
 
-// Waiting is a packet that waits for its service to have room.
+// Waiting is a queued packet.
 type Waiting[T any] struct {
 	Load *Controller
 	Rank Rank
-	// Flow is what the packet belongs to; later ones of it wait behind it.
+	// Flow is the packet's flow; later packets of it are queued behind this one.
 	Flow Flow
-	// IsOpening says that the packet opens a flow, and can be refused.
+	// IsOpening reports whether the packet opens a flow, so that it may be rejected.
 	IsOpening bool
-	// At is when the packet came, Until when it waits no longer.
+	// At is the arrival time, Until the deadline for waiting.
 	At, Until time.Time
 	Packet    T
-	// Behind are later packets of the flow, in order. They go on together with Packet.
+	// Behind holds later packets of the flow, in order. They leave the queue with Packet.
 	Behind []T
 }
 
-// Queue holds packets until their services have room. What costs time with each packet that
-// comes does not grow with how many wait: only the first of a line is looked at. It is not
-// safe for concurrent use.
+// Queue holds packets until their services can admit them. The work per arriving packet does not
+// grow with the number of queued packets, as only the head of each line is examined. It is not safe
+// for concurrent use.
 type Queue[T any] struct {
 	most int
-	// count is how many packets wait.
+	// count is the number of queued packets.
 	count int
 	lines []*line[T]
 	flows map[Flow]*Waiting[T]
 }
 
-// line is what waits for the same room, for equally long: the first that came is also the
-// first that has waited for too long.
+// line is a FIFO of packets with the same controller, rank and maximum wait, so that its head is
+// also the first to reach its deadline.
 type line[T any] struct {
 	load      *Controller
 	rank      Rank
@@ -49,16 +49,16 @@
 	waiting   []*Waiting[T]
 }
 
-// NewQueue makes a queue of at most so many packets.
+// NewQueue returns a queue for at most most packets.
 func NewQueue[T any](most int) *Queue[T] {
 	return &Queue[T]{most: most, flows: map[Flow]*Waiting[T]{}}
 }
 
-// Len returns how many packets wait.
+// Len returns the number of queued packets.
 func (q *Queue[T]) Len() int { return q.count }
 
-// Of returns the first packet of a flow that waits, nil if none does. It is valid until the
-// queue changes.
+// Of returns the first queued packet of a flow, nil if there is none. It is valid until the queue
+// changes.
 func (q *Queue[T]) Of(flow Flow) *Waiting[T] {
 	if q.count == 0 {
 		return nil
@@ -66,15 +66,14 @@
 	return q.flows[flow]
 }
 
-// HasPlace reports whether a packet may wait: the queue is not full, and if it opens a flow,
-// room is expected in time for one more of the rank.
+// HasPlace reports whether a packet may be queued: the queue is not full and, if the packet opens a
+// flow, another flow of its rank is expected to be admitted in time.
 func (q *Queue[T]) HasPlace(now time.Time, load *Controller, rank Rank, isOpening bool) bool {
 	return q.count < q.most && (!isOpening || q.opening(load, rank) < load.places(now, rank))
 }
 
-// Put lets a packet wait. It reports false if there is no place. One of a flow of which others
-// wait goes behind them. One that waited before and must once more gets its place by when it
-// came.
+// Put queues a packet. It reports false if there is no room. A packet is queued behind earlier ones
+// of its flow. One that is queued again keeps its position by arrival time.
 func (q *Queue[T]) Put(now time.Time, added Waiting[T]) bool {
 	if !q.HasPlace(now, added.Load, added.Rank, added.IsOpening) {
 		return false
@@ -96,7 +95,7 @@
 	return true
 }
 
-// lineOf returns the line that a packet waits in.
+// lineOf returns the line for a packet.
 func (q *Queue[T]) lineOf(added *Waiting[T]) *line[T] {
 	hold := added.Until.Sub(added.At)
 	for _, line := range q.lines {
@@ -109,7 +108,7 @@
 	return line
 }
 
-// opening returns how many new flows of a rank wait for a service.
+// opening returns the number of queued new flows of a rank to a service.
 func (q *Queue[T]) opening(load *Controller, rank Rank) int {
 	count := 0
 	for _, line := range q.lines {
@@ -120,9 +119,8 @@
 	return count
 }
 
-// Take takes out the packet that goes on next, if one does, with those behind it: for which
-// there is room, or that has waited for as long as it may. Preferred ones go first, and of a
-// rank the earliest.
+// Take removes and returns the next packet that is admitted or has reached its deadline, with those
+// behind it. Preferred packets come first, then the earliest.
 func (q *Queue[T]) Take(now time.Time) (taken Waiting[T], found bool) {
 	var best *line[T]
 	for _, line := range q.lines {
@@ -140,7 +138,7 @@
 	return q.remove(best, 0), true
 }
 
-// TakeFlow takes out what waits of a flow, if something does.
+// TakeFlow removes and returns the queued packets of a flow.
 func (q *Queue[T]) TakeFlow(flow Flow) (taken Waiting[T], found bool) {
 	first := q.Of(flow)
 	if first == nil {
@@ -150,7 +148,7 @@
 	return q.remove(line, slices.Index(line.waiting, first)), true
 }
 
-// remove takes one out of a line, and the line out if nobody waits in it any more.
+// remove removes a packet from a line, and the line once it is empty.
 func (q *Queue[T]) remove(from *line[T], place int) Waiting[T] {
 	taken := from.waiting[place]
 	from.waiting = slices.Delete(from.waiting, place, place+1)
--- a/internal/overload/queue_test.go
+++ b/internal/overload/queue_test.go
@@ -11,8 +11,7 @@
 
 var someone = netip.MustParseAddrPort("192.0.2.1:1000")
 
-// BenchmarkTakeAmongWaiting is the work that a queue takes with each packet that comes, by how
-// many wait in it.
+// BenchmarkTakeAmongWaiting measures the queue's work per arriving packet by queue length.
 func BenchmarkTakeAmongWaiting(b *testing.B) {
 	for _, count := range []int{0, 8, 128, 512} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -39,7 +38,7 @@
 	}
 }
 
-// waitOn is a packet of an open flow that waits from start on.
+// waitOn returns a packet of an open flow queued at start.
 func waitOn(controller *Controller, name string) Waiting[string] {
 	waiting := waitAt(controller, Ordinary, false, name)
 	waiting.Flow = Flow{Source: someone}
@@ -93,8 +92,7 @@
 	assert.Equal(t, taken.Packet, "first")
 }
 
-// TestEachWaitsNoLongerThanItsOwnTime: new flows may wait for less long than data that came
-// before them.
+// A new flow may reach its deadline before data that was queued earlier.
 func TestEachWaitsNoLongerThanItsOwnTime(t *testing.T) {
 	controller := rejected(t, 100)
 	admitted(controller, start, Ordinary)
