--- a/internal/overload/lengths_test.go
+++ b/internal/overload/answerlengths_test.go
@@ -23,10 +23,10 @@
 // the limit is active at the end.
 type mixedResult struct {
 	refused, refusedLate int
-	isBound              bool
+	isLimited            bool
 }
 
-func (m mixedLoad) play() (result mixedResult) {
+func (m mixedLoad) run() (result mixedResult) {
 	const (
 		requests = 60000
 		pause    = 10 * time.Millisecond
@@ -63,48 +63,48 @@
 		controller.Begin(Ordinary)
 		ends = append(ends, now.Add(work))
 	}
-	_, result.isBound = controller.Bound(now)
+	_, result.isLimited = controller.Bound(now)
 	return result
 }
 
-// nearlyNone is how many of the 60,000 requests of a mixedLoad may be rejected by chance.
-const nearlyNone = 30
+// maxChanceRejections is how many of the 60,000 requests of a mixedLoad may be rejected by chance.
+const maxChanceRejections = 30
 
 // Many routes have answers of two lengths, which must not activate the limit.
-func TestShortAnswersThatAreUsualBoundNothing(t *testing.T) {
+func TestRegularShortAnswersDoNotActivateLimit(t *testing.T) {
 	for _, oneIn := range []int{3, 4, 5, 6, 8, 20, 50} {
 		t.Run(fmt.Sprint("one in ", oneIn), func(t *testing.T) {
 			for seed := range uint64(10) {
-				result := mixedLoad{shortShare: 1 / float64(oneIn), seed: seed}.play()
-				assert.Assert(t, result.refused <= nearlyNone, "%d refused, seed %d", result.refused, seed)
-				assert.Assert(t, !result.isBound, "seed %d", seed)
+				result := mixedLoad{shortShare: 1 / float64(oneIn), seed: seed}.run()
+				assert.Assert(t, result.refused <= maxChanceRejections, "%d refused, seed %d", result.refused, seed)
+				assert.Assert(t, !result.isLimited, "seed %d", seed)
 			}
 		})
 	}
 }
 
 // The limit must end after a minute of rejections, also on routes with regular short answers.
-func TestABoundEndsAfterAnOverloadAlsoWhereShortAnswersAreUsual(t *testing.T) {
+func TestLimitEndsAfterOverloadDespiteShortAnswers(t *testing.T) {
 	for _, oneIn := range []int{3, 5, 8, 20} {
 		t.Run(fmt.Sprint("one in ", oneIn), func(t *testing.T) {
 			for seed := range uint64(10) {
-				result := mixedLoad{shortShare: 1 / float64(oneIn), overloadFrom: time.Minute, overloadUntil: 2 * time.Minute, seed: seed}.play()
+				result := mixedLoad{shortShare: 1 / float64(oneIn), overloadFrom: time.Minute, overloadUntil: 2 * time.Minute, seed: seed}.run()
 				assert.Assert(t, result.refused > 1000, "overload not detected: %d, seed %d", result.refused, seed)
-				assert.Assert(t, result.refusedLate <= nearlyNone, "%d refused, seed %d", result.refusedLate, seed)
-				assert.Assert(t, !result.isBound, "seed %d", seed)
+				assert.Assert(t, result.refusedLate <= maxChanceRejections, "%d refused, seed %d", result.refusedLate, seed)
+				assert.Assert(t, !result.isLimited, "seed %d", seed)
 			}
 		})
 	}
 }
 
 // The short error answers of one failing target in a hundred must not activate the limit.
-func TestOneFailingTargetOfAHundredBoundsNothing(t *testing.T) {
+func TestOneFailingTargetDoesNotActivateLimit(t *testing.T) {
 	const answers, pause = 300000, 2 * time.Millisecond
 	for seed := range uint64(5) {
 		random := rand.New(rand.NewPCG(seed, 2))
 		controller := New(DefaultConfig())
 		controller.SetShare(200, 3)
-		bounded := 0
+		limited := 0
 		for index := range answers {
 			now := start.Add(time.Duration(index) * pause)
 			length := uint32(answerSize)
@@ -112,17 +112,17 @@
 				length = rejectSize
 			}
 			controller.NoteAnswer(now, route, length)
-			if _, isBound := controller.Bound(now); isBound {
-				bounded++
+			if _, isLimited := controller.Bound(now); isLimited {
+				limited++
 			}
 		}
-		assert.Assert(t, bounded < answers/20, "limit active for %d of %d answers, seed %d", bounded, answers, seed)
+		assert.Assert(t, limited < answers/20, "limit active for %d of %d answers, seed %d", limited, answers, seed)
 	}
 }
 
 // A daemon that starts during overload must detect rejections, although more than half of its
 // answers, including the first, are rejections.
-func TestADaemonThatStartsIntoOverloadSeesRejections(t *testing.T) {
+func TestDetectsRejectionsWhenStartedDuringOverload(t *testing.T) {
 	for seed := range uint64(5) {
 		random := rand.New(rand.NewPCG(seed, 2))
 		controller := New(DefaultConfig())
@@ -143,22 +143,22 @@
 
 // A moderate increase of short answers is no overload and becomes the baseline, without the limit
 // being activated again and again.
-func TestAFewMoreShortAnswersThanUsualBeginFewBounds(t *testing.T) {
-	begun := 0
+func TestModerateIncreaseOfShortAnswersRarelyActivatesLimit(t *testing.T) {
+	activations := 0
 	for seed := range uint64(20) {
-		random, c, now := rand.New(rand.NewPCG(seed, 3)), learned(t), start
+		random, c, now := rand.New(rand.NewPCG(seed, 3)), newLearnedController(t), start
 		for range 12 * 300 {
 			now = now.Add(time.Duration(random.ExpFloat64() * float64(time.Second) / 12))
 			length := uint32(answerSize)
 			if random.IntN(5) == 0 {
 				length = rejectSize
 			}
-			_, wasBound := c.Bound(now)
+			_, wasLimited := c.Bound(now)
 			c.NoteAnswer(now, route, length)
-			if _, isBound := c.Bound(now); isBound && !wasBound {
-				begun++
+			if _, isLimited := c.Bound(now); isLimited && !wasLimited {
+				activations++
 			}
 		}
 	}
-	assert.Assert(t, begun <= 75, "limit activated %d times in 20 times five minutes", begun)
+	assert.Assert(t, activations <= 75, "limit activated %d times in 20 times five minutes", activations)
 }
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -22,12 +22,12 @@
 	rankCount
 )
 
-// mostPreferredPriority is the lowest route priority, 0 being the highest, that is preferred.
-const mostPreferredPriority = 1
+// lowestPreferredPriority is the lowest route priority, 0 being the highest, that is preferred.
+const lowestPreferredPriority = 1
 
 // RankOf returns the rank of a route priority.
 func RankOf(priority int) Rank {
-	if priority <= mostPreferredPriority {
+	if priority <= lowestPreferredPriority {
 		return Preferred
 	}
 	return Ordinary
@@ -49,72 +49,73 @@
 func DefaultConfig() Config { return Config{Enabled: true, PerSlot: 2, Rejected: 0.15} }
 
 const (
-	// gain is the relative step of the limit per rejection. At 0.1 about ten rejections halve it,
-	// at a rate of some tens of answers per second in a large fleet.
-	gain = 0.1
-	// evidenceMemory is the decay time of the evidence of overload while there is no limit,
-	// evidenceLeast the evidence that activates the limit, as a few short answers may be regular
+	// limitStep is the relative step of the limit per rejection; eight rejections about
+	// halve it.
+	limitStep = 0.1
+	// evidenceDecay is the decay time of the evidence of overload while there is no limit,
+	// minEvidence the evidence that activates the limit, as a few short answers may be regular
 	// ones.
-	evidenceMemory = time.Second
-	evidenceLeast  = 5
-	// calm is how long the limit outlasts the last rejection and the last time it took effect. It
-	// is longer than the retry delay of rejected callers. Rejections below Config.Rejected do not
-	// prolong a limit that has no effect.
-	calm = 3 * time.Second
-	// felt is how long after a request was queued or rejected the limit may grow: a limit that has
-	// no effect must not grow.
-	felt = 200 * time.Millisecond
-	// preferredExcess is the multiple of the limit that preferred requests may use, since callers
+	evidenceDecay = time.Second
+	minEvidence   = 5
+	// limitExpiry is how long the limit outlasts the last rejection and the last time it took
+	// effect. It is longer than the retry delay of rejected callers. Rejections below
+	// Config.Rejected do not prolong a limit that has no effect.
+	limitExpiry = 3 * time.Second
+	// growthWindow is how long after a request was queued or rejected the limit may grow: a limit
+	// that has no effect must not grow.
+	growthWindow = 200 * time.Millisecond
+	// preferredFactor is the multiple of the limit that preferred requests may use, since callers
 	// are spread randomly over daemons.
-	preferredExcess = 3
-	// openingLife is the decay time of new flows in the count of requests in progress, until their
+	preferredFactor = 3
+	// openingDecay is the decay time of new flows in the count of requests in progress, until their
 	// data is seen: a round trip between caller and target, with some slack.
-	openingLife = 150 * time.Millisecond
-	// floorInterval is how often an ordinary flow is admitted regardless of the limit, to prevent
-	// starvation by preferred requests.
-	floorInterval = time.Second
-	// leastBound lets a daemon of a large fleet serve one request at a time.
-	leastBound = 1
+	openingDecay = 150 * time.Millisecond
+	// starvationInterval is how often an ordinary flow is admitted regardless of the limit, to
+	// prevent starvation by preferred requests.
+	starvationInterval = time.Second
+	// minLimit lets a daemon of a large fleet serve one request at a time.
+	minLimit = 1
 )
 
 // Controller limits one daemon's requests in progress at one service. It is not safe for concurrent
 // use. A nil Controller limits nothing.
 type Controller struct {
 	config Config
-	// share is this daemon's fair share of the targets' capacity, 0 if unknown.
-	share float64
-	// bound is valid while isBound. Bound returns at least share; the clamping is not stored, so
-	// that a momentarily wrong share has no lasting effect.
-	bound   float64
-	isBound bool
+	// fairShare is this daemon's fair share of the targets' capacity, 0 if unknown.
+	fairShare float64
+	// limit is valid while isLimited. Bound returns at least fairShare; the clamping is not stored,
+	// so that a momentarily wrong share has no lasting effect.
+	limit     float64
+	isLimited bool
 
-	// rejected is the share of rejections among recent answers, an EWMA over fastMemory answers.
-	rejected float64
+	// rejectionShare is the share of rejections among recent answers, an EWMA over currentWindow
+	// answers.
+	rejectionShare float64
 
-	evidence   float64
-	evidenceAt time.Time
-	begunAt    time.Time // when the limit was activated
-	rejectedAt time.Time
-	feltAt     time.Time
-	floorAt    time.Time
+	evidence          float64
+	evidenceAt        time.Time
+	limitedAt         time.Time // when the limit was activated
+	rejectedAt        time.Time
+	effectiveAt       time.Time
+	starvationAdmitAt time.Time
 
 	waiting   [rankCount]int
 	opening   [rankCount]float64
 	openingAt [rankCount]time.Time
 
-	lengths map[uint32]*lengths
+	answerLengths map[uint32]*answerLengths
 }
 
 func New(config Config) *Controller {
-	return &Controller{config: config, lengths: map[uint32]*lengths{}}
+	return &Controller{config: config, answerLengths: map[uint32]*answerLengths{}}
 }
 
 // SetShare sets the number of slots of the service's live targets and of the daemons that share
 // them. If either is 0, it is unknown and there is no limit.
 func (c *Controller) SetShare(slots, daemons int) {
-	c.share = 0
+	c.fairShare = 0
 	if daemons > 0 && slots > 0 {
-		c.share = max(leastBound, c.config.PerSlot*float64(slots)/float64(daemons))
+		c.fairShare = max(minLimit, c.config.PerSlot*float64(slots)/float64(daemons))
 	}
 }
 
@@ -137,7 +138,7 @@
 }
 
 func (c *Controller) openings(now time.Time, rank Rank) float64 {
-	age := float64(now.Sub(c.openingAt[rank])) / float64(openingLife)
+	age := float64(now.Sub(c.openingAt[rank])) / float64(openingDecay)
 	return c.opening[rank] * math.Exp(-max(age, 0))
 }
 
@@ -162,54 +163,54 @@
 
 // Bound returns the concurrency limit, or false if there is none.
 func (c *Controller) Bound(now time.Time) (float64, bool) {
-	if c == nil || !c.isBound || c.share == 0 || !c.config.Enabled {
+	if c == nil || !c.isLimited || c.fairShare == 0 || !c.config.Enabled {
 		return 0, false
 	}
-	if c.expire(now); !c.isBound {
+	if c.expire(now); !c.isLimited {
 		return 0, false
 	}
-	return max(c.bound, c.share), true
+	return max(c.limit, c.fairShare), true
 }
 
-// expire deactivates a limit that was active for calm but had no effect in that time, once there
-// were no rejections for calm or their share is below Config.Rejected.
+// expire deactivates a limit that was active for limitExpiry but had no effect in that time, once
+// there were no rejections for limitExpiry or their share is below Config.Rejected.
 func (c *Controller) expire(now time.Time) {
-	isFew := now.Sub(c.rejectedAt) >= calm || c.rejected < c.config.Rejected
-	if isFew && now.Sub(c.feltAt) >= calm && now.Sub(c.begunAt) >= calm {
-		c.isBound = false
+	isFew := now.Sub(c.rejectedAt) >= limitExpiry || c.rejectionShare < c.config.Rejected
+	if isFew && now.Sub(c.effectiveAt) >= limitExpiry && now.Sub(c.limitedAt) >= limitExpiry {
+		c.isLimited = false
 	}
 }
 
 // Admit reports whether a request of a rank may proceed now. Preferred requests compete only with
 // each other; ordinary ones use what they leave.
 func (c *Controller) Admit(now time.Time, rank Rank) bool {
-	bound, isBound := c.Bound(now)
-	if !isBound {
+	limit, isLimited := c.Bound(now)
+	if !isLimited {
 		return true
 	}
 	inProgress := c.InProgress(now, Preferred)
 	if rank == Ordinary {
 		inProgress += c.InProgress(now, Ordinary)
 	} else {
-		bound *= preferredExcess
+		limit *= preferredFactor
 	}
-	if inProgress+1 <= bound+roundingSlack {
+	if inProgress+1 <= limit+roundingSlack {
 		return true
 	}
-	c.feltAt = now
+	c.effectiveAt = now
 	return false
 }
 
 // AdmitFlow reports whether a new flow of a rank may proceed now. One ordinary flow per
-// floorInterval is admitted regardless of the limit.
+// starvationInterval is admitted regardless of the limit.
 func (c *Controller) AdmitFlow(now time.Time, rank Rank) bool {
 	if c.Admit(now, rank) {
 		return true
 	}
-	if rank != Ordinary || now.Sub(c.floorAt) < floorInterval {
+	if rank != Ordinary || now.Sub(c.starvationAdmitAt) < starvationInterval {
 		return false
 	}
-	c.floorAt = now
+	c.starvationAdmitAt = now
 	return true
 }
 
@@ -224,47 +225,47 @@
 		return false
 	}
 	c.expire(now)
-	memory := float64(usualMemory)
-	if c.isBound {
-		memory = boundedMemory
+	window := float64(baselineWindow)
+	if c.isLimited {
+		window = limitedBaselineWindow
 	}
-	excess, isRejection := c.lengthsOf(route).note(length, memory)
-	if !c.isBound {
-		c.noteEvidence(now, excess)
+	excess, isRejection := c.answerLengthsOf(route).observe(length, window)
+	if !c.isLimited {
+		c.addEvidence(now, excess)
 	}
 	if isRejection {
-		c.rejected += (1 - c.rejected) / fastMemory
-		c.noteRejection(now)
+		c.rejectionShare += (1 - c.rejectionShare) / currentWindow
+		c.handleRejection(now)
 		return true
 	}
-	c.rejected -= c.rejected / fastMemory
-	if c.isBound && now.Sub(c.feltAt) < felt {
-		c.bound *= 1 + gain*c.config.Rejected
+	c.rejectionShare -= c.rejectionShare / currentWindow
+	if c.isLimited && now.Sub(c.effectiveAt) < growthWindow {
+		c.limit *= 1 + limitStep*c.config.Rejected
 	}
 	return false
 }
 
-// noteRejection lowers the limit, or activates it once there is enough evidence of overload.
-func (c *Controller) noteRejection(now time.Time) {
+// handleRejection lowers the limit, or activates it once there is enough evidence of overload.
+func (c *Controller) handleRejection(now time.Time) {
 	c.rejectedAt = now
-	if c.isBound {
-		c.bound = min(c.bound, max(c.share, c.bound*(1-gain*(1-c.config.Rejected))))
+	if c.isLimited {
+		c.limit = min(c.limit, max(c.fairShare, c.limit*(1-limitStep*(1-c.config.Rejected))))
 		return
 	}
-	if c.evidence < evidenceLeast {
+	if c.evidence < minEvidence {
 		return
 	}
 	c.evidence = 0
-	c.isBound = true
-	c.begunAt = now
-	c.bound = max(c.share, c.InProgress(now, Preferred)+c.InProgress(now, Ordinary))
+	c.isLimited = true
+	c.limitedAt = now
+	c.limit = max(c.fairShare, c.InProgress(now, Preferred)+c.InProgress(now, Ordinary))
 }
 
-// noteEvidence accumulates the excess of short answers over the baseline while there is no limit,
+// addEvidence accumulates the excess of short answers over the baseline while there is no limit,
 // as a decaying cumulative sum (CUSUM: Page, "Continuous Inspection Schemes", 1954). Short answers
 // from before the route's share exceeds its threshold are part of the evidence.
-func (c *Controller) noteEvidence(now time.Time, excess float64) {
-	faded := c.evidence * math.Exp(-float64(now.Sub(c.evidenceAt))/float64(evidenceMemory))
+func (c *Controller) addEvidence(now time.Time, excess float64) {
+	faded := c.evidence * math.Exp(-float64(now.Sub(c.evidenceAt))/float64(evidenceDecay))
 	c.evidence = max(0, faded+excess)
 	c.evidenceAt = now
 }
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -15,28 +15,28 @@
 	rejectSize = 150
 )
 
-// learned returns a controller with learned answer lengths, at one of ten daemons that share 20
-// slots.
-func learned(t *testing.T) *Controller {
+// newLearnedController returns a controller with learned answer lengths, at one of ten daemons that
+// share 20 slots.
+func newLearnedController(t *testing.T) *Controller {
 	t.Helper()
 	controller := New(DefaultConfig())
 	controller.SetShare(20, 10)
-	for range learnedAfter + 2*fastMemory {
+	for range initialAnswers + 2*currentWindow {
 		assert.Assert(t, !controller.NoteAnswer(start, route, answerSize))
 	}
 	return controller
 }
 
-// beforeItCounts is the number of short answers before the share of short ones exceeds the
+// answersBelowThreshold is the number of short answers before the share of short ones exceeds the
 // threshold, from a baseline of 0.
-const beforeItCounts = 3
+const answersBelowThreshold = 3
 
-// rejected returns a controller whose targets rejected count requests.
-func rejected(t *testing.T, count int) *Controller {
+// newOverloadedController returns a controller whose targets rejected count requests.
+func newOverloadedController(t *testing.T, count int) *Controller {
 	t.Helper()
-	controller := learned(t)
+	controller := newLearnedController(t)
 	for index := range count {
-		if index < beforeItCounts {
+		if index < answersBelowThreshold {
 			assert.Assert(t, !controller.NoteAnswer(start, route, rejectSize), "a few short answers are not rejections")
 			continue
 		}
@@ -45,8 +45,8 @@
 	return controller
 }
 
-// admitted counts how many requests of a rank are admitted.
-func admitted(controller *Controller, now time.Time, rank Rank) int {
+// countAdmitted counts how many requests of a rank are admitted.
+func countAdmitted(controller *Controller, now time.Time, rank Rank) int {
 	for count := range 100 {
 		if !controller.Admit(now, rank) {
 			return count
@@ -56,36 +56,36 @@
 	return 100
 }
 
-func TestNothingIsBoundedWhileTargetsTurnNothingAway(t *testing.T) {
-	assert.Equal(t, admitted(learned(t), start, Ordinary), 100)
+func TestNoLimitWithoutRejections(t *testing.T) {
+	assert.Equal(t, countAdmitted(newLearnedController(t), start, Ordinary), 100)
 }
 
-func TestFewRejectionsSayNothingOfAService(t *testing.T) {
-	assert.Equal(t, admitted(rejected(t, evidenceLeast-1), start, Ordinary), 100)
+func TestFewRejectionsDoNotActivateLimit(t *testing.T) {
+	assert.Equal(t, countAdmitted(newOverloadedController(t, minEvidence-1), start, Ordinary), 100)
 }
 
-func TestRejectionsBoundWorkAtNoLessThanTheEqualPart(t *testing.T) {
-	controller := rejected(t, 100)
-	assert.Equal(t, admitted(controller, start, Ordinary), 4)
+func TestLimitIsAtLeastFairShare(t *testing.T) {
+	controller := newOverloadedController(t, 100)
+	assert.Equal(t, countAdmitted(controller, start, Ordinary), 4)
 	assert.Assert(t, !controller.Admit(start, Ordinary))
 	controller.End(Ordinary)
 	assert.Assert(t, controller.Admit(start, Ordinary), "a request is admitted once another has ended")
 }
 
-func TestPreferredWorkGoesOnWhereOrdinaryWorkHasTakenAll(t *testing.T) {
-	controller := rejected(t, 100)
-	admitted(controller, start, Ordinary)
+func TestPreferredRequestsAreAdmittedBeyondOrdinaryLimit(t *testing.T) {
+	controller := newOverloadedController(t, 100)
+	countAdmitted(controller, start, Ordinary)
 	assert.Assert(t, controller.Admit(start, Preferred))
 	t.Run("and displaces ordinary requests", func(t *testing.T) {
-		controller := rejected(t, 100)
-		admitted(controller, start, Preferred)
-		assert.Equal(t, admitted(controller, start, Ordinary), 0)
+		controller := newOverloadedController(t, 100)
+		countAdmitted(controller, start, Preferred)
+		assert.Equal(t, countAdmitted(controller, start, Ordinary), 0)
 	})
 }
 
-func TestOrdinaryWorkIsNotStarvedForGood(t *testing.T) {
-	controller := rejected(t, 100)
-	admitted(controller, start, Preferred)
+func TestOrdinaryFlowsAreNotStarved(t *testing.T) {
+	controller := newOverloadedController(t, 100)
+	countAdmitted(controller, start, Preferred)
 	count := 0
 	for tick := range 100 {
 		if controller.AdmitFlow(start.Add(time.Duration(tick)*100*time.Millisecond), Ordinary) {
@@ -96,17 +96,17 @@
 	assert.Equal(t, count, 10, "one per floorInterval")
 }
 
-func TestTheBoundRisesWithAnswersWhileItIsFelt(t *testing.T) {
-	controller := rejected(t, 100)
+func TestLimitGrowsOnlyWhileEffective(t *testing.T) {
+	controller := newOverloadedController(t, 100)
 	before, _ := controller.Bound(start)
-	admitted(controller, start, Ordinary)
+	countAdmitted(controller, start, Ordinary)
 	for range 100 {
 		controller.NoteAnswer(start, route, answerSize)
 	}
 	after, _ := controller.Bound(start)
 	assert.Assert(t, after > 2*before, "%v after %v", after, before)
 	t.Run("and not while it has no effect", func(t *testing.T) {
-		controller := rejected(t, 100)
+		controller := newOverloadedController(t, 100)
 		before, _ := controller.Bound(start)
 		for range 100 {
 			controller.NoteAnswer(start, route, answerSize)
@@ -116,67 +116,67 @@
 	})
 }
 
-func TestTheBoundIsTakenBackWhenAllIsCalm(t *testing.T) {
-	controller := rejected(t, 100)
-	_, isBound := controller.Bound(start.Add(calm - time.Millisecond))
-	assert.Assert(t, isBound)
-	_, isBound = controller.Bound(start.Add(calm))
-	assert.Assert(t, !isBound)
+func TestLimitExpiresWithoutRejections(t *testing.T) {
+	controller := newOverloadedController(t, 100)
+	_, isLimited := controller.Bound(start.Add(limitExpiry - time.Millisecond))
+	assert.Assert(t, isLimited)
+	_, isLimited = controller.Bound(start.Add(limitExpiry))
+	assert.Assert(t, !isLimited)
 }
 
-func TestWhereSharesAreNotKnownNothingIsBounded(t *testing.T) {
+func TestNoLimitWithoutKnownShare(t *testing.T) {
 	for name, known := range map[string][2]int{"no daemons": {40, 0}, "no targets": {0, 10}} {
 		t.Run(name, func(t *testing.T) {
-			controller := rejected(t, 100)
+			controller := newOverloadedController(t, 100)
 			controller.SetShare(known[0], known[1])
-			assert.Equal(t, admitted(controller, start, Ordinary), 100)
+			assert.Equal(t, countAdmitted(controller, start, Ordinary), 100)
 		})
 	}
 	t.Run("switched off", func(t *testing.T) {
-		controller := rejected(t, 100)
+		controller := newOverloadedController(t, 100)
 		controller.config.Enabled = false
-		assert.Equal(t, admitted(controller, start, Ordinary), 100)
+		assert.Equal(t, countAdmitted(controller, start, Ordinary), 100)
 	})
 }
 
-func TestADaemonOfALargeFleetServesOneAtATime(t *testing.T) {
-	controller := rejected(t, 100)
+func TestLimitIsAtLeastOneRequest(t *testing.T) {
+	controller := newOverloadedController(t, 100)
 	controller.SetShare(40, 350)
-	controller.bound = 0
+	controller.limit = 0
 	controller.SetShare(40, 350)
-	assert.Equal(t, admitted(controller, start, Ordinary), 1)
+	assert.Equal(t, countAdmitted(controller, start, Ordinary), 1)
 }
 
-func TestRejectionsDoNotBecomeUsual(t *testing.T) {
-	controller := rejected(t, beforeItCounts)
+func TestRejectionsDoNotBecomeBaseline(t *testing.T) {
+	controller := newOverloadedController(t, answersBelowThreshold)
 	for range 1000 {
 		assert.Assert(t, controller.NoteAnswer(start, route, rejectSize))
 	}
 	assert.Assert(t, !controller.NoteAnswer(start, route, answerSize))
 }
 
-func TestANewFlowCountsUntilItsWorkIsSeen(t *testing.T) {
-	controller := learned(t)
+func TestNewFlowCountsUntilEstablished(t *testing.T) {
+	controller := newLearnedController(t)
 	controller.Opened(start, Ordinary)
 	assert.Equal(t, controller.InProgress(start, Ordinary), 1.0)
 	controller.Established(start, Ordinary)
 	controller.Begin(Ordinary)
 	assert.Equal(t, controller.InProgress(start, Ordinary), 1.0)
 	controller.Opened(start, Preferred)
-	assert.Assert(t, controller.InProgress(start.Add(10*openingLife), Preferred) < 0.01, "an abandoned flow")
+	assert.Assert(t, controller.InProgress(start.Add(10*openingDecay), Preferred) < 0.01, "an abandoned flow")
 }
 
-// waitAt returns a packet queued at start for a service.
-func waitAt(controller *Controller, rank Rank, isOpening bool, name string) Waiting[string] {
-	return Waiting[string]{Load: controller, Rank: rank, IsOpening: isOpening, At: start, Until: start.Add(mostHold), Packet: name}
+// flowlessPacket returns a packet queued at start for a service.
+func flowlessPacket(controller *Controller, rank Rank, isOpening bool, name string) Waiting[string] {
+	return Waiting[string]{Load: controller, Rank: rank, IsOpening: isOpening, At: start, Until: start.Add(flowWaitLimit), Packet: name}
 }
 
-func TestPreferredPacketsGoOnFirstAndOthersInTheirOrder(t *testing.T) {
-	controller := rejected(t, 100)
-	admitted(controller, start, Ordinary)
+func TestQueueOrder(t *testing.T) {
+	controller := newOverloadedController(t, 100)
+	countAdmitted(controller, start, Ordinary)
 	queue := NewQueue[string](10)
 	for _, waiting := range []Waiting[string]{
-		waitAt(controller, Ordinary, true, "one"), waitAt(controller, Ordinary, false, "two"), waitAt(controller, Preferred, true, "three"),
+		flowlessPacket(controller, Ordinary, true, "one"), flowlessPacket(controller, Ordinary, false, "two"), flowlessPacket(controller, Preferred, true, "three"),
 	} {
 		assert.Assert(t, queue.Put(start, waiting))
 	}
@@ -188,25 +188,25 @@
 	second, _ := queue.Take(start)
 	assert.Equal(t, second.Packet, "one")
 	controller.Begin(Ordinary)
-	third, found := queue.Take(start.Add(mostHold))
+	third, found := queue.Take(start.Add(flowWaitLimit))
 	assert.Assert(t, found)
 	assert.Equal(t, third.Packet, "two", "it has reached its deadline")
 }
 
-func TestAFlowForWhichNoRoomIsExpectedDoesNotWait(t *testing.T) {
-	controller := rejected(t, 100)
+func TestFlowBeyondExpectedCapacityIsNotQueued(t *testing.T) {
+	controller := newOverloadedController(t, 100)
 	queue := NewQueue[string](10)
 	for range 4 {
-		assert.Assert(t, queue.Put(start, waitAt(controller, Ordinary, true, "flow")))
+		assert.Assert(t, queue.Put(start, flowlessPacket(controller, Ordinary, true, "flow")))
 	}
-	assert.Assert(t, !queue.Put(start, waitAt(controller, Ordinary, true, "flow")))
-	assert.Assert(t, queue.Put(start, waitAt(controller, Ordinary, false, "request")))
+	assert.Assert(t, !queue.Put(start, flowlessPacket(controller, Ordinary, true, "flow")))
+	assert.Assert(t, queue.Put(start, flowlessPacket(controller, Ordinary, false, "request")))
 	assert.Equal(t, queue.Len(), 5)
 }
 
 // A momentarily wrong number of daemons must have no lasting effect on the limit.
-func TestAShareOfAMomentLeavesNoTrace(t *testing.T) {
-	controller := rejected(t, 100)
+func TestMomentaryShareHasNoLastingEffect(t *testing.T) {
+	controller := newOverloadedController(t, 100)
 	before, _ := controller.Bound(start)
 	controller.SetShare(20, 1)
 	during, _ := controller.Bound(start)
@@ -217,15 +217,15 @@
 	assert.Equal(t, after, before)
 }
 
-func TestOneRejectionDoesNotReviveAnOldBound(t *testing.T) {
-	controller := rejected(t, 100)
+func TestRejectionDoesNotReviveExpiredLimit(t *testing.T) {
+	controller := newOverloadedController(t, 100)
 	later := start.Add(time.Hour)
 	controller.NoteAnswer(later, route, rejectSize)
-	_, isBound := controller.Bound(later)
-	assert.Assert(t, !isBound)
+	_, isLimited := controller.Bound(later)
+	assert.Assert(t, !isLimited)
 }
 
-func TestAControllerThatIsSwitchedOffTakesNothingIn(t *testing.T) {
+func TestDisabledControllerIgnoresAnswers(t *testing.T) {
 	controller := New(Config{})
 	controller.SetShare(20, 10)
 	for range 1000 {
@@ -234,17 +234,17 @@
 	for range 100 {
 		assert.Assert(t, !controller.NoteAnswer(start, route, rejectSize))
 	}
-	assert.Equal(t, len(controller.lengths), 0)
+	assert.Equal(t, len(controller.answerLengths), 0)
 	var none *Controller
 	assert.Assert(t, !none.NoteAnswer(start, route, rejectSize))
 }
 
 // The limit may expire between the decision to queue a flow and its queuing.
-func TestAFlowMayWaitWhereTheBoundHasJustGone(t *testing.T) {
-	controller := rejected(t, 100)
-	admitted(controller, start, Ordinary)
+func TestFlowIsQueuedIfLimitJustExpired(t *testing.T) {
+	controller := newOverloadedController(t, 100)
+	countAdmitted(controller, start, Ordinary)
 	assert.Assert(t, !controller.Admit(start, Ordinary))
 	controller.SetShare(0, 0)
 	queue := NewQueue[string](10)
-	assert.Assert(t, queue.Put(start, waitAt(controller, Ordinary, true, "flow")))
+	assert.Assert(t, queue.Put(start, flowlessPacket(controller, Ordinary, true, "flow")))
 }
--- a/internal/overload/queue.go
+++ b/internal/overload/queue.go
@@ -29,29 +29,29 @@
 }
 
 // Queue holds packets until their services can admit them. The work per arriving packet does not
-// grow with the number of queued packets, as only the head of each line is examined. It is not safe
+// grow with the number of queued packets, as only the head of each FIFO is examined. It is not safe
 // for concurrent use.
 type Queue[T any] struct {
-	most int
+	capacity int
 	// count is the number of queued packets.
 	count int
-	lines []*line[T]
+	fifos []*fifo[T]
 	flows map[Flow]*Waiting[T]
 }
 
-// line is a FIFO of packets with the same controller, rank and maximum wait, so that its head is
+// fifo is a FIFO of packets with the same controller, rank and maximum wait, so that its head is
 // also the first to reach its deadline.
-type line[T any] struct {
-	load      *Controller
-	rank      Rank
-	isOpening bool
-	hold      time.Duration
-	waiting   []*Waiting[T]
+type fifo[T any] struct {
+	controller *Controller
+	rank       Rank
+	isOpening  bool
+	maxWait    time.Duration
+	waiting    []*Waiting[T]
 }
 
-// NewQueue returns a queue for at most most packets.
-func NewQueue[T any](most int) *Queue[T] {
-	return &Queue[T]{most: most, flows: map[Flow]*Waiting[T]{}}
+// NewQueue returns a queue for at most capacity packets.
+func NewQueue[T any](capacity int) *Queue[T] {
+	return &Queue[T]{capacity: capacity, flows: map[Flow]*Waiting[T]{}}
 }
 
 // Len returns the number of queued packets.
@@ -68,8 +68,8 @@
 
 // HasPlace reports whether a packet may be queued: the queue is not full and, if the packet opens a
 // flow, another flow of its rank is expected to be admitted in time.
-func (q *Queue[T]) HasPlace(now time.Time, load *Controller, rank Rank, isOpening bool) bool {
-	return q.count < q.most && (!isOpening || q.opening(load, rank) < load.places(now, rank))
+func (q *Queue[T]) HasPlace(now time.Time, controller *Controller, rank Rank, isOpening bool) bool {
+	return q.count < q.capacity && (!isOpening || q.waitingFlows(controller, rank) < controller.maxWaitingFlows(now, rank))
 }
 
 // Put queues a packet. It reports false if there is no room. A packet is queued behind earlier ones
@@ -86,34 +86,34 @@
 		}
 		q.flows[added.Flow] = &added
 	}
-	line := q.lineOf(&added)
-	place := len(line.waiting)
-	for place > 0 && line.waiting[place-1].At.After(added.At) {
-		place--
+	fifo := q.fifoOf(&added)
+	position := len(fifo.waiting)
+	for position > 0 && fifo.waiting[position-1].At.After(added.At) {
+		position--
 	}
-	line.waiting = slices.Insert(line.waiting, place, &added)
+	fifo.waiting = slices.Insert(fifo.waiting, position, &added)
 	return true
 }
 
-// lineOf returns the line for a packet.
-func (q *Queue[T]) lineOf(added *Waiting[T]) *line[T] {
-	hold := added.Until.Sub(added.At)
-	for _, line := range q.lines {
-		if line.load == added.Load && line.rank == added.Rank && line.isOpening == added.IsOpening && line.hold == hold {
-			return line
+// fifoOf returns the FIFO for a packet.
+func (q *Queue[T]) fifoOf(added *Waiting[T]) *fifo[T] {
+	maxWait := added.Until.Sub(added.At)
+	for _, fifo := range q.fifos {
+		if fifo.controller == added.Load && fifo.rank == added.Rank && fifo.isOpening == added.IsOpening && fifo.maxWait == maxWait {
+			return fifo
 		}
 	}
-	line := &line[T]{load: added.Load, rank: added.Rank, isOpening: added.IsOpening, hold: hold}
-	q.lines = append(q.lines, line)
-	return line
+	fifo := &fifo[T]{controller: added.Load, rank: added.Rank, isOpening: added.IsOpening, maxWait: maxWait}
+	q.fifos = append(q.fifos, fifo)
+	return fifo
 }
 
-// opening returns the number of queued new flows of a rank to a service.
-func (q *Queue[T]) opening(load *Controller, rank Rank) int {
+// waitingFlows returns the number of queued new flows of a rank to a service.
+func (q *Queue[T]) waitingFlows(controller *Controller, rank Rank) int {
 	count := 0
-	for _, line := range q.lines {
-		if line.isOpening && line.load == load && line.rank == rank {
-			count += len(line.waiting)
+	for _, fifo := range q.fifos {
+		if fifo.isOpening && fifo.controller == controller && fifo.rank == rank {
+			count += len(fifo.waiting)
 		}
 	}
 	return count
@@ -122,14 +122,14 @@
 // Take removes and returns the next packet that is admitted or has reached its deadline, with those
 // behind it. Preferred packets come first, then the earliest.
 func (q *Queue[T]) Take(now time.Time) (taken Waiting[T], found bool) {
-	var best *line[T]
-	for _, line := range q.lines {
-		first := line.waiting[0]
-		if best != nil && (line.rank > best.rank || line.rank == best.rank && !first.At.Before(best.waiting[0].At)) {
+	var best *fifo[T]
+	for _, fifo := range q.fifos {
+		first := fifo.waiting[0]
+		if best != nil && (fifo.rank > best.rank || fifo.rank == best.rank && !first.At.Before(best.waiting[0].At)) {
 			continue
 		}
-		if !now.Before(first.Until) || line.load.Admit(now, line.rank) {
-			best = line
+		if !now.Before(first.Until) || fifo.controller.Admit(now, fifo.rank) {
+			best = fifo
 		}
 	}
 	if best == nil {
@@ -144,16 +144,16 @@
 	if first == nil {
 		return Waiting[T]{}, false
 	}
-	line := q.lineOf(first)
-	return q.remove(line, slices.Index(line.waiting, first)), true
+	fifo := q.fifoOf(first)
+	return q.remove(fifo, slices.Index(fifo.waiting, first)), true
 }
 
-// remove removes a packet from a line, and the line once it is empty.
-func (q *Queue[T]) remove(from *line[T], place int) Waiting[T] {
-	taken := from.waiting[place]
-	from.waiting = slices.Delete(from.waiting, place, place+1)
+// remove removes a packet from a FIFO, and the FIFO once it is empty.
+func (q *Queue[T]) remove(from *fifo[T], position int) Waiting[T] {
+	taken := from.waiting[position]
+	from.waiting = slices.Delete(from.waiting, position, position+1)
 	if len(from.waiting) == 0 {
-		q.lines = slices.DeleteFunc(q.lines, func(line *line[T]) bool { return line == from })
+		q.fifos = slices.DeleteFunc(q.fifos, func(fifo *fifo[T]) bool { return fifo == from })
 	}
 	delete(q.flows, taken.Flow)
 	q.count -= 1 + len(taken.Behind)
