--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -10,31 +10,29 @@
 )
 
 const (
-	// retryShare is how many flows may be steered to another target for each
-	// new flow, and retryFloor how many a second in any case. A retry storm
-	// after an outage is bounded by both.
+	// retryShare is the number of retries, with another target, that each new flow adds to the
+	// retry budget; retryFloor is the number per second that is always allowed. Together they bound
+	// a retry storm after an outage.
 	retryShare = 0.2
 	retryFloor = 2
 	retryBurst = 20
-	// burstSeconds is how much of a service's rate may come at once.
+	// burstSeconds is the burst size of a service's limit, in seconds of its rate.
 	burstSeconds = 0.5
-	// minimumBurst lets small limits through on a daemon that gets several
-	// flows together.
+	// minimumBurst keeps small limits usable when several flows arrive together.
 	minimumBurst = 5
 )
 
-// reserved is the share of the daemon's budget that a priority must leave
-// untouched: bulk flows stop when half of it is spent, standard ones when four
-// fifths are, and critical ones may take all.
+// reserved is the fraction of the daemon's budget that each priority must leave untouched: bulk
+// flows are rejected once half of it is spent, standard ones once four fifths are, and critical
+// ones may use all of it.
 var reserved = map[catalog.Priority]float64{
 	catalog.PriorityCritical: 0,
 	catalog.PriorityStandard: 0.2,
 	catalog.PriorityBulk:     0.5,
 }
 
-// Limiter bounds new flows and retries on one daemon: all new flows together, by
-// priority, and those of each service. It is safe for concurrent use; time is
-// passed in.
+// Limiter limits new flows and retries on one daemon with token buckets: all new flows by priority,
+// and flows and retries per service. It is safe for concurrent use and reads no clock.
 type Limiter struct {
 	mutex    sync.Mutex
 	total    *rate.Limiter
@@ -45,12 +43,12 @@
 	limit   float64
 	flows   *rate.Limiter
 	retries *rate.Limiter
-	// credit is the share of retries that new flows have earned.
+	// credit is the number of retries earned by new flows.
 	credit float64
 }
 
-// NewLimiter makes a limiter that admits at most perSecond new flows on this
-// daemon; 0 is no limit.
+// NewLimiter returns a limiter that admits at most perSecond new flows per second; 0 means no
+// limit.
 func NewLimiter(perSecond int) *Limiter {
 	limiter := &Limiter{services: map[uint32]*serviceLimits{}}
 	if perSecond > 0 {
@@ -59,9 +57,9 @@
 	return limiter
 }
 
-// AllowPriority takes one new flow from the daemon's whole budget. The budget is
-// one second's worth; what is left of it decides which priorities still pass, so
-// that a flood of bulk flows leaves room for critical ones.
+// AllowPriority takes one new flow from the daemon's total budget, a token bucket of one second's
+// worth. The remaining tokens decide which priorities are admitted, so that a flood of bulk flows
+// leaves room for critical ones.
 func (l *Limiter) AllowPriority(now time.Time, priority catalog.Priority) bool {
 	if l.total == nil {
 		return true
@@ -83,8 +81,8 @@
 	return held
 }
 
-// AllowFlow takes one new flow from a service's budget: this daemon's even part
-// of perSecond, which is over all daemons; 0 is no limit.
+// AllowFlow takes one new flow from a service's budget: this daemon's equal share of perSecond,
+// which is the limit over all daemons; 0 means no limit.
 func (l *Limiter) AllowFlow(now time.Time, number, perSecond uint32, daemons int) bool {
 	if perSecond == 0 {
 		return true
@@ -100,7 +98,7 @@
 	return held.flows.AllowN(now, 1)
 }
 
-// NoteFlow counts a new flow, which earns a share of a retry.
+// NoteFlow counts a new flow, which adds retryShare to the service's retry credit.
 func (l *Limiter) NoteFlow(_ time.Time, number uint32) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -108,7 +106,7 @@
 	held.credit = min(held.credit+retryShare, retryBurst)
 }
 
-// AllowRetry takes one retry from a service's budget.
+// AllowRetry takes one retry from a service's credit or, if that is used up, from its floor.
 func (l *Limiter) AllowRetry(now time.Time, number uint32) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -9,8 +9,8 @@
 	"github.com/passtray/passtray/internal/catalog"
 )
 
-// TestOverloadTakesFromBulkFirst offers a daemon of 1,000 flows a second twice
-// and five times that: half of it bulk, a quarter standard, a quarter critical.
+// TestOverloadTakesFromBulkFirst offers two and five times the capacity: half of it bulk, a quarter
+// standard, a quarter critical.
 func TestOverloadTakesFromBulkFirst(t *testing.T) {
 	for _, overload := range []int{2, 5} {
 		const capacity = 1000
@@ -36,7 +36,7 @@
 		assert.Assert(t, share(catalog.PriorityCritical) > share(catalog.PriorityStandard) || share(catalog.PriorityStandard) == 1)
 		assert.Assert(t, share(catalog.PriorityStandard) > share(catalog.PriorityBulk))
 		if overload == 2 {
-			assert.Equal(t, share(catalog.PriorityCritical), 1.0, "half the capacity is critical work: all of it must pass")
+			assert.Equal(t, share(catalog.PriorityCritical), 1.0, "critical flows take half the capacity: all must be admitted")
 		}
 	}
 }
--- a/internal/admission/refuser.go
+++ b/internal/admission/refuser.go
@@ -1,6 +1,6 @@
-// Package admission limits new flows and refuses what is too much. A refusal is
-// a true QUIC CONNECTION_REFUSED made by the library, so that a caller told "not
-// run" can rely on it: its handshake never ended, and no target saw a request.
+// Package admission limits new flows and refuses excess ones. A refusal is a genuine QUIC
+// CONNECTION_REFUSED from the QUIC library, so that the caller can rely on it: the handshake did
+// not complete and no target received a request.
 package admission
 
 import (
@@ -15,22 +15,20 @@
 	"github.com/rotisserie/eris"
 )
 
-// Refuser answers QUIC Initials with CONNECTION_REFUSED. It feeds them to a
-// listener of the library that turns everything away before any certificate is
-// sent.
+// Refuser answers QUIC Initials with CONNECTION_REFUSED. It passes them to a quic-go listener that
+// refuses every connection before a certificate is sent.
 type Refuser struct {
 	connection *virtualConnection
 	transport  *quic.Transport
 	listener   *quic.Listener
 }
 
-// Send carries a refusal back to a caller, from the service it called, by way
-// of the ingress daemon if one is given.
+// Send sends a refusal from the service to the caller, by way of the ingress daemon if it is valid.
 type Send func(service, caller, ingress netip.AddrPort, datagram []byte)
 
-var errRefused = eris.New("the service takes no new flow")
+var errRefused = eris.New("new flows are refused")
 
-// NewRefuser makes a refuser whose answers leave through send.
+// NewRefuser returns a refuser that sends its answers with send.
 func NewRefuser(send Send) (*Refuser, error) {
 	connection := newVirtualConnection(send)
 	transport := &quic.Transport{Conn: connection}
@@ -51,28 +49,27 @@
 	}
 }
 
-// Refuse takes a first-flight datagram. When refusals come faster than they can
-// be made, the rest is dropped, and the caller asks again.
+// Refuse refuses the flow of a first-flight datagram. When the queue is full, the datagram is
+// dropped, and the caller retransmits.
 func (r *Refuser) Refuse(service, caller, ingress netip.AddrPort, datagram []byte) {
 	r.connection.deliver(route{service: service, ingress: ingress}, caller, datagram)
 }
 
-// Close ends the refuser.
+// Close stops the refuser.
 func (r *Refuser) Close() {
 	_ = r.listener.Close()
-	// The transport waits for its reader, which only the connection can wake.
+	// The transport waits for its reader, which ends only when the connection is closed.
 	_ = r.connection.Close()
 	_ = r.transport.Close()
 }
 
 const (
 	refusalQueue = 256
-	// rememberCallers bounds how many callers' services are remembered until
-	// their refusal is sent.
+	// rememberCallers bounds the callers whose return route is kept.
 	rememberCallers = 4096
 )
 
-// route is how a caller's refusal finds back to it.
+// route is the return route of a caller's refusal.
 type route struct {
 	service netip.AddrPort
 	ingress netip.AddrPort
@@ -144,18 +141,18 @@
 	return nil
 }
 
-// LocalAddr is a documentation address: nothing listens there.
+// LocalAddr returns an address reserved for documentation, as there is no socket.
 func (c *virtualConnection) LocalAddr() net.Addr {
 	return &net.UDPAddr{IP: net.IPv4(192, 0, 2, 0), Port: 1}
 }
 
-// SetReadBuffer and SetWriteBuffer have nothing to do.
+// SetReadBuffer does nothing.
 func (c *virtualConnection) SetReadBuffer(int) error { return nil }
 
 // SetWriteBuffer does nothing.
 func (c *virtualConnection) SetWriteBuffer(int) error { return nil }
 
-// SetDeadline and its kin have nothing to do: reads end with Close.
+// SetDeadline does nothing; reads end with Close.
 func (c *virtualConnection) SetDeadline(time.Time) error { return nil }
 
 // SetReadDeadline does nothing.
--- a/internal/admission/refuser_test.go
+++ b/internal/admission/refuser_test.go
@@ -13,8 +13,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestACallerIsRefusedAtOnceAndTruly dials through a socket whose datagrams all
-// go to the refuser.
+// The QUIC client must receive CONNECTION_REFUSED from the remote end.
 func TestACallerIsRefusedAtOnceAndTruly(t *testing.T) {
 	socket, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	assert.NilError(t, err)
@@ -53,7 +52,7 @@
 			allowed++
 		}
 	}
-	assert.Equal(t, allowed, minimumBurst, "one of ten daemons may let a tenth through")
+	assert.Equal(t, allowed, minimumBurst, "one of ten daemons admits a tenth")
 	assert.Assert(t, limiter.AllowFlow(now.Add(time.Second), 1, 100, 10))
 	retries := 0
 	for range 200 {
