--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -18,8 +18,8 @@
 	retryBurst = 20
 	// burstSeconds is the burst size of a service's limit, in seconds of its rate.
 	burstSeconds = 0.5
-	// minimumBurst keeps small limits usable when several flows arrive together.
-	minimumBurst = 5
+	// minBurst keeps small limits usable when several flows arrive together.
+	minBurst = 5
 )
 
 // reserved is the fraction of the daemon's budget that each priority must leave untouched: bulk
@@ -73,12 +73,12 @@
 }
 
 func (l *Limiter) service(number uint32) *serviceLimits {
-	held := l.services[number]
-	if held == nil {
-		held = &serviceLimits{retries: rate.NewLimiter(retryFloor, retryBurst)}
-		l.services[number] = held
+	limits := l.services[number]
+	if limits == nil {
+		limits = &serviceLimits{retries: rate.NewLimiter(retryFloor, retryBurst)}
+		l.services[number] = limits
 	}
-	return held
+	return limits
 }
 
 // AllowFlow takes one new flow from a service's budget: this daemon's equal share of perSecond,
@@ -89,31 +89,31 @@
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	held := l.service(number)
+	limits := l.service(number)
 	limit := float64(perSecond) / float64(max(1, daemons))
-	if held.flows == nil || held.limit != limit {
-		held.limit = limit
-		held.flows = rate.NewLimiter(rate.Limit(limit), max(minimumBurst, int(limit*burstSeconds)))
+	if limits.flows == nil || limits.limit != limit {
+		limits.limit = limit
+		limits.flows = rate.NewLimiter(rate.Limit(limit), max(minBurst, int(limit*burstSeconds)))
 	}
-	return held.flows.AllowN(now, 1)
+	return limits.flows.AllowN(now, 1)
 }
 
 // NoteFlow counts a new flow, which adds retryShare to the service's retry credit.
 func (l *Limiter) NoteFlow(_ time.Time, number uint32) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	held := l.service(number)
-	held.credit = min(held.credit+retryShare, retryBurst)
+	limits := l.service(number)
+	limits.credit = min(limits.credit+retryShare, retryBurst)
 }
 
 // AllowRetry takes one retry from a service's credit or, if that is used up, from its floor.
 func (l *Limiter) AllowRetry(now time.Time, number uint32) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	held := l.service(number)
-	if held.credit >= 1 {
-		held.credit--
+	limits := l.service(number)
+	if limits.credit >= 1 {
+		limits.credit--
 		return true
 	}
-	return held.retries.AllowN(now, 1)
+	return limits.retries.AllowN(now, 1)
 }
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -9,9 +9,9 @@
 	"github.com/passtray/passtray/internal/catalog"
 )
 
-// TestOverloadTakesFromBulkFirst offers two and five times the capacity: half of it bulk, a quarter
+// TestOverloadShedsBulkFirst offers two and five times the capacity: half of it bulk, a quarter
 // standard, a quarter critical.
-func TestOverloadTakesFromBulkFirst(t *testing.T) {
+func TestOverloadShedsBulkFirst(t *testing.T) {
 	for _, overload := range []int{2, 5} {
 		const capacity = 1000
 		limiter := NewLimiter(capacity)
@@ -22,9 +22,9 @@
 		flows := capacity * overload * seconds
 		for flow := range flows {
 			priority := order[flow%len(order)]
-			at := now.Add(time.Duration(flow) * seconds * time.Second / time.Duration(flows))
+			arrival := now.Add(time.Duration(flow) * seconds * time.Second / time.Duration(flows))
 			offered[priority]++
-			if limiter.AllowPriority(at, priority) {
+			if limiter.AllowPriority(arrival, priority) {
 				admitted[priority]++
 			}
 		}
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestWithoutALimitEverythingPasses(t *testing.T) {
+func TestNoLimitAdmitsEverything(t *testing.T) {
 	limiter := NewLimiter(0)
 	for range 10_000 {
 		assert.Assert(t, limiter.AllowPriority(time.Unix(1000, 0), catalog.PriorityBulk))
--- a/internal/admission/refuser.go
+++ b/internal/admission/refuser.go
@@ -52,7 +52,7 @@
 // Refuse refuses the flow of a first-flight datagram. When the queue is full, the datagram is
 // dropped, and the caller retransmits.
 func (r *Refuser) Refuse(service, caller, ingress netip.AddrPort, datagram []byte) {
-	r.connection.deliver(route{service: service, ingress: ingress}, caller, datagram)
+	r.connection.deliver(returnPath{service: service, ingress: ingress}, caller, datagram)
 }
 
 // Close stops the refuser.
@@ -64,13 +64,13 @@
 }
 
 const (
-	refusalQueue = 256
-	// rememberCallers bounds the callers whose return route is kept.
-	rememberCallers = 4096
+	queueCapacity = 256
+	// maxCallers bounds the callers whose return path is kept.
+	maxCallers = 4096
 )
 
-// route is the return route of a caller's refusal.
-type route struct {
+// returnPath is the return path of a caller's refusal.
+type returnPath struct {
 	service netip.AddrPort
 	ingress netip.AddrPort
 }
@@ -82,29 +82,29 @@
 
 // virtualConnection is a net.PacketConn without a socket.
 type virtualConnection struct {
-	send     Send
-	incoming chan virtualDatagram
-	closed   chan struct{}
-	once     sync.Once
-	mutex    sync.Mutex
-	routes   map[netip.AddrPort]route
+	send        Send
+	incoming    chan virtualDatagram
+	closed      chan struct{}
+	once        sync.Once
+	mutex       sync.Mutex
+	returnPaths map[netip.AddrPort]returnPath
 }
 
 func newVirtualConnection(send Send) *virtualConnection {
 	return &virtualConnection{
-		send:     send,
-		incoming: make(chan virtualDatagram, refusalQueue),
-		closed:   make(chan struct{}),
-		routes:   map[netip.AddrPort]route{},
+		send:        send,
+		incoming:    make(chan virtualDatagram, queueCapacity),
+		closed:      make(chan struct{}),
+		returnPaths: map[netip.AddrPort]returnPath{},
 	}
 }
 
-func (c *virtualConnection) deliver(way route, caller netip.AddrPort, datagram []byte) {
+func (c *virtualConnection) deliver(path returnPath, caller netip.AddrPort, datagram []byte) {
 	c.mutex.Lock()
-	if len(c.routes) >= rememberCallers {
-		clear(c.routes)
+	if len(c.returnPaths) >= maxCallers {
+		clear(c.returnPaths)
 	}
-	c.routes[caller] = way
+	c.returnPaths[caller] = path
 	c.mutex.Unlock()
 	select {
 	case c.incoming <- virtualDatagram{caller: caller, bytes: append([]byte(nil), datagram...)}:
@@ -128,10 +128,10 @@
 	}
 	caller := udp.AddrPort()
 	c.mutex.Lock()
-	way, known := c.routes[caller]
+	path, known := c.returnPaths[caller]
 	c.mutex.Unlock()
 	if known {
-		c.send(way.service, caller, way.ingress, append([]byte(nil), datagram...))
+		c.send(path.service, caller, path.ingress, append([]byte(nil), datagram...))
 	}
 	return len(datagram), nil
 }
--- a/internal/admission/refuser_test.go
+++ b/internal/admission/refuser_test.go
@@ -14,7 +14,7 @@
 )
 
 // The QUIC client must receive CONNECTION_REFUSED from the remote end.
-func TestACallerIsRefusedAtOnceAndTruly(t *testing.T) {
+func TestRefuseSendsConnectionRefused(t *testing.T) {
 	socket, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	assert.NilError(t, err)
 	defer func() { _ = socket.Close() }()
@@ -43,7 +43,7 @@
 	refuser.Close()
 }
 
-func TestLimitsTakeTimeFromTheCaller(t *testing.T) {
+func TestServiceFlowAndRetryLimits(t *testing.T) {
 	limiter := NewLimiter(0)
 	now := time.Unix(1000, 0)
 	allowed := 0
@@ -52,7 +52,7 @@
 			allowed++
 		}
 	}
-	assert.Equal(t, allowed, minimumBurst, "one of ten daemons admits a tenth")
+	assert.Equal(t, allowed, minBurst, "one of ten daemons admits a tenth")
 	assert.Assert(t, limiter.AllowFlow(now.Add(time.Second), 1, 100, 10))
 	retries := 0
 	for range 200 {
