--- a/internal/ownership/owner.go
+++ b/internal/ownership/owner.go
@@ -1,6 +1,6 @@
-// Package ownership says which daemon decides for a flow that carries no
-// routable connection ID yet, and remembers what was decided for as long as the
-// flow needs it. It does no I/O and holds no clock.
+// Package ownership selects the daemon that decides on a flow without a routable connection ID, by
+// rendezvous hashing, and stores its decisions for the lifetime of the flow. It does no I/O and
+// reads no clock.
 package ownership
 
 import (
@@ -11,16 +11,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// FlowKey names a flow: for QUIC the client-chosen first connection ID, for
-// plain UDP the caller's address. The caller is part of the key, so that nobody
-// can meet another caller's pin by a hash collision.
+// FlowKey identifies a flow: QUIC flows by the first connection ID, which the client chooses, plain
+// UDP flows by the caller's address. The caller is part of the key, so that no hash collision leads
+// to another caller's pin.
 type FlowKey struct {
 	Service uint32
 	Hash    uint64
 	Caller  netip.AddrPort
 }
 
-// KeyOfID returns the key of a QUIC flow whose client chose this connection ID.
+// KeyOfID returns the key of a QUIC flow from the connection ID that its client chose.
 func KeyOfID(service uint32, caller netip.AddrPort, id []byte) FlowKey {
 	return FlowKey{Service: service, Hash: mix(xxhash.Sum64(id) ^ uint64(service)), Caller: caller}
 }
@@ -34,8 +34,7 @@
 	return FlowKey{Service: service, Hash: mix(xxhash.Sum64(buffer[:]) ^ uint64(service)), Caller: caller}
 }
 
-// mix is the finalizer of MurmurHash3: every input bit changes every output bit
-// with probability one half.
+// mix is the finalizer of MurmurHash3, for its avalanche effect.
 func mix(value uint64) uint64 {
 	value ^= value >> 33
 	value *= 0xff51afd7ed558ccd
@@ -44,21 +43,21 @@
 	return value ^ value>>33
 }
 
-// Node is one choice of a rendezvous hash.
+// Node is a candidate of a rendezvous hash.
 type Node struct {
-	// Seed identifies the node; the same on every daemon.
+	// Seed identifies the node. It must be the same on every daemon.
 	Seed uint64
-	// Weight is its share, above 0.
+	// Weight is the node's relative share, above 0.
 	Weight float64
 }
 
-// SeedOf hashes a node's name to its seed.
+// SeedOf returns the seed for a node's name.
 func SeedOf(name []byte) uint64 { return xxhash.Sum64(name) }
 
-// Rendezvous returns the index of the node with the highest score for the hash,
-// -1 without nodes (Thaler and Ravishankar, "Using Name-Based Mappings to
-// Increase Hit Rates", 1998; weights after Schindelhauer and Schomaker, 2005).
-// When a node comes or goes, only the flows it wins or had won move.
+// Rendezvous returns the index of the node with the highest score for the hash, -1 without nodes
+// (Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998; weights after
+// Schindelhauer and Schomaker, 2005). When a node is added or removed, only the flows mapped to it
+// move.
 func Rendezvous(hash uint64, nodes []Node) int {
 	best, bestScore := -1, math.Inf(-1)
 	for index := range nodes {
@@ -74,9 +73,9 @@
 	return -node.Weight / math.Log(uniform)
 }
 
-// RendezvousUnweighted is Rendezvous for nodes of one weight, over those that
-// pass does not pass over, or over all if it passes over every one. The score
-// grows with the hash alone then, so no logarithm is needed.
+// RendezvousUnweighted is Rendezvous for nodes of equal weight. It skips the nodes for which pass
+// returns true, unless that excludes all of them. With equal weights the score is monotonic in the
+// hash, so that no logarithm is needed.
 func RendezvousUnweighted(hash uint64, nodes []Node, pass func(index int) bool) int {
 	best, bestScore := -1, uint64(0)
 	for index := range nodes {
@@ -91,7 +90,6 @@
 	return best
 }
 
-// Draw returns one of count choices for a hash, the n-th of several independent
-// ones. It costs the same for any count, and moves most choices when count
-// changes, so it is for what may move at no harm.
+// Draw returns one of count choices for a hash; different n give independent choices. Its cost does
+// not depend on count. A change of count moves most choices, so use it only where that is harmless.
 func Draw(hash, n uint64, count int) int { return int(mix(hash+n) % uint64(count)) }
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -28,14 +28,14 @@
 		remaining := append(append([]Node(nil), nodes[:lost]...), nodes[lost+1:]...)
 		after := remaining[Rendezvous(hash, remaining)]
 		if none := func(int) bool { return false }; RendezvousUnweighted(hash, nodes, none) != before {
-			t.Fatalf("with one weight the two differ for %x", hash)
+			t.Fatalf("weighted and unweighted choices differ for %x at equal weights", hash)
 		}
 		want := nodes[before]
 		if before == lost {
 			want = nodes[second]
 		}
 		if after != want {
-			t.Fatalf("flow %x went from %d to another than %d", hash, before, second)
+			t.Fatalf("flow %x moved from %d to a node other than %d", hash, before, second)
 		}
 	})
 }
@@ -70,7 +70,7 @@
 	}
 	caller := netip.MustParseAddrPort("10.0.0.1:1")
 	table.Update(now.Add(5*time.Minute), KeyOfCaller(1, caller), func(_ Pin, found bool) (Pin, bool) {
-		assert.Assert(t, !found, "an expired pin was found")
+		assert.Assert(t, !found, "found an expired pin")
 		return Pin{}, false
 	})
 }
@@ -81,7 +81,7 @@
 	caller := netip.MustParseAddrPort("10.0.0.1:1")
 	key := KeyOfID(1, caller, []byte("12345678"))
 	table.Update(now, key, func(Pin, bool) (Pin, bool) { return Pin{Target: 7, Created: now}, true })
-	assert.Assert(t, !table.MarkAnswered(1, caller, 8), "another target's answer counted")
+	assert.Assert(t, !table.MarkAnswered(1, caller, 8), "recorded another target's answer")
 	assert.Assert(t, table.MarkAnswered(1, caller, 7))
 	assert.Assert(t, !table.MarkAnswered(1, caller, 7))
 }
@@ -102,7 +102,7 @@
 	peers.Get(address).NoteSent(later, Handover{})
 	peers.TakeSilent(later.Add(silentAfter))
 	peers.TakeSilent(later.Add(silentAfter + avoidFor))
-	assert.Assert(t, peers.Get(address).IsAvoided(), "at its second silence it is avoided for longer")
+	assert.Assert(t, peers.Get(address).IsAvoided(), "the second timeout doubles the avoidance")
 	peers.TakeSilent(later.Add(silentAfter + 2*avoidFor))
 	assert.Assert(t, !peers.Get(address).IsAvoided())
 	peers.Get(address).NoteSent(now, Handover{})
--- a/internal/ownership/peers.go
+++ b/internal/ownership/peers.go
@@ -8,24 +8,22 @@
 )
 
 const (
-	// silentAfter is how long handovers may stay unacknowledged before their
-	// peer is avoided: many round trips of a region, and well below a client's
-	// first retransmission.
+	// silentAfter is how long handovers may be unacknowledged before their peer is avoided: many
+	// round trips within a region, and well below a client's first retransmission timeout.
 	silentAfter = 100 * time.Millisecond
-	// silentMinimum is how many handovers must be unacknowledged, so that one
-	// lost acknowledgement does not count.
+	// silentMinimum is the number of handovers that must be unacknowledged, so that one lost
+	// acknowledgement does not count.
 	silentMinimum = 2
-	// avoidFor is how long a silent peer is avoided before it is tried again,
-	// doubled at each further silence up to avoidDoublings times. Membership
-	// usually removes a dead one before the second.
+	// avoidFor is how long an unresponsive peer is avoided before it is tried again, with
+	// exponential backoff: it doubles with each consecutive timeout, up to avoidDoublings times.
+	// Membership usually removes a dead peer before the second.
 	avoidFor       = 2 * time.Second
 	avoidDoublings = 5
-	// pendingPerPeer bounds the handovers kept for sending again.
+	// pendingPerPeer bounds the handovers kept for resending.
 	pendingPerPeer = 128
 )
 
-// Handover is a first flight on its way to an owner, kept until the owner says
-// that it came.
+// Handover is a first flight forwarded to a flow's owner, kept until the owner acknowledges it.
 type Handover struct {
 	Caller  netip.AddrPort
 	Service netip.AddrPort
@@ -33,8 +31,8 @@
 	Payload []byte
 }
 
-// Peer is one daemon as a receiver of handovers. Membership needs seconds to
-// find a dead daemon; its missing acknowledgements show within a tenth of one.
+// Peer tracks one daemon as a receiver of handovers. Missing acknowledgements reveal a dead daemon
+// within a tenth of a second, while membership takes seconds.
 type Peer struct {
 	avoided atomic.Bool
 
@@ -43,15 +41,14 @@
 	sent       int
 	oldest     time.Time
 	avoidUntil time.Time
-	// silences counts how often the peer was found silent since it last
-	// acknowledged anything.
+	// silences is the number of timeouts since the peer last acknowledged anything.
 	silences int
 }
 
-// IsAvoided reports whether the peer is passed over for new flows.
+// IsAvoided reports whether the peer is skipped for new flows.
 func (p *Peer) IsAvoided() bool { return p.avoided.Load() }
 
-// NoteSent keeps a handover until it is acknowledged.
+// NoteSent records a handover until it is acknowledged.
 func (p *Peer) NoteSent(now time.Time, handover Handover) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -64,8 +61,8 @@
 	}
 }
 
-// NoteAcknowledged says that the peer lives. What it was sent before came or
-// was lost like any packet; the caller's retransmission covers that.
+// NoteAcknowledged records that the peer is alive. All handovers sent before count as delivered;
+// the caller's retransmission covers those that were lost.
 func (p *Peer) NoteAcknowledged() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -80,8 +77,8 @@
 	p.sent = 0
 }
 
-// TakeSilent returns the handovers to be sent elsewhere, if the peer has turned
-// out to be silent, and lets an avoided one be tried again in time.
+// TakeSilent returns the handovers to send elsewhere if the peer did not acknowledge in time, and
+// ends the avoidance of a peer that is due to be tried again.
 func (p *Peer) TakeSilent(now time.Time) []Handover {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -104,17 +101,16 @@
 	return unanswered
 }
 
-// Peers keeps one peer for each daemon's data address through changes of
-// membership. It is safe for concurrent use.
+// Peers holds one Peer per data address of a daemon, independent of membership changes. It is safe
+// for concurrent use.
 type Peers struct {
 	mutex sync.Mutex
 	peers map[netip.AddrPort]*Peer
 }
 
-// NewPeers makes an empty set.
 func NewPeers() *Peers { return &Peers{peers: map[netip.AddrPort]*Peer{}} }
 
-// Get returns the peer at an address.
+// Get returns the peer at an address, creating it if necessary.
 func (p *Peers) Get(address netip.AddrPort) *Peer {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -126,14 +122,14 @@
 	return peer
 }
 
-// Find returns the peer at an address, nil if none was ever handed anything.
+// Find returns the peer at an address, nil if Get was never called for it.
 func (p *Peers) Find(address netip.AddrPort) *Peer {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.peers[address]
 }
 
-// Retain forgets all peers but those at the addresses.
+// Retain drops all peers except those at the given addresses.
 func (p *Peers) Retain(addresses map[netip.AddrPort]bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -144,7 +140,7 @@
 	}
 }
 
-// TakeSilent returns the handovers that silent peers did not acknowledge.
+// TakeSilent returns the handovers that unresponsive peers did not acknowledge.
 func (p *Peers) TakeSilent(now time.Time) []Handover {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/ownership/pins.go
+++ b/internal/ownership/pins.go
@@ -6,28 +6,26 @@
 	"time"
 )
 
-// Pin is what an owner decided for one flow.
+// Pin is an owner's decision for one flow.
 type Pin struct {
-	// Target is the target's number.
+	// Target is the number of the target.
 	Target uint32
-	// Created is when the target was picked, Expires when the pin ends unless
-	// it is used again.
+	// Created is when the target was selected, Expires when the pin ends unless it is used before.
 	Created time.Time
 	Expires time.Time
-	// Answered says that the target has sent something back; from then on the
-	// flow may never be steered elsewhere.
+	// Answered reports whether the target has answered; the flow must then never be moved to
+	// another target.
 	Answered bool
-	// Retries counts how often the flow was steered to another target.
+	// Retries is how often the flow was moved to another target.
 	Retries int
-	// Replicated is when the pin was last told to the daemon that would own the
-	// flow next.
+	// Replicated is when the pin was last sent to the daemon that is next in line to own the flow.
 	Replicated time.Time
 }
 
-// pinShards divides the table so that workers seldom wait for each other.
+// pinShards is the number of shards, to reduce lock contention.
 const pinShards = 32
 
-// Table remembers pins up to a bound. It is safe for concurrent use.
+// Table holds a bounded number of pins. It is safe for concurrent use.
 type Table struct {
 	lifetime time.Duration
 	shards   [pinShards]pinShard
@@ -36,10 +34,10 @@
 type pinShard struct {
 	mutex sync.Mutex
 	pins  map[FlowKey]Pin
-	// byCaller finds the pin of a reply, which carries no client-chosen ID.
+	// byCaller finds the pin for a reply, which does not carry the client-chosen ID.
 	byCaller map[callerKey]FlowKey
-	// queue holds keys in order of insertion; a used pin is queued again when
-	// its turn comes.
+	// queue holds keys in order of insertion; the key of a pin in use is appended again when it
+	// reaches the head.
 	queue    []FlowKey
 	capacity int
 }
@@ -49,8 +47,8 @@
 	caller  netip.AddrPort
 }
 
-// NewTable makes a table of at most capacity pins, each living for lifetime
-// after its last use, for flows whose answers are to be noted.
+// NewTable returns a table of at most capacity pins, which expire lifetime after their last use.
+// Answers can be recorded in it with MarkAnswered.
 func NewTable(capacity int, lifetime time.Duration) *Table {
 	table := NewFlowTable(capacity, lifetime)
 	for index := range table.shards {
@@ -59,8 +57,8 @@
 	return table
 }
 
-// NewFlowTable makes a table without the way back from answers to pins, which
-// costs memory that long flows need not spend. MarkAnswered finds nothing in it.
+// NewFlowTable returns a table without the lookup by caller that MarkAnswered needs, to save
+// memory; MarkAnswered always returns false.
 func NewFlowTable(capacity int, lifetime time.Duration) *Table {
 	table := &Table{lifetime: lifetime}
 	for index := range table.shards {
@@ -69,14 +67,14 @@
 	return table
 }
 
-// shardOf divides by caller, so that a reply finds its pin's shard.
+// shardOf shards by caller, so that a reply maps to the shard of its pin.
 func (t *Table) shardOf(service uint32, caller netip.AddrPort) *pinShard {
 	return &t.shards[KeyOfCaller(service, caller).Hash%pinShards]
 }
 
-// Update looks a flow up and lets decide keep or replace its pin, under the
-// shard's lock, so that two packets of one flow get one decision. decide
-// reports whether its pin is to be stored.
+// Update calls decide with the pin of a flow and stores the pin it returns if its second result is
+// true. It holds the shard's lock meanwhile, so that concurrent packets of a flow get the same
+// decision.
 func (t *Table) Update(now time.Time, key FlowKey, decide func(held Pin, found bool) (Pin, bool)) (Pin, bool) {
 	shard := t.shardOf(key.Service, key.Caller)
 	shard.mutex.Lock()
@@ -102,8 +100,8 @@
 	return pin, true
 }
 
-// MarkAnswered notes that a target has answered a caller, and reports whether it
-// was the first answer.
+// MarkAnswered records that a target answered a caller and reports whether this was the first
+// answer.
 func (t *Table) MarkAnswered(service uint32, caller netip.AddrPort, target uint32) bool {
 	shard := t.shardOf(service, caller)
 	shard.mutex.Lock()
@@ -121,7 +119,7 @@
 	return true
 }
 
-// Len returns how many pins are held.
+// Len returns the number of pins.
 func (t *Table) Len() int {
 	total := 0
 	for index := range t.shards {
@@ -133,11 +131,11 @@
 	return total
 }
 
-// expireStep bounds the work one call does for the table's upkeep.
+// expireStep bounds the entries that one call examines.
 const expireStep = 4
 
-// expire looks at the oldest few entries: an ended pin goes, one that was used
-// since goes to the back of the queue.
+// expire examines the oldest few entries: expired pins are removed, others go to the back of the
+// queue.
 func (s *pinShard) expire(now time.Time) {
 	for range min(expireStep, len(s.queue)) {
 		key := s.queue[0]
@@ -150,7 +148,7 @@
 	}
 }
 
-// makeRoom drops the oldest pin when the shard is full.
+// makeRoom removes the oldest pin if the shard is full.
 func (s *pinShard) makeRoom() {
 	for len(s.pins) >= s.capacity && len(s.queue) > 0 {
 		key := s.queue[0]
