--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-func nodesOf(count int) []Node {
+func newNodes(count int) []Node {
 	var nodes []Node
 	for index := range count {
 		nodes = append(nodes, Node{Seed: SeedOf([]byte(fmt.Sprint("node-", index))), Weight: 1})
@@ -18,9 +18,9 @@
 	return nodes
 }
 
-func TestOnlyTheFlowsOfALostNodeMove(t *testing.T) {
+func TestRendezvousMovesOnlyFlowsOfLostNode(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		nodes := nodesOf(rapid.IntRange(2, 30).Draw(t, "nodes"))
+		nodes := newNodes(rapid.IntRange(2, 30).Draw(t, "nodes"))
 		lost := rapid.IntRange(0, len(nodes)-1).Draw(t, "lost")
 		hash := rapid.Uint64().Draw(t, "hash")
 		before := Rendezvous(hash, nodes)
@@ -41,19 +41,19 @@
 }
 
 func TestRendezvousFollowsWeights(t *testing.T) {
-	nodes := nodesOf(4)
+	nodes := newNodes(4)
 	nodes[0].Weight = 3
 	counts := make([]int, len(nodes))
 	const flows = 60_000
 	for flow := range uint64(flows) {
-		counts[Rendezvous(mix(flow), nodes)]++
+		counts[Rendezvous(murmurFinalizer(flow), nodes)]++
 	}
 	share := float64(counts[0]) / flows
 	assert.Assert(t, share > 0.48 && share < 0.52, "weight 3 of 6 got %.3f", share)
 }
 
 func TestPinsExpireAndStayBounded(t *testing.T) {
-	const capacity = 64 * pinShards
+	const capacity = 64 * shardCount
 	table := NewTable(capacity, 10*time.Second)
 	now := time.Unix(1000, 0)
 	store := func(flow int, at time.Time) {
@@ -75,7 +75,7 @@
 	})
 }
 
-func TestOnlyTheFirstAnswerOfThePinnedTargetCounts(t *testing.T) {
+func TestMarkAnsweredOnlyOnceForPinnedTarget(t *testing.T) {
 	table := NewTable(1024, 10*time.Second)
 	now := time.Unix(1000, 0)
 	caller := netip.MustParseAddrPort("10.0.0.1:1")
@@ -86,36 +86,36 @@
 	assert.Assert(t, !table.MarkAnswered(1, caller, 7))
 }
 
-func TestASilentPeerIsAvoidedAndItsHandoversComeBack(t *testing.T) {
+func TestUnresponsivePeerIsAvoided(t *testing.T) {
 	peers := NewPeers()
 	address := netip.MustParseAddrPort("10.0.0.9:7003")
 	now := time.Unix(1000, 0)
 	peers.Get(address).NoteSent(now, Handover{Payload: []byte("one")})
 	peers.Get(address).NoteSent(now, Handover{Payload: []byte("two")})
-	assert.Equal(t, len(peers.TakeSilent(now.Add(silentAfter/2))), 0)
-	assert.Equal(t, len(peers.TakeSilent(now.Add(silentAfter))), 2)
+	assert.Equal(t, len(peers.TakeSilent(now.Add(ackTimeout/2))), 0)
+	assert.Equal(t, len(peers.TakeSilent(now.Add(ackTimeout))), 2)
 	assert.Assert(t, peers.Get(address).IsAvoided())
-	assert.Equal(t, len(peers.TakeSilent(now.Add(silentAfter+avoidFor))), 0)
+	assert.Equal(t, len(peers.TakeSilent(now.Add(ackTimeout+avoidDuration))), 0)
 	assert.Assert(t, !peers.Get(address).IsAvoided(), "it must be tried again")
 	later := now.Add(time.Minute)
 	peers.Get(address).NoteSent(later, Handover{})
 	peers.Get(address).NoteSent(later, Handover{})
-	peers.TakeSilent(later.Add(silentAfter))
-	peers.TakeSilent(later.Add(silentAfter + avoidFor))
+	peers.TakeSilent(later.Add(ackTimeout))
+	peers.TakeSilent(later.Add(ackTimeout + avoidDuration))
 	assert.Assert(t, peers.Get(address).IsAvoided(), "the second timeout doubles the avoidance")
-	peers.TakeSilent(later.Add(silentAfter + 2*avoidFor))
+	peers.TakeSilent(later.Add(ackTimeout + 2*avoidDuration))
 	assert.Assert(t, !peers.Get(address).IsAvoided())
 	peers.Get(address).NoteSent(now, Handover{})
 	peers.Get(address).NoteAcknowledged()
 	assert.Equal(t, len(peers.TakeSilent(now.Add(time.Hour))), 0)
 }
 
-func BenchmarkOwnerAmong1400(b *testing.B) {
-	nodes := nodesOf(1400)
+func BenchmarkRendezvous1400Nodes(b *testing.B) {
+	nodes := newNodes(1400)
 	b.ReportAllocs()
 	hash := uint64(0)
 	for b.Loop() {
 		hash++
-		RendezvousUnweighted(mix(hash), nodes, func(int) bool { return false })
+		RendezvousUnweighted(murmurFinalizer(hash), nodes, func(int) bool { return false })
 	}
 }
--- a/internal/ownership/peers.go
+++ b/internal/ownership/peers.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// silentAfter is how long handovers may be unacknowledged before their peer is avoided: many
+	// ackTimeout is how long handovers may be unacknowledged before their peer is avoided: many
 	// round trips within a region, and well below a client's first retransmission timeout.
-	silentAfter = 100 * time.Millisecond
-	// silentMinimum is the number of handovers that must be unacknowledged, so that one lost
+	ackTimeout = 100 * time.Millisecond
+	// minUnacknowledged is the number of handovers that must be unacknowledged, so that one lost
 	// acknowledgement does not count.
-	silentMinimum = 2
-	// avoidFor is how long an unresponsive peer is avoided before it is tried again, with
-	// exponential backoff: it doubles with each consecutive timeout, up to avoidDoublings times.
+	minUnacknowledged = 2
+	// avoidDuration is how long an unresponsive peer is avoided before it is tried again, with
+	// exponential backoff: it doubles with each consecutive timeout, up to maxAvoidDoublings times.
 	// Membership usually removes a dead peer before the second.
-	avoidFor       = 2 * time.Second
-	avoidDoublings = 5
-	// pendingPerPeer bounds the handovers kept for resending.
-	pendingPerPeer = 128
+	avoidDuration     = 2 * time.Second
+	maxAvoidDoublings = 5
+	// maxPendingPerPeer bounds the handovers kept for resending.
+	maxPendingPerPeer = 128
 )
 
 // Handover is a first flight forwarded to a flow's owner, kept until the owner acknowledges it.
@@ -39,10 +39,10 @@
 	mutex      sync.Mutex
 	pending    []Handover
 	sent       int
-	oldest     time.Time
+	oldestSent time.Time
 	avoidUntil time.Time
-	// silences is the number of timeouts since the peer last acknowledged anything.
-	silences int
+	// timeouts is the number of timeouts since the peer last acknowledged anything.
+	timeouts int
 }
 
 // IsAvoided reports whether the peer is skipped for new flows.
@@ -53,10 +53,10 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.sent == 0 {
-		p.oldest = now
+		p.oldestSent = now
 	}
 	p.sent++
-	if len(p.pending) < pendingPerPeer {
+	if len(p.pending) < maxPendingPerPeer {
 		p.pending = append(p.pending, handover)
 	}
 }
@@ -67,7 +67,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.reset()
-	p.silences = 0
+	p.timeouts = 0
 	p.avoidUntil = time.Time{}
 	p.avoided.Store(false)
 }
@@ -85,20 +85,20 @@
 	if p.avoided.Load() && !now.Before(p.avoidUntil) {
 		p.avoided.Store(false)
 	}
-	if p.sent == 0 || now.Sub(p.oldest) < silentAfter {
+	if p.sent == 0 || now.Sub(p.oldestSent) < ackTimeout {
 		return nil
 	}
-	if p.sent < silentMinimum && now.Sub(p.oldest) < 2*silentAfter {
+	if p.sent < minUnacknowledged && now.Sub(p.oldestSent) < 2*ackTimeout {
 		return nil
 	}
-	unanswered := p.pending
-	if p.sent >= silentMinimum {
+	unacknowledged := p.pending
+	if p.sent >= minUnacknowledged {
 		p.avoided.Store(true)
-		p.avoidUntil = now.Add(avoidFor << min(p.silences, avoidDoublings))
-		p.silences++
+		p.avoidUntil = now.Add(avoidDuration << min(p.timeouts, maxAvoidDoublings))
+		p.timeouts++
 	}
 	p.reset()
-	return unanswered
+	return unacknowledged
 }
 
 // Peers holds one Peer per data address of a daemon, independent of membership changes. It is safe
@@ -144,9 +144,9 @@
 func (p *Peers) TakeSilent(now time.Time) []Handover {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	var unanswered []Handover
+	var unacknowledged []Handover
 	for _, peer := range p.peers {
-		unanswered = append(unanswered, peer.TakeSilent(now)...)
+		unacknowledged = append(unacknowledged, peer.TakeSilent(now)...)
 	}
-	return unanswered
+	return unacknowledged
 }
--- a/internal/ownership/pins.go
+++ b/internal/ownership/pins.go
@@ -22,13 +22,13 @@
 	Replicated time.Time
 }
 
-// pinShards is the number of shards, to reduce lock contention.
-const pinShards = 32
+// shardCount is the number of shards, to reduce lock contention.
+const shardCount = 32
 
 // Table holds a bounded number of pins. It is safe for concurrent use.
 type Table struct {
 	lifetime time.Duration
-	shards   [pinShards]pinShard
+	shards   [shardCount]pinShard
 }
 
 type pinShard struct {
@@ -62,14 +62,14 @@
 func NewFlowTable(capacity int, lifetime time.Duration) *Table {
 	table := &Table{lifetime: lifetime}
 	for index := range table.shards {
-		table.shards[index] = pinShard{pins: map[FlowKey]Pin{}, capacity: max(1, capacity/pinShards)}
+		table.shards[index] = pinShard{pins: map[FlowKey]Pin{}, capacity: max(1, capacity/shardCount)}
 	}
 	return table
 }
 
 // shardOf shards by caller, so that a reply maps to the shard of its pin.
 func (t *Table) shardOf(service uint32, caller netip.AddrPort) *pinShard {
-	return &t.shards[KeyOfCaller(service, caller).Hash%pinShards]
+	return &t.shards[KeyOfCaller(service, caller).Hash%shardCount]
 }
 
 // Update calls decide with the pin of a flow and stores the pin it returns if its second result is
@@ -90,7 +90,7 @@
 	}
 	pin.Expires = now.Add(t.lifetime)
 	if _, queued := shard.pins[key]; !queued {
-		shard.makeRoom()
+		shard.evictOldest()
 		shard.queue = append(shard.queue, key)
 	}
 	shard.pins[key] = pin
@@ -131,13 +131,13 @@
 	return total
 }
 
-// expireStep bounds the entries that one call examines.
-const expireStep = 4
+// maxExpirePerCall bounds the entries that one call examines.
+const maxExpirePerCall = 4
 
 // expire examines the oldest few entries: expired pins are removed, others go to the back of the
 // queue.
 func (s *pinShard) expire(now time.Time) {
-	for range min(expireStep, len(s.queue)) {
+	for range min(maxExpirePerCall, len(s.queue)) {
 		key := s.queue[0]
 		s.queue = s.queue[1:]
 		if pin, found := s.pins[key]; found && now.Before(pin.Expires) {
@@ -148,8 +148,8 @@
 	}
 }
 
-// makeRoom removes the oldest pin if the shard is full.
-func (s *pinShard) makeRoom() {
+// evictOldest removes the oldest pin if the shard is full.
+func (s *pinShard) evictOldest() {
 	for len(s.pins) >= s.capacity && len(s.queue) > 0 {
 		key := s.queue[0]
 		s.queue = s.queue[1:]
--- a/internal/ownership/owner.go
+++ b/internal/ownership/rendezvous.go
@@ -22,7 +22,7 @@
 
 // KeyOfID returns the key of a QUIC flow from the connection ID that its client chose.
 func KeyOfID(service uint32, caller netip.AddrPort, id []byte) FlowKey {
-	return FlowKey{Service: service, Hash: mix(xxhash.Sum64(id) ^ uint64(service)), Caller: caller}
+	return FlowKey{Service: service, Hash: murmurFinalizer(xxhash.Sum64(id) ^ uint64(service)), Caller: caller}
 }
 
 // KeyOfCaller returns the key of a plain UDP flow.
@@ -31,11 +31,11 @@
 	address := caller.Addr().As16()
 	copy(buffer[:], address[:])
 	binary.BigEndian.PutUint16(buffer[16:], caller.Port())
-	return FlowKey{Service: service, Hash: mix(xxhash.Sum64(buffer[:]) ^ uint64(service)), Caller: caller}
+	return FlowKey{Service: service, Hash: murmurFinalizer(xxhash.Sum64(buffer[:]) ^ uint64(service)), Caller: caller}
 }
 
-// mix is the finalizer of MurmurHash3, for its avalanche effect.
-func mix(value uint64) uint64 {
+// murmurFinalizer is the finalizer of MurmurHash3, for its avalanche effect.
+func murmurFinalizer(value uint64) uint64 {
 	value ^= value >> 33
 	value *= 0xff51afd7ed558ccd
 	value ^= value >> 33
@@ -69,18 +69,18 @@
 }
 
 func rendezvousScore(hash uint64, node *Node) float64 {
-	uniform := (float64(mix(hash^node.Seed)>>11) + 0.5) / (1 << 53)
+	uniform := (float64(murmurFinalizer(hash^node.Seed)>>11) + 0.5) / (1 << 53)
 	return -node.Weight / math.Log(uniform)
 }
 
-// RendezvousUnweighted is Rendezvous for nodes of equal weight. It skips the nodes for which pass
+// RendezvousUnweighted is Rendezvous for nodes of equal weight. It skips the nodes for which skip
 // returns true, unless that excludes all of them. With equal weights the score is monotonic in the
 // hash, so that no logarithm is needed.
-func RendezvousUnweighted(hash uint64, nodes []Node, pass func(index int) bool) int {
+func RendezvousUnweighted(hash uint64, nodes []Node, skip func(index int) bool) int {
 	best, bestScore := -1, uint64(0)
 	for index := range nodes {
-		score := mix(hash^nodes[index].Seed) >> 11
-		if (best < 0 || score > bestScore) && !pass(index) {
+		score := murmurFinalizer(hash^nodes[index].Seed) >> 11
+		if (best < 0 || score > bestScore) && !skip(index) {
 			best, bestScore = index, score
 		}
 	}
@@ -92,4 +92,4 @@
 
 // Draw returns one of count choices for a hash; different n give independent choices. Its cost does
 // not depend on count. A change of count moves most choices, so use it only where that is harmless.
-func Draw(hash, n uint64, count int) int { return int(mix(hash+n) % uint64(count)) }
+func Draw(hash, n uint64, count int) int { return int(murmurFinalizer(hash+n) % uint64(count)) }
