--- a/internal/connectionid/connectionid.go
+++ b/internal/connectionid/connectionid.go
@@ -1,7 +1,6 @@
-// Package connectionid encodes a route into a QUIC connection ID and reads it
-// back, after draft-ietf-quic-load-balancers: three configuration rotation bits
-// and one AES block that holds server ID and nonce. A packet that carries such
-// an ID can be routed by any daemon without per-flow state.
+// Package connectionid encodes a route in a QUIC connection ID and decodes it, after
+// draft-ietf-quic-load-balancers: three config rotation bits and one AES block with server ID and
+// nonce. Any daemon can route a packet with such an ID without per-flow state.
 package connectionid
 
 import (
@@ -13,15 +12,14 @@
 )
 
 const (
-	// Length is the size in bytes of every connection ID issued here: one first
-	// octet and one AES block.
+	// Length is the size in bytes of every issued connection ID: the first octet and one AES block.
 	Length = 1 + aes.BlockSize
-	// MaximumKeys is the number of key identifiers: three rotation bits, of
-	// which the draft reserves the value 7 for unroutable IDs.
+	// MaximumKeys is the number of key identifiers. The draft reserves value 7 of the three
+	// rotation bits for unroutable IDs.
 	MaximumKeys = 7
-	// KeySize is the size in bytes of a key (AES-128, as the draft demands).
+	// KeySize is the size in bytes of a key (AES-128, as the draft requires).
 	KeySize = 16
-	// NonceSize is the size in bytes of the nonce that makes IDs unlinkable.
+	// NonceSize is the size in bytes of the nonce, which makes IDs unlinkable.
 	NonceSize = 6
 
 	rotationShift  = 5
@@ -33,19 +31,19 @@
 	expectedLength = Length - 1
 )
 
-// Route names the target that issued a connection ID. Both numbers are allotted
-// by the configuration and never used again.
+// Route identifies the target that issued a connection ID. Both numbers are assigned by the
+// configuration and never reused.
 type Route struct {
 	Service uint32
 	Target  uint32
 }
 
-// Scratch is the working memory of one decoder. It is passed in because a
-// buffer handed to a cipher through an interface would otherwise be allocated
-// for every packet. It must not be shared between goroutines.
+// Scratch is the working memory of one decoder. The caller provides it, since a buffer passed to a
+// cipher through an interface would otherwise be allocated for every packet. It must not be shared
+// between goroutines.
 type Scratch [aes.BlockSize]byte
 
-// Key is one entry of a keyring.
+// Key is one key of a keyring.
 type Key struct {
 	// Identifier is the value of the rotation bits, 0 to 6.
 	Identifier uint8
@@ -53,14 +51,14 @@
 	Secret []byte
 }
 
-// Keyring holds the keys under which connection IDs are read, and the one under
-// which new ones are issued. It is immutable: rotation replaces it whole.
+// Keyring holds the keys that decode connection IDs and selects the one that encodes new ones. It
+// is immutable; rotation replaces it.
 type Keyring struct {
 	active uint8
 	blocks [MaximumKeys]cipher.Block
 }
 
-// NewKeyring checks the keys and makes a keyring that issues under active.
+// NewKeyring validates the keys and returns a keyring that encodes with the active one.
 func NewKeyring(active uint8, keys []Key) (*Keyring, error) {
 	keyring := &Keyring{active: active}
 	for _, key := range keys {
@@ -71,7 +69,7 @@
 			return nil, eris.Errorf("key %d: is %d bytes long, must be %d", key.Identifier, len(key.Secret), KeySize)
 		}
 		if keyring.blocks[key.Identifier] != nil {
-			return nil, eris.Errorf("key identifier %d: stands twice", key.Identifier)
+			return nil, eris.Errorf("key identifier %d: duplicate", key.Identifier)
 		}
 		block, err := aes.NewCipher(key.Secret)
 		if err != nil {
@@ -85,8 +83,8 @@
 	return keyring, nil
 }
 
-// Encode returns the connection ID that routes to route. The nonce must not
-// repeat under one key, or two IDs of one connection could be linked.
+// Encode returns a connection ID for a route. A nonce must not be reused with a key, or two IDs of
+// one connection could be linked.
 func (k *Keyring) Encode(route Route, nonce [NonceSize]byte) [Length]byte {
 	var id [Length]byte
 	id[0] = k.active<<rotationShift | expectedLength
@@ -98,9 +96,9 @@
 	return id
 }
 
-// Decode reads the route out of a connection ID. It reports false for an ID
-// that was not issued under any key held: a wrong length, an unknown key, or
-// check bytes that are not zero, as a client's random first ID has.
+// Decode returns the route of a connection ID. It reports false for an ID that was not issued with
+// one of the keys: its length is wrong, its key unknown, or its check bytes are not zero, as in a
+// client's random first ID.
 func (k *Keyring) Decode(id []byte, scratch *Scratch) (Route, bool) {
 	if len(id) != Length || id[0]&lengthMask != expectedLength {
 		return Route{}, false
--- a/internal/connectionid/file.go
+++ b/internal/connectionid/file.go
@@ -19,8 +19,7 @@
 	Secret     string `yaml:"secret"`
 }
 
-// LoadKeys reads a key file: the active identifier and all keys. An unknown
-// field is an error.
+// LoadKeys reads the active identifier and all keys from a key file. An unknown field is an error.
 func LoadKeys(path string) (uint8, []Key, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -57,7 +56,7 @@
 	return keyring, nil
 }
 
-// SaveKeyring writes a keyring file that only its owner can read.
+// SaveKeyring writes a keyring file that only the owner can read.
 func SaveKeyring(path string, active uint8, keys []Key) error {
 	content := keyringFile{Active: active}
 	for _, key := range keys {
