--- a/internal/connectionid/connectionid.go
+++ b/internal/connectionid/connectionid.go
@@ -22,13 +22,13 @@
 	// NonceSize is the size in bytes of the nonce, which makes IDs unlinkable.
 	NonceSize = 6
 
-	rotationShift  = 5
-	lengthMask     = 0x1f
-	serviceOffset  = 0
-	targetOffset   = 4
-	checkOffset    = 8
-	nonceOffset    = 10
-	expectedLength = Length - 1
+	configShift   = 5
+	lengthMask    = 0x1f
+	serviceOffset = 0
+	targetOffset  = 4
+	checkOffset   = 8
+	nonceOffset   = 10
+	encodedLength = Length - 1
 )
 
 // Route identifies the target that issued a connection ID. Both numbers are assigned by the
@@ -87,7 +87,7 @@
 // one connection could be linked.
 func (k *Keyring) Encode(route Route, nonce [NonceSize]byte) [Length]byte {
 	var id [Length]byte
-	id[0] = k.active<<rotationShift | expectedLength
+	id[0] = k.active<<configShift | encodedLength
 	block := id[1:]
 	binary.BigEndian.PutUint32(block[serviceOffset:], route.Service)
 	binary.BigEndian.PutUint32(block[targetOffset:], route.Target)
@@ -100,10 +100,10 @@
 // one of the keys: its length is wrong, its key unknown, or its check bytes are not zero, as in a
 // client's random first ID.
 func (k *Keyring) Decode(id []byte, scratch *Scratch) (Route, bool) {
-	if len(id) != Length || id[0]&lengthMask != expectedLength {
+	if len(id) != Length || id[0]&lengthMask != encodedLength {
 		return Route{}, false
 	}
-	identifier := id[0] >> rotationShift
+	identifier := id[0] >> configShift
 	if identifier >= MaximumKeys {
 		return Route{}, false
 	}
--- a/internal/connectionid/connectionid_test.go
+++ b/internal/connectionid/connectionid_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func keyring(t testing.TB, active uint8, identifiers ...uint8) *Keyring {
+func newTestKeyring(t testing.TB, active uint8, identifiers ...uint8) *Keyring {
 	t.Helper()
 	var keys []Key
 	for _, identifier := range identifiers {
@@ -20,8 +20,8 @@
 	return ring
 }
 
-func TestDecodeReturnsWhatWasEncoded(t *testing.T) {
-	ring := keyring(t, 2, 0, 2)
+func TestEncodeDecodeRoundTrip(t *testing.T) {
+	ring := newTestKeyring(t, 2, 0, 2)
 	rapid.Check(t, func(t *rapid.T) {
 		route := Route{Service: rapid.Uint32().Draw(t, "service"), Target: rapid.Uint32().Draw(t, "target")}
 		var nonce [NonceSize]byte
@@ -34,10 +34,10 @@
 	})
 }
 
-func TestRotationKeepsOldKeysReadable(t *testing.T) {
-	before := keyring(t, 0, 0)
-	overlap := keyring(t, 1, 0, 1)
-	after := keyring(t, 1, 1)
+func TestRotationOverlapDecodesOldKey(t *testing.T) {
+	before := newTestKeyring(t, 0, 0)
+	overlap := newTestKeyring(t, 1, 0, 1)
+	after := newTestKeyring(t, 1, 1)
 	id := before.Encode(Route{Service: 1, Target: 2}, [NonceSize]byte{9})
 	_, ok := overlap.Decode(id[:], new(Scratch))
 	assert.Assert(t, ok, "an ID of the old key must be decodable during the overlap")
@@ -46,7 +46,7 @@
 }
 
 func TestRandomIDsAreUnroutable(t *testing.T) {
-	ring := keyring(t, 0, 0, 1, 2, 3, 4, 5, 6)
+	ring := newTestKeyring(t, 0, 0, 1, 2, 3, 4, 5, 6)
 	random := rand.New(rand.NewPCG(1, 2))
 	routable := 0
 	const samples = 200_000
@@ -63,7 +63,7 @@
 	assert.Assert(t, routable <= 3, "%d of %d random IDs were decoded", routable, samples)
 }
 
-func TestNewKeyringNamesTheFault(t *testing.T) {
+func TestNewKeyringErrors(t *testing.T) {
 	good := bytes.Repeat([]byte{1}, KeySize)
 	for _, test := range []struct {
 		active  uint8
@@ -81,7 +81,7 @@
 }
 
 func BenchmarkDecode(b *testing.B) {
-	ring := keyring(b, 0, 0)
+	ring := newTestKeyring(b, 0, 0)
 	id := ring.Encode(Route{Service: 1, Target: 2}, [NonceSize]byte{1})
 	scratch := new(Scratch)
 	b.ReportAllocs()
--- a/internal/connectionid/file.go
+++ b/internal/connectionid/keyringfile.go
@@ -8,13 +8,13 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// keyringFile is the YAML form of a keyring.
-type keyringFile struct {
-	Active uint8     `yaml:"active"`
-	Keys   []fileKey `yaml:"keys"`
+// keyringDocument is the YAML form of a keyring.
+type keyringDocument struct {
+	Active uint8         `yaml:"active"`
+	Keys   []keyDocument `yaml:"keys"`
 }
 
-type fileKey struct {
+type keyDocument struct {
 	Identifier uint8  `yaml:"id"`
 	Secret     string `yaml:"secret"`
 }
@@ -28,7 +28,7 @@
 	defer func() { _ = file.Close() }()
 	decoder := yaml.NewDecoder(file)
 	decoder.KnownFields(true)
-	var content keyringFile
+	var content keyringDocument
 	if err := decoder.Decode(&content); err != nil {
 		return 0, nil, eris.Wrapf(err, "key file %s", path)
 	}
@@ -58,9 +58,9 @@
 
 // SaveKeyring writes a keyring file that only the owner can read.
 func SaveKeyring(path string, active uint8, keys []Key) error {
-	content := keyringFile{Active: active}
+	content := keyringDocument{Active: active}
 	for _, key := range keys {
-		content.Keys = append(content.Keys, fileKey{Identifier: key.Identifier, Secret: hex.EncodeToString(key.Secret)})
+		content.Keys = append(content.Keys, keyDocument{Identifier: key.Identifier, Secret: hex.EncodeToString(key.Secret)})
 	}
 	encoded, err := yaml.Marshal(content)
 	if err != nil {
