--- a/internal/encapsulation/header.go
+++ b/internal/encapsulation/header.go
@@ -1,12 +1,9 @@
-// Package encapsulation is the header that stands before every datagram between
-// fabric, daemons and targets: PROXY protocol version 2 with the DGRAM
-// transport, the caller's address as source, the service's as destination, and
-// type-length-values of our own. The source is always the caller and the
-// destination always the service, in both directions.
+// Package encapsulation implements the header of every datagram between fabric, daemons and
+// targets: PROXY protocol version 2 with the DGRAM transport and custom TLVs. In both directions
+// the source is the caller's address and the destination the service's.
 //
-// Append and Parse work on caller-owned memory and allocate nothing, which the
-// general library for this protocol cannot; the tests hold them against that
-// library in both directions.
+// Append and Parse use caller-owned memory and do not allocate, unlike the go-proxyproto library;
+// the tests check them against that library in both directions.
 package encapsulation
 
 import (
@@ -16,47 +13,45 @@
 	"github.com/rotisserie/eris"
 )
 
-// Kind says who sends a datagram to whom.
+// Kind is the kind of a datagram: its sender and receiver.
 type Kind uint8
 
-// The kinds of datagrams. KindFabric has no route value: it is what a fabric,
-// which knows nothing of us, sends and receives.
+// The kinds of datagrams. KindFabric has no route TLV: the fabric sends and receives plain PROXY
+// protocol headers.
 const (
 	KindFabric Kind = iota
-	// KindToTarget goes from a daemon to a target.
+	// KindToTarget is sent by a daemon to a target.
 	KindToTarget
-	// KindFromTarget goes from a target to a daemon.
+	// KindFromTarget is sent by a target to a daemon.
 	KindFromTarget
-	// KindToOwner goes from the daemon that received a first flight to the
-	// daemon that owns the flow.
+	// KindToOwner forwards a first flight from the daemon that received it to the daemon that owns
+	// the flow.
 	KindToOwner
-	// KindToIngress goes from an owner to the daemon whose own address the
-	// caller used, with a reply for the caller.
+	// KindToIngress carries a reply for the caller from an owner to the daemon that the caller
+	// addressed directly.
 	KindToIngress
-	// KindOwnerAcknowledgement tells the sender of a KindToOwner datagram that
-	// it came; it has no payload.
+	// KindOwnerAcknowledgement acknowledges a KindToOwner datagram; it has no payload.
 	KindOwnerAcknowledgement
-	// KindReplicatePin tells another daemon the target of a plain UDP flow; it
-	// has no payload.
+	// KindReplicatePin sends the target of a plain UDP flow to another daemon; it has no payload.
 	KindReplicatePin
 )
 
-// TargetState is what a target says of itself in a report.
+// TargetState is the state of a target in its report.
 type TargetState uint8
 
-// The states a target reports.
+// The states that a target reports.
 const (
 	TargetAccepting TargetState = 1
 	TargetDraining  TargetState = 2
 )
 
-// Report is a target's own word on its load, sent with every reply.
+// Report is a target's report of its load, sent with every reply.
 type Report struct {
 	State TargetState
-	// BusySlots and Slots count requests running and the most that may.
+	// BusySlots is the number of requests in progress, Slots the maximum.
 	BusySlots uint16
 	Slots     uint16
-	// Connections and MaximumConnections count open connections.
+	// Connections is the number of open connections, MaximumConnections the maximum.
 	Connections        uint32
 	MaximumConnections uint32
 }
@@ -67,32 +62,31 @@
 	// Caller and Service are the flow's outer addresses.
 	Caller  netip.AddrPort
 	Service netip.AddrPort
-	// ServiceNumber, TargetNumber and Revision are the route (not KindFabric).
-	// A higher Revision is a newer configuration.
+	// ServiceNumber, TargetNumber and Revision form the route (not KindFabric). A higher Revision
+	// is a newer configuration.
 	ServiceNumber uint32
 	TargetNumber  uint32
 	Revision      uint64
-	// Draining says that the operators drain the target (KindToTarget). So a
-	// target learns it from any daemon that knows, and tells in its reports all
-	// the others, also those cut off from the configuration.
+	// Draining tells the target that operators drain it (KindToTarget). The target learns this from
+	// any informed daemon and forwards it in its reports, which also reach daemons cut off from the
+	// configuration.
 	Draining bool
 	// Ingress is the daemon that must return replies, if valid.
 	Ingress netip.AddrPort
-	// Report is the target's state as it reports it (KindFromTarget).
+	// Report is the target's report (KindFromTarget).
 	Report Report
-	// Names is "service/target" on first flights to a target. It aliases the
-	// datagram.
+	// Names is "service/target", sent with first flights to a target. It aliases the datagram.
 	Names []byte
 }
 
 const (
-	// MaximumSize is the longest header Append writes, in bytes.
+	// MaximumSize is the maximum size in bytes of a header that Append writes.
 	MaximumSize = fixedSize + addressesSizeIPv6 +
 		valueHeaderSize + routeSize +
 		valueHeaderSize + addressValueSize +
 		valueHeaderSize + reportSize +
 		valueHeaderSize + MaximumNames
-	// MaximumNames is the longest Names, two names of 63 bytes and a slash.
+	// MaximumNames is the maximum size of Names: two names of 63 bytes and a slash.
 	MaximumNames = 127
 
 	fixedSize         = 16
@@ -107,7 +101,7 @@
 	datagramIPv4      = 0x12
 	datagramIPv6      = 0x22
 
-	// Types of our own, in the range the protocol leaves to applications.
+	// Custom TLV types, in the range that the protocol reserves for applications.
 	typeRoute   = 0xE0
 	typeIngress = 0xE1
 	typeReport  = 0xE2
@@ -116,17 +110,16 @@
 
 var signature = [12]byte{0x0D, 0x0A, 0x0D, 0x0A, 0x00, 0x0D, 0x0A, 0x51, 0x55, 0x49, 0x54, 0x0A}
 
-// Errors of Parse. They are values made once, so that a flood of bad datagrams
-// costs no allocation.
+// Errors of Parse. They are preallocated, so that a flood of invalid datagrams does not allocate.
 var (
-	ErrTruncated = eris.New("header is cut short")
+	ErrTruncated = eris.New("truncated header")
 	ErrSignature = eris.New("not a PROXY protocol version 2 header")
 	ErrTransport = eris.New("transport is not datagram over IPv4 or IPv6")
-	ErrValue     = eris.New("a value has the wrong length or content")
+	ErrValue     = eris.New("invalid length or content of a TLV")
 )
 
-// Append writes the header to destination and returns the longer slice.
-// Addresses must be valid and, after unmapping, of one family.
+// Append appends the header to destination. The addresses must be valid and, after unmapping, of
+// one family.
 func Append(destination []byte, header *Header) []byte {
 	start := len(destination)
 	destination = append(destination, signature[:]...)
@@ -156,7 +149,7 @@
 	return destination
 }
 
-// flagDraining is the bit of the route value's last byte that Draining sets.
+// flagDraining is the bit for Draining in the last byte of the route TLV.
 const flagDraining = 1
 
 func flagsOf(header *Header) byte {
@@ -196,8 +189,8 @@
 	return binary.BigEndian.AppendUint32(destination, report.MaximumConnections)
 }
 
-// Parse reads the header of a datagram into header and returns its length in
-// bytes. The rest of the datagram is the payload.
+// Parse decodes the header of a datagram and returns its size in bytes. The rest of the datagram is
+// the payload.
 func Parse(datagram []byte, header *Header) (int, error) {
 	*header = Header{}
 	if len(datagram) < fixedSize {
