--- a/internal/encapsulation/header.go
+++ b/internal/encapsulation/header.go
@@ -82,30 +82,30 @@
 const (
 	// MaximumSize is the maximum size in bytes of a header that Append writes.
 	MaximumSize = fixedSize + addressesSizeIPv6 +
-		valueHeaderSize + routeSize +
-		valueHeaderSize + addressValueSize +
-		valueHeaderSize + reportSize +
-		valueHeaderSize + MaximumNames
+		tlvHeaderSize + routeSize +
+		tlvHeaderSize + ingressSize +
+		tlvHeaderSize + reportSize +
+		tlvHeaderSize + MaximumNames
 	// MaximumNames is the maximum size of Names: two names of 63 bytes and a slash.
 	MaximumNames = 127
 
 	fixedSize         = 16
 	addressesSizeIPv4 = 12
 	addressesSizeIPv6 = 36
-	valueHeaderSize   = 3
+	tlvHeaderSize     = 3
 	routeSize         = 18
-	addressValueSize  = 18
+	ingressSize       = 18
 	reportSize        = 13
 
 	versionAndCommand = 0x21 // version 2, command PROXY
-	datagramIPv4      = 0x12
-	datagramIPv6      = 0x22
+	transportUDPv4    = 0x12
+	transportUDPv6    = 0x22
 
 	// Custom TLV types, in the range that the protocol reserves for applications.
-	typeRoute   = 0xE0
-	typeIngress = 0xE1
-	typeReport  = 0xE2
-	typeNames   = 0xE3
+	tlvRoute   = 0xE0
+	tlvIngress = 0xE1
+	tlvReport  = 0xE2
+	tlvNames   = 0xE3
 )
 
 var signature = [12]byte{0x0D, 0x0A, 0x0D, 0x0A, 0x00, 0x0D, 0x0A, 0x51, 0x55, 0x49, 0x54, 0x0A}
@@ -125,7 +125,7 @@
 	destination = append(destination, signature[:]...)
 	destination = appendAddresses(destination, header.Caller, header.Service)
 	if header.Kind != KindFabric {
-		destination = appendValueHeader(destination, typeRoute, routeSize)
+		destination = appendTLVHeader(destination, tlvRoute, routeSize)
 		destination = append(destination, byte(header.Kind))
 		destination = binary.BigEndian.AppendUint32(destination, header.ServiceNumber)
 		destination = binary.BigEndian.AppendUint32(destination, header.TargetNumber)
@@ -134,7 +134,7 @@
 	}
 	if header.Ingress.IsValid() {
 		address := header.Ingress.Addr().As16()
-		destination = appendValueHeader(destination, typeIngress, addressValueSize)
+		destination = appendTLVHeader(destination, tlvIngress, ingressSize)
 		destination = append(destination, address[:]...)
 		destination = binary.BigEndian.AppendUint16(destination, header.Ingress.Port())
 	}
@@ -142,7 +142,7 @@
 		destination = appendReport(destination, &header.Report)
 	}
 	if len(header.Names) > 0 {
-		destination = appendValueHeader(destination, typeNames, len(header.Names))
+		destination = appendTLVHeader(destination, tlvNames, len(header.Names))
 		destination = append(destination, header.Names...)
 	}
 	binary.BigEndian.PutUint16(destination[start+14:], uint16(len(destination)-start-fixedSize))
@@ -162,12 +162,12 @@
 func appendAddresses(destination []byte, caller, service netip.AddrPort) []byte {
 	callerAddress, serviceAddress := caller.Addr().Unmap(), service.Addr().Unmap()
 	if callerAddress.Is4() && serviceAddress.Is4() {
-		destination = append(destination, versionAndCommand, datagramIPv4, 0, 0)
+		destination = append(destination, versionAndCommand, transportUDPv4, 0, 0)
 		source, target := callerAddress.As4(), serviceAddress.As4()
 		destination = append(destination, source[:]...)
 		destination = append(destination, target[:]...)
 	} else {
-		destination = append(destination, versionAndCommand, datagramIPv6, 0, 0)
+		destination = append(destination, versionAndCommand, transportUDPv6, 0, 0)
 		source, target := callerAddress.As16(), serviceAddress.As16()
 		destination = append(destination, source[:]...)
 		destination = append(destination, target[:]...)
@@ -176,12 +176,12 @@
 	return binary.BigEndian.AppendUint16(destination, service.Port())
 }
 
-func appendValueHeader(destination []byte, valueType byte, length int) []byte {
+func appendTLVHeader(destination []byte, valueType byte, length int) []byte {
 	return append(destination, valueType, byte(length>>8), byte(length))
 }
 
 func appendReport(destination []byte, report *Report) []byte {
-	destination = appendValueHeader(destination, typeReport, reportSize)
+	destination = appendTLVHeader(destination, tlvReport, reportSize)
 	destination = append(destination, byte(report.State))
 	destination = binary.BigEndian.AppendUint16(destination, report.BusySlots)
 	destination = binary.BigEndian.AppendUint16(destination, report.Slots)
@@ -205,39 +205,39 @@
 	}
 	values := datagram[fixedSize:length]
 	switch {
-	case datagram[13] == datagramIPv4 && len(values) >= addressesSizeIPv4:
+	case datagram[13] == transportUDPv4 && len(values) >= addressesSizeIPv4:
 		header.Caller = netip.AddrPortFrom(netip.AddrFrom4([4]byte(values[0:4])), binary.BigEndian.Uint16(values[8:]))
 		header.Service = netip.AddrPortFrom(netip.AddrFrom4([4]byte(values[4:8])), binary.BigEndian.Uint16(values[10:]))
 		values = values[addressesSizeIPv4:]
-	case datagram[13] == datagramIPv6 && len(values) >= addressesSizeIPv6:
+	case datagram[13] == transportUDPv6 && len(values) >= addressesSizeIPv6:
 		header.Caller = netip.AddrPortFrom(netip.AddrFrom16([16]byte(values[0:16])).Unmap(), binary.BigEndian.Uint16(values[32:]))
 		header.Service = netip.AddrPortFrom(netip.AddrFrom16([16]byte(values[16:32])).Unmap(), binary.BigEndian.Uint16(values[34:]))
 		values = values[addressesSizeIPv6:]
-	case datagram[13] == datagramIPv4 || datagram[13] == datagramIPv6:
+	case datagram[13] == transportUDPv4 || datagram[13] == transportUDPv6:
 		return 0, ErrTruncated
 	default:
 		return 0, ErrTransport
 	}
-	if err := parseValues(values, header); err != nil {
+	if err := parseTLVs(values, header); err != nil {
 		return 0, err
 	}
 	return length, nil
 }
 
-func parseValues(values []byte, header *Header) error {
+func parseTLVs(values []byte, header *Header) error {
 	for len(values) > 0 {
-		if len(values) < valueHeaderSize {
+		if len(values) < tlvHeaderSize {
 			return ErrTruncated
 		}
 		size := int(binary.BigEndian.Uint16(values[1:]))
-		if len(values) < valueHeaderSize+size {
+		if len(values) < tlvHeaderSize+size {
 			return ErrTruncated
 		}
-		value := values[valueHeaderSize : valueHeaderSize+size]
-		if err := parseValue(values[0], value, header); err != nil {
+		value := values[tlvHeaderSize : tlvHeaderSize+size]
+		if err := parseTLV(values[0], value, header); err != nil {
 			return err
 		}
-		values = values[valueHeaderSize+size:]
+		values = values[tlvHeaderSize+size:]
 	}
 	if (header.Kind == KindFromTarget) != (header.Report.State != 0) {
 		return ErrValue
@@ -245,9 +245,9 @@
 	return nil
 }
 
-func parseValue(valueType byte, value []byte, header *Header) error {
+func parseTLV(valueType byte, value []byte, header *Header) error {
 	switch valueType {
-	case typeRoute:
+	case tlvRoute:
 		if len(value) != routeSize || value[0] < byte(KindToTarget) || value[0] > byte(KindReplicatePin) {
 			return ErrValue
 		}
@@ -256,13 +256,13 @@
 		header.TargetNumber = binary.BigEndian.Uint32(value[5:])
 		header.Revision = binary.BigEndian.Uint64(value[9:])
 		header.Draining = value[17]&flagDraining != 0
-	case typeIngress:
-		if len(value) != addressValueSize {
+	case tlvIngress:
+		if len(value) != ingressSize {
 			return ErrValue
 		}
 		address := netip.AddrFrom16([16]byte(value[:16])).Unmap()
 		header.Ingress = netip.AddrPortFrom(address, binary.BigEndian.Uint16(value[16:]))
-	case typeReport:
+	case tlvReport:
 		if len(value) != reportSize || value[0] < byte(TargetAccepting) || value[0] > byte(TargetDraining) {
 			return ErrValue
 		}
@@ -271,7 +271,7 @@
 		header.Report.Slots = binary.BigEndian.Uint16(value[3:])
 		header.Report.Connections = binary.BigEndian.Uint32(value[5:])
 		header.Report.MaximumConnections = binary.BigEndian.Uint32(value[9:])
-	case typeNames:
+	case tlvNames:
 		if len(value) == 0 || len(value) > MaximumNames {
 			return ErrValue
 		}
--- a/internal/encapsulation/header_test.go
+++ b/internal/encapsulation/header_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func sample(kind Kind) *Header {
+func newTestHeader(kind Kind) *Header {
 	header := &Header{
 		Kind:    kind,
 		Caller:  netip.MustParseAddrPort("198.51.100.7:4000"),
@@ -32,9 +32,9 @@
 	return header
 }
 
-func TestParseReturnsWhatWasAppended(t *testing.T) {
+func TestAppendParseRoundTrip(t *testing.T) {
 	for kind := KindFabric; kind <= KindReplicatePin; kind++ {
-		want := sample(kind)
+		want := newTestHeader(kind)
 		datagram := append(Append(nil, want), "payload"...)
 		var got Header
 		length, err := Parse(datagram, &got)
@@ -49,9 +49,9 @@
 	}
 }
 
-func TestTheGeneralLibraryReadsOurHeader(t *testing.T) {
+func TestProxyprotoReadsAppendedHeader(t *testing.T) {
 	for kind := KindFabric; kind <= KindReplicatePin; kind++ {
-		want := sample(kind)
+		want := newTestHeader(kind)
 		header, err := proxyproto.Read(bufio.NewReader(bytes.NewReader(Append(nil, want))))
 		assert.NilError(t, err)
 		assert.Equal(t, header.SourceAddr.String(), want.Caller.String())
@@ -59,17 +59,17 @@
 	}
 }
 
-func TestWeReadTheGeneralLibrarysHeader(t *testing.T) {
+func TestParseReadsProxyprotoHeader(t *testing.T) {
 	for _, address := range []string{"198.51.100.7:4000", "[2001:db8::1]:4000"} {
 		source := net.UDPAddrFromAddrPort(netip.MustParseAddrPort(address))
-		theirs := &proxyproto.Header{
+		proxyHeader := &proxyproto.Header{
 			Version: 2, Command: proxyproto.PROXY, TransportProtocol: proxyproto.UDPv4,
 			SourceAddr: source, DestinationAddr: source,
 		}
 		if source.IP.To4() == nil {
-			theirs.TransportProtocol = proxyproto.UDPv6
+			proxyHeader.TransportProtocol = proxyproto.UDPv6
 		}
-		encoded, err := theirs.Format()
+		encoded, err := proxyHeader.Format()
 		assert.NilError(t, err)
 		var got Header
 		length, err := Parse(encoded, &got)
@@ -80,18 +80,18 @@
 	}
 }
 
-func TestEveryTruncationIsRefused(t *testing.T) {
-	whole := Append(nil, sample(KindFromTarget))
-	for length := range whole {
+func TestParseRejectsTruncatedHeaders(t *testing.T) {
+	encoded := Append(nil, newTestHeader(KindFromTarget))
+	for length := range encoded {
 		var header Header
-		_, err := Parse(whole[:length], &header)
-		assert.Assert(t, err != nil, "%d of %d bytes were accepted", length, len(whole))
+		_, err := Parse(encoded[:length], &header)
+		assert.Assert(t, err != nil, "%d of %d bytes were accepted", length, len(encoded))
 	}
 }
 
 func FuzzParse(f *testing.F) {
 	for kind := KindFabric; kind <= KindReplicatePin; kind++ {
-		f.Add(append(Append(nil, sample(kind)), "payload"...))
+		f.Add(append(Append(nil, newTestHeader(kind)), "payload"...))
 	}
 	f.Fuzz(func(t *testing.T, datagram []byte) {
 		var header Header
@@ -102,17 +102,17 @@
 		if length > len(datagram) {
 			t.Fatalf("length %d of %d", length, len(datagram))
 		}
-		var again Header
-		_, err = Parse(Append(nil, &header), &again)
+		var reparsed Header
+		_, err = Parse(Append(nil, &header), &reparsed)
 		assert.NilError(t, err)
-		assert.Equal(t, again.Caller, header.Caller)
-		assert.Equal(t, again.Report, header.Report)
-		assert.Equal(t, again.Kind, header.Kind)
+		assert.Equal(t, reparsed.Caller, header.Caller)
+		assert.Equal(t, reparsed.Report, header.Report)
+		assert.Equal(t, reparsed.Kind, header.Kind)
 	})
 }
 
 func BenchmarkParseAndAppend(b *testing.B) {
-	datagram := Append(nil, sample(KindToTarget))
+	datagram := Append(nil, newTestHeader(KindToTarget))
 	buffer := make([]byte, 0, MaximumSize)
 	var header Header
 	b.ReportAllocs()
@@ -122,8 +122,8 @@
 	}
 }
 
-func BenchmarkGeneralLibrary(b *testing.B) {
-	datagram := Append(nil, sample(KindToTarget))
+func BenchmarkProxyproto(b *testing.B) {
+	datagram := Append(nil, newTestHeader(KindToTarget))
 	b.ReportAllocs()
 	for b.Loop() {
 		header, _ := proxyproto.Read(bufio.NewReaderSize(bytes.NewReader(datagram), 256))
