--- a/internal/storeview/lapse.go
+++ b/internal/storeview/expirywindow.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Lapse is the grace period after the store's return in which a missing target may still be alive,
+// Lapse is the window after the store's return in which a missing target may still be alive,
 // because its entry expired while the store was unavailable. A target that is still missing
 // afterwards counts as removed.
 type Lapse struct {
@@ -12,7 +12,7 @@
 	Until time.Time
 }
 
-// Holds reports whether the grace period is running.
+// Holds reports whether the window is open.
 func (l *Lapse) Holds(now time.Time) bool { return now.Before(l.Until) }
 
 // Covers reports whether a removal learned at learnedAt may be an expiry.
