--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -93,7 +93,7 @@
 		}
 		controller.rejectedAt = start.Add(time.Duration(tick) * 100 * time.Millisecond)
 	}
-	assert.Equal(t, count, 10, "one per floorInterval")
+	assert.Equal(t, count, 10, "one per starvationInterval")
 }
 
 func TestLimitGrowsOnlyWhileEffective(t *testing.T) {
--- a/internal/overload/queue.go
+++ b/internal/overload/queue.go
@@ -21,7 +21,7 @@
 	Flow Flow
 	// IsOpening reports whether the packet opens a flow, so that it may be rejected.
 	IsOpening bool
-	// At is the arrival time, Until the deadline for waiting.
+	// Arrival time and deadline for waiting.
 	At, Until time.Time
 	Packet    T
 	// Behind holds later packets of the flow, in order. They leave the queue with Packet.
--- a/internal/storeview/expirywindow.go
+++ b/internal/storeview/expirywindow.go
@@ -7,7 +7,7 @@
 // afterwards counts as removed.
 type Lapse struct {
 	// Since is the earliest time at which a removal may be an expiry; Until is the end of the
-	// period.
+	// window.
 	Since time.Time
 	Until time.Time
 }
--- a/internal/storeview/lwwmap.go
+++ b/internal/storeview/lwwmap.go
@@ -229,7 +229,7 @@
 
 // expire drops entries that were removed at least the retention period ago and returns the highest
 // revision among them.
-func (r *lwwMap[K]) expire(now time.Time, retention time.Duration, change *Change) (forgotten uint64) {
+func (r *lwwMap[K]) expire(now time.Time, retention time.Duration, change *Change) (compacted uint64) {
 	for _, key := range slices.Sorted(maps.Keys(r.gone)) {
 		held := r.byKey[key]
 		record := held.record()
@@ -239,10 +239,10 @@
 		delete(r.byKey, key)
 		delete(r.gone, key)
 		r.removed.add(key, record.Revision, now)
-		forgotten = max(forgotten, record.Revision)
+		compacted = max(compacted, record.Revision)
 		held.addTo(change, false)
 	}
-	return forgotten
+	return compacted
 }
 
 // since returns the entries with a higher revision, oldest first.
--- a/internal/storeview/restoregrace_test.go
+++ b/internal/storeview/restoregrace_test.go
@@ -52,7 +52,7 @@
 )
 
 func TestStateNewerThanBackupIsKeptDuringGrace(t *testing.T) {
-	span := DefaultConfig().RestoredFor
+	grace := DefaultConfig().RestoredFor
 	t.Run("newer state is kept", func(t *testing.T) {
 		view := newRestoredView()
 		assert.Equal(t, statesOf(view), statesBeforeRestore)
@@ -63,12 +63,12 @@
 		view := newRestoredView()
 		finishRestore(view, testStart.Add(DefaultConfig().RewrittenWithin))
 		assert.Equal(t, statesOf(view), "a draining 5; b gone 5; c open 9; d gone 5; e open 5; ")
-		finishRestore(view, testStart.Add(span-1))
+		finishRestore(view, testStart.Add(grace-1))
 		assert.Equal(t, statesOf(view), "a draining 5; b gone 5; c open 9; d gone 5; e open 5; ")
 	})
 	t.Run("the store's content wins after the grace period", func(t *testing.T) {
 		view := newRestoredView()
-		change := finishRestore(view, testStart.Add(span))
+		change := finishRestore(view, testStart.Add(grace))
 		assert.Equal(t, statesOf(view), statesInBackup)
 		assert.Assert(t, change.Targets)
 	})
@@ -80,13 +80,13 @@
 	t.Run("an expired entry of the backup does not come back", func(t *testing.T) {
 		view := newRestoredView()
 		view.Merge(testStart, []Entry{removalEntry("b", RevisionIn(1, 11))})
-		finishRestore(view, testStart.Add(span))
+		finishRestore(view, testStart.Add(grace))
 		assert.Equal(t, view.Target("b").State(), StateGone)
 	})
 	t.Run("a later list removes expired entries", func(t *testing.T) {
 		view := newRestoredView()
 		view.MergeAll(testStart, backupEntries()[2:], RevisionIn(1, 13))
-		finishRestore(view, testStart.Add(span))
+		finishRestore(view, testStart.Add(grace))
 		assert.Equal(t, statesOf(view), "a gone 5; b gone 5; c open 5; d gone 5; e open 5; ")
 	})
 }
@@ -261,7 +261,7 @@
 		for range rapid.IntRange(1, 12).Draw(t, "changes") {
 			before.write(t, 0)
 		}
-		restored := storeHistory{number: uint64(rapid.IntRange(0, int(before.number)).Draw(t, "copied"))}
+		restored := storeHistory{number: uint64(rapid.IntRange(0, int(before.number)).Draw(t, "in backup"))}
 		for _, entry := range before.entries[:restored.number] {
 			entry.Revision = RevisionIn(1, entry.Revision)
 			restored.entries = append(restored.entries, entry)
@@ -275,7 +275,7 @@
 				views[index].MergeAll(testStart, known.content(), known.number)
 			}
 		}
-		for range rapid.IntRange(0, 4).Draw(t, "changes of the copy") {
+		for range rapid.IntRange(0, 4).Draw(t, "changes after the restore") {
 			restored.write(t, 1)
 		}
 		now := testStart
--- a/internal/storeview/tombstones.go
+++ b/internal/storeview/tombstones.go
@@ -52,12 +52,12 @@
 
 // expire drops removals that were learned at least the retention period ago and returns the highest
 // revision among them.
-func (t *tombstones) expire(now time.Time, retention time.Duration) (forgotten uint64) {
+func (t *tombstones) expire(now time.Time, retention time.Duration) (compacted uint64) {
 	for key, removed := range t.byKey {
 		if now.Sub(removed.learnedAt) >= retention {
-			forgotten = max(forgotten, removed.revision)
+			compacted = max(compacted, removed.revision)
 			delete(t.byKey, key)
 		}
 	}
-	return forgotten
+	return compacted
 }
