--- a/internal/overload/queue.go
+++ b/internal/overload/queue.go
@@ -6,59 +6,59 @@
 	"time"
 )
 
-// Flow names a flow by its two ends, and tells its opening from what is sent on it once it is
-// open: one does not wait behind the other. The zero Flow is none.
+// Flow identifies a flow by its two endpoints, and whether it is being opened: packets that open it
+// and those that follow do not queue behind each other. The zero Flow means none.
 type Flow struct {
 	Source, Destination netip.AddrPort
 	IsOpening           bool
 }
 
-// Waiting is a packet that waits for its service to have room.
+// Waiting is a queued packet.
 type Waiting[T any] struct {
 	Load *Controller
 	Rank Rank
-	// Flow is what the packet belongs to; later ones of it wait behind it.
+	// Flow is the packet's flow; later packets of it are queued behind this one.
 	Flow Flow
-	// IsOpening says that the packet opens a flow, and can be refused.
+	// IsOpening reports whether the packet opens a flow, so that it may be rejected.
 	IsOpening bool
-	// At is when the packet came, Until when it waits no longer.
+	// Arrival time and deadline for waiting.
 	At, Until time.Time
 	Packet    T
-	// Behind are later packets of the flow, in order. They go on together with Packet.
+	// Behind holds later packets of the flow, in order. They leave the queue with Packet.
 	Behind []T
 }
 
-// Queue holds packets until their services have room. What costs time with each packet that
-// comes does not grow with how many wait: only the first of a line is looked at. It is not
-// safe for concurrent use.
+// Queue holds packets until their services can admit them. The work per arriving packet does not
+// grow with the number of queued packets, as only the head of each FIFO is examined. It is not safe
+// for concurrent use.
 type Queue[T any] struct {
-	most int
-	// count is how many packets wait.
+	capacity int
+	// count is the number of queued packets.
 	count int
-	lines []*line[T]
+	fifos []*fifo[T]
 	flows map[Flow]*Waiting[T]
 }
 
-// line is what waits for the same room, for equally long: the first that came is also the
-// first that has waited for too long.
-type line[T any] struct {
-	load      *Controller
-	rank      Rank
-	isOpening bool
-	hold      time.Duration
-	waiting   []*Waiting[T]
+// fifo is a FIFO of packets with the same controller, rank and maximum wait, so that its head is
+// also the first to reach its deadline.
+type fifo[T any] struct {
+	controller *Controller
+	rank       Rank
+	isOpening  bool
+	maxWait    time.Duration
+	waiting    []*Waiting[T]
 }
 
-// NewQueue makes a queue of at most so many packets.
-func NewQueue[T any](most int) *Queue[T] {
-	return &Queue[T]{most: most, flows: map[Flow]*Waiting[T]{}}
+// NewQueue returns a queue for at most capacity packets.
+func NewQueue[T any](capacity int) *Queue[T] {
+	return &Queue[T]{capacity: capacity, flows: map[Flow]*Waiting[T]{}}
 }
 
-// Len returns how many packets wait.
+// Len returns the number of queued packets.
 func (q *Queue[T]) Len() int { return q.count }
 
-// Of returns the first packet of a flow that waits, nil if none does. It is valid until the
-// queue changes.
+// Of returns the first queued packet of a flow, nil if there is none. It is valid until the queue
+// changes.
 func (q *Queue[T]) Of(flow Flow) *Waiting[T] {
 	if q.count == 0 {
 		return nil
@@ -66,15 +66,14 @@
 	return q.flows[flow]
 }
 
-// HasPlace reports whether a packet may wait: the queue is not full, and if it opens a flow,
-// room is expected in time for one more of the rank.
-func (q *Queue[T]) HasPlace(now time.Time, load *Controller, rank Rank, isOpening bool) bool {
-	return q.count < q.most && (!isOpening || q.opening(load, rank) < load.places(now, rank))
+// HasPlace reports whether a packet may be queued: the queue is not full and, if the packet opens a
+// flow, another flow of its rank is expected to be admitted in time.
+func (q *Queue[T]) HasPlace(now time.Time, controller *Controller, rank Rank, isOpening bool) bool {
+	return q.count < q.capacity && (!isOpening || q.waitingFlows(controller, rank) < controller.maxWaitingFlows(now, rank))
 }
 
-// Put lets a packet wait. It reports false if there is no place. One of a flow of which others
-// wait goes behind them. One that waited before and must once more gets its place by when it
-// came.
+// Put queues a packet. It reports false if there is no room. A packet is queued behind earlier ones
+// of its flow. One that is queued again keeps its position by arrival time.
 func (q *Queue[T]) Put(now time.Time, added Waiting[T]) bool {
 	if !q.HasPlace(now, added.Load, added.Rank, added.IsOpening) {
 		return false
@@ -87,51 +86,50 @@
 		}
 		q.flows[added.Flow] = &added
 	}
-	line := q.lineOf(&added)
-	place := len(line.waiting)
-	for place > 0 && line.waiting[place-1].At.After(added.At) {
-		place--
+	fifo := q.fifoOf(&added)
+	position := len(fifo.waiting)
+	for position > 0 && fifo.waiting[position-1].At.After(added.At) {
+		position--
 	}
-	line.waiting = slices.Insert(line.waiting, place, &added)
+	fifo.waiting = slices.Insert(fifo.waiting, position, &added)
 	return true
 }
 
-// lineOf returns the line that a packet waits in.
-func (q *Queue[T]) lineOf(added *Waiting[T]) *line[T] {
-	hold := added.Until.Sub(added.At)
-	for _, line := range q.lines {
-		if line.load == added.Load && line.rank == added.Rank && line.isOpening == added.IsOpening && line.hold == hold {
-			return line
+// fifoOf returns the FIFO for a packet.
+func (q *Queue[T]) fifoOf(added *Waiting[T]) *fifo[T] {
+	maxWait := added.Until.Sub(added.At)
+	for _, fifo := range q.fifos {
+		if fifo.controller == added.Load && fifo.rank == added.Rank && fifo.isOpening == added.IsOpening && fifo.maxWait == maxWait {
+			return fifo
 		}
 	}
-	line := &line[T]{load: added.Load, rank: added.Rank, isOpening: added.IsOpening, hold: hold}
-	q.lines = append(q.lines, line)
-	return line
+	fifo := &fifo[T]{controller: added.Load, rank: added.Rank, isOpening: added.IsOpening, maxWait: maxWait}
+	q.fifos = append(q.fifos, fifo)
+	return fifo
 }
 
-// opening returns how many new flows of a rank wait for a service.
-func (q *Queue[T]) opening(load *Controller, rank Rank) int {
+// waitingFlows returns the number of queued new flows of a rank to a service.
+func (q *Queue[T]) waitingFlows(controller *Controller, rank Rank) int {
 	count := 0
-	for _, line := range q.lines {
-		if line.isOpening && line.load == load && line.rank == rank {
-			count += len(line.waiting)
+	for _, fifo := range q.fifos {
+		if fifo.isOpening && fifo.controller == controller && fifo.rank == rank {
+			count += len(fifo.waiting)
 		}
 	}
 	return count
 }
 
-// Take takes out the packet that goes on next, if one does, with those behind it: for which
-// there is room, or that has waited for as long as it may. Preferred ones go first, and of a
-// rank the earliest.
+// Take removes and returns the next packet that is admitted or has reached its deadline, with those
+// behind it. Preferred packets come first, then the earliest.
 func (q *Queue[T]) Take(now time.Time) (taken Waiting[T], found bool) {
-	var best *line[T]
-	for _, line := range q.lines {
-		first := line.waiting[0]
-		if best != nil && (line.rank > best.rank || line.rank == best.rank && !first.At.Before(best.waiting[0].At)) {
+	var best *fifo[T]
+	for _, fifo := range q.fifos {
+		first := fifo.waiting[0]
+		if best != nil && (fifo.rank > best.rank || fifo.rank == best.rank && !first.At.Before(best.waiting[0].At)) {
 			continue
 		}
-		if !now.Before(first.Until) || line.load.Admit(now, line.rank) {
-			best = line
+		if !now.Before(first.Until) || fifo.controller.Admit(now, fifo.rank) {
+			best = fifo
 		}
 	}
 	if best == nil {
@@ -140,22 +138,22 @@
 	return q.remove(best, 0), true
 }
 
-// TakeFlow takes out what waits of a flow, if something does.
+// TakeFlow removes and returns the queued packets of a flow.
 func (q *Queue[T]) TakeFlow(flow Flow) (taken Waiting[T], found bool) {
 	first := q.Of(flow)
 	if first == nil {
 		return Waiting[T]{}, false
 	}
-	line := q.lineOf(first)
-	return q.remove(line, slices.Index(line.waiting, first)), true
+	fifo := q.fifoOf(first)
+	return q.remove(fifo, slices.Index(fifo.waiting, first)), true
 }
 
-// remove takes one out of a line, and the line out if nobody waits in it any more.
-func (q *Queue[T]) remove(from *line[T], place int) Waiting[T] {
-	taken := from.waiting[place]
-	from.waiting = slices.Delete(from.waiting, place, place+1)
+// remove removes a packet from a FIFO, and the FIFO once it is empty.
+func (q *Queue[T]) remove(from *fifo[T], position int) Waiting[T] {
+	taken := from.waiting[position]
+	from.waiting = slices.Delete(from.waiting, position, position+1)
 	if len(from.waiting) == 0 {
-		q.lines = slices.DeleteFunc(q.lines, func(line *line[T]) bool { return line == from })
+		q.fifos = slices.DeleteFunc(q.fifos, func(fifo *fifo[T]) bool { return fifo == from })
 	}
 	delete(q.flows, taken.Flow)
 	q.count -= 1 + len(taken.Behind)
--- a/internal/storeview/refusals_test.go
+++ b/internal/storeview/invalid_test.go
@@ -13,32 +13,30 @@
 	return Entry{Key: key, Revision: revision, Fault: "unreadable"}
 }
 
-// TestAnUnreadableEntryNamesNoTarget: the target that stood under its key gets no new flows, the
-// others hold.
-func TestAnUnreadableEntryNamesNoTarget(t *testing.T) {
+// An invalid entry removes only the target that was held under its key.
+func TestInvalidEntryRemovesTarget(t *testing.T) {
 	view := New(time.Minute)
 	view.Merge(testStart, []Entry{targetEntry("a", 2), targetEntry("b", 3)})
 	change := view.Merge(testStart, []Entry{faultEntry("a", 4)})
 	assert.Assert(t, change.Targets)
 	present, known := stateOf(view, "a")
-	assert.Assert(t, !present && known, "its flows go on")
+	assert.Assert(t, !present && known, "its open flows are still routed")
 	assert.Assert(t, view.Targets()[0].Refused)
 	present, _ = stateOf(view, "b")
 	assert.Assert(t, present)
-	t.Run("a later good entry stands again", func(t *testing.T) {
+	t.Run("a later valid entry restores the target", func(t *testing.T) {
 		view.Merge(testStart, []Entry{targetEntry("a", 5)})
 		present, _ := stateOf(view, "a")
 		assert.Assert(t, present)
 		assert.Equal(t, len(view.Refused()), 0)
 	})
-	t.Run("an earlier bad one says nothing", func(t *testing.T) {
+	t.Run("an earlier invalid entry is ignored", func(t *testing.T) {
 		change := view.Merge(testStart, []Entry{faultEntry("a", 4)})
 		assert.Assert(t, change.IsEmpty() && len(change.Refused) == 0)
 	})
 }
 
-// TestAnUnreadableEntryIsSaidOnce, however often it is listed.
-func TestAnUnreadableEntryIsSaidOnce(t *testing.T) {
+func TestInvalidEntryIsReportedOnce(t *testing.T) {
 	view := New(time.Minute)
 	content := []Entry{targetEntry("a", 2), faultEntry("b", 3), faultEntry("c", 4)}
 	assert.Equal(t, len(view.MergeAll(testStart, content, 5).Refused), 2)
@@ -46,24 +44,24 @@
 		change := view.MergeAll(testStart, content, 5)
 		assert.Assert(t, change.IsEmpty() && len(change.Refused) == 0)
 	}
-	assert.Equal(t, len(view.Merge(testStart, []Entry{faultEntry("b", 9)}).Refused), 1, "another revision is news")
+	assert.Equal(t, len(view.Merge(testStart, []Entry{faultEntry("b", 9)}).Refused), 1, "a new revision is reported again")
 	view.MergeAll(testStart, content[:1], 12)
 	assert.Equal(t, len(view.Refused()), 0, "no longer listed")
 }
 
-func TestRefusalsAreBounded(t *testing.T) {
+func TestInvalidEntriesAreBounded(t *testing.T) {
 	view := New(time.Minute)
-	for number := range uint64(mostRefusals + 100) {
+	for number := range uint64(maxInvalidEntries + 100) {
 		key := "k" + string(rune('a'+number%26)) + time.Duration(number).String()
 		view.Merge(testStart, []Entry{targetEntry(key, 2*number+1), faultEntry(key, 2*number+2)})
 	}
-	assert.Equal(t, len(view.Refused()), mostRefusals)
+	assert.Equal(t, len(view.Refused()), maxInvalidEntries)
 	assert.Equal(t, view.Present(), 0)
 }
 
-// TestDaemonsAgreeOnUnreadableEntries: whoever reads the store and whoever is told by a peer,
-// in whatever order and after however many steps, hold the same targets for usable.
-func TestDaemonsAgreeOnUnreadableEntries(t *testing.T) {
+// A daemon that reads the store and one that learns from it, in any order, agree on which targets
+// are present.
+func TestDaemonsAgreeOnInvalidEntries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reader, peer := New(time.Minute), New(time.Minute)
 		var revision uint64
@@ -74,12 +72,12 @@
 			since := reader.Revision()
 			reader.Merge(testStart, []Entry{entry})
 			reader.AdvanceTo(revision)
-			if rapid.Bool().Draw(t, "is told") {
-				told := reader.EntriesSince(testStart, min(since, peer.Revision()), Held{})
+			if rapid.Bool().Draw(t, "is synced") {
+				entries := reader.EntriesSince(testStart, min(since, peer.Revision()), Held{})
 				if rapid.Bool().Draw(t, "is reversed") {
-					slices.Reverse(told)
+					slices.Reverse(entries)
 				}
-				peer.Merge(testStart, told)
+				peer.Merge(testStart, entries)
 				peer.AdvanceTo(revision)
 			}
 		}
--- /dev/null
+++ b/internal/storeview/lwwmap.go
@@ -0,0 +1,281 @@
+package storeview
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+)
+
+// Record is the metadata of a known entry.
+type Record struct {
+	// Key and Revision are the store's.
+	Key      string
+	Revision uint64
+	// Written is the revision of the latest write; once the entry is removed, Revision is later.
+	Written uint64
+	// Gone reports that the store no longer holds the entry, Refused that it holds an invalid one
+	// under the key.
+	Gone    bool
+	Refused bool
+	// LearnedAt is when the daemon that first read this state from the store did so.
+	LearnedAt time.Time
+}
+
+func (r *Record) record() *Record { return r }
+
+// knownEntry is the latest known state of an entry.
+type knownEntry interface {
+	record() *Record
+	// identity identifies what the entry describes; it may change under one key.
+	identity() uint64
+	// state returns the entry's state for log messages.
+	state() string
+	// toEntry returns the entry as sent to another daemon now, without the fields of its record.
+	toEntry(now time.Time) Entry
+	// addTo adds the changed entry to a change; hasNewState reports whether its state differs, too.
+	addTo(change *Change, hasNewState bool)
+}
+
+// mergeable is a known entry of type K. Held entries are immutable, since others read them
+// concurrently; changes are made to a copy.
+type mergeable[K any] interface {
+	knownEntry
+	comparable
+	clone() K
+	// supersedes reports whether the entry is newer than other, an entry with its key from a backup
+	// of the store: a draining target, for instance, does not become open again in the same
+	// incarnation.
+	supersedes(other K) bool
+}
+
+// lwwMap is a last-writer-wins map of the entries of one kind. Removed entries are kept for the
+// retention period, since peers need their removal and open flows may still use them.
+type lwwMap[K mergeable[K]] struct {
+	removed *tombstones
+	grace   *restoreGrace
+	// deferred holds entries of a restored store that conflict with newer earlier state.
+	deferred map[string]K
+	byKey    map[string]K
+	// gone holds the keys of removed entries, so that expiry needs no full scan.
+	gone map[string]bool
+	// index indexes the entries by revision.
+	index revisionIndex[K]
+}
+
+func newLWWMap[K mergeable[K]](removed *tombstones, grace *restoreGrace) *lwwMap[K] {
+	return &lwwMap[K]{
+		removed: removed, grace: grace,
+		deferred: map[string]K{}, byKey: map[string]K{}, gone: map[string]bool{},
+	}
+}
+
+// present returns the number of entries that are not removed.
+func (r *lwwMap[K]) present() int { return len(r.byKey) - len(r.gone) }
+
+// sorted returns all entries by key, including removed ones.
+func (r *lwwMap[K]) sorted() []K {
+	all := make([]K, 0, len(r.byKey))
+	for _, held := range r.byKey {
+		all = append(all, held)
+	}
+	slices.SortFunc(all, func(a, b K) int { return cmp.Compare(a.record().Key, b.record().Key) })
+	return all
+}
+
+// merge merges an entry. An entry that is not held and whose revision is at most upTo, up to which
+// everything is known, has been removed since.
+func (r *lwwMap[K]) merge(learned K, upTo uint64, change *Change) {
+	record := learned.record()
+	if record.Revision <= r.removed.revisionOf(record.Key) {
+		return
+	}
+	held, isHeld := r.byKey[record.Key]
+	switch {
+	case !isHeld && r.grace.isNewerThanBackup(r.removed.revisionOf(record.Key), record.Revision):
+		r.deferInitial(learned, upTo)
+		return
+	case isHeld && record.Revision <= held.record().Revision:
+		if !r.supersedesRestored(learned, held) {
+			return
+		}
+		r.deferEntry(held)
+	case isHeld && r.supersedesRestored(held, learned):
+		r.deferInitial(learned, upTo)
+		return
+	default:
+		r.dropDeferred(record.Key, record.Revision)
+	}
+	record.Gone = record.Revision <= upTo && r.wasAbsent(record, upTo)
+	if record.Gone {
+		// Peers that hold the entry must see its removal as newer.
+		record.Revision = upTo
+	}
+	r.put(learned, change)
+}
+
+// wasAbsent reports whether the complete state known up to revision upTo lacks the entry's key in
+// the entry's epoch.
+func (r *lwwMap[K]) wasAbsent(learned *Record, upTo uint64) bool {
+	held, isHeld := r.byKey[learned.Key]
+	if !isHeld {
+		return !r.grace.isEarlierEpoch(learned.Revision)
+	}
+	epoch := EpochOf(learned.Revision)
+	return EpochOf(held.record().Revision) < epoch && epoch == EpochOf(upTo)
+}
+
+// put stores an entry under its key, replacing the previous one.
+func (r *lwwMap[K]) put(learned K, change *Change) {
+	record := learned.record()
+	held, isHeld := r.byKey[record.Key]
+	r.byKey[record.Key] = learned
+	delete(r.gone, record.Key)
+	if record.Gone {
+		r.gone[record.Key] = true
+	}
+	r.removed.remove(record.Key)
+	r.addToIndex(learned)
+	if isHeld && held.identity() != learned.identity() {
+		held.addTo(change, false)
+	}
+	learned.addTo(change, !isHeld || held.state() != learned.state())
+}
+
+// remove handles a removal and reports whether the key is held here.
+func (r *lwwMap[K]) remove(key string, revision uint64, at time.Time, change *Change) bool {
+	r.dropDeferred(key, revision)
+	held, isHeld := r.byKey[key]
+	switch {
+	case !isHeld:
+	case revision > held.record().Revision:
+		r.markGone(held, revision, at, change)
+	default:
+		r.removeRestored(held, revision, at, change)
+	}
+	return isHeld
+}
+
+// markInvalid handles an invalid entry under a key.
+func (r *lwwMap[K]) markInvalid(key string, revision uint64, at time.Time, change *Change) {
+	held, isHeld := r.byKey[key]
+	if !isHeld {
+		return
+	}
+	r.dropDeferred(key, revision)
+	isNews := held.record().Gone && !held.record().Refused
+	refused := held.clone()
+	refused.record().Refused = true
+	ended := r.markGone(refused, revision, at, change)
+	if isNews {
+		ended.addTo(change, false)
+	}
+}
+
+// hasNewer reports whether a newer state of the key is held than that of a revision. An entry
+// written at that very revision counts as newer, as the removal may be a peer's report of an
+// invalid entry.
+func (r *lwwMap[K]) hasNewer(key string, revision uint64) bool {
+	held, isHeld := r.byKey[key]
+	return isHeld && (held.record().Revision > revision || held.record().Written >= revision)
+}
+
+// dropUnlisted removes entries that a full list as of a revision lacks. The removals get the list's
+// revision, so that a later write counts as newer.
+func (r *lwwMap[K]) dropUnlisted(listed listedKeys, revision uint64, at time.Time, change *Change) {
+	missing := r.takeExpiredDeferred(listed, revision)
+	for key, held := range r.byKey {
+		isMissing := !listed.isListedIn(EpochOf(revision), key) && held.record().Revision <= revision
+		if isMissing && !r.grace.isEarlierEpoch(held.record().Revision) {
+			missing = append(missing, key)
+		}
+	}
+	slices.Sort(missing) // in a fixed order, for seeded runs
+	for _, key := range missing {
+		if held, isHeld := r.byKey[key]; isHeld {
+			r.markGone(held, revision, at, change)
+		} else {
+			r.removed.add(key, revision, at)
+		}
+	}
+}
+
+// markGone marks an entry as removed and returns the copy that is now held.
+func (r *lwwMap[K]) markGone(held K, revision uint64, at time.Time, change *Change) K {
+	ended := held.clone()
+	record := ended.record()
+	wasGone := record.Gone
+	record.Revision = max(record.Revision, revision)
+	if !wasGone {
+		record.Gone = true
+		record.LearnedAt = at
+		r.gone[record.Key] = true
+	}
+	r.byKey[record.Key] = ended
+	r.addToIndex(ended)
+	if !wasGone {
+		ended.addTo(change, true)
+	}
+	return ended
+}
+
+// addToIndex adds an entry with a new revision to the index.
+func (r *lwwMap[K]) addToIndex(entry K) {
+	r.index.add(entry.record().Revision, entry)
+	if r.index.needsRebuild(len(r.byKey)) {
+		r.index.rebuild(r.byKey)
+	}
+}
+
+// expire drops entries that were removed at least the retention period ago and returns the highest
+// revision among them.
+func (r *lwwMap[K]) expire(now time.Time, retention time.Duration, change *Change) (compacted uint64) {
+	for _, key := range slices.Sorted(maps.Keys(r.gone)) {
+		held := r.byKey[key]
+		record := held.record()
+		if now.Sub(record.LearnedAt) < retention {
+			continue
+		}
+		delete(r.byKey, key)
+		delete(r.gone, key)
+		r.removed.add(key, record.Revision, now)
+		compacted = max(compacted, record.Revision)
+		held.addTo(change, false)
+	}
+	return compacted
+}
+
+// since returns the entries with a higher revision, oldest first.
+func (r *lwwMap[K]) since(now time.Time, revision uint64) []Entry {
+	return r.toEntries(now, r.index.after(revision))
+}
+
+// toEntries returns index items as entries for peers. A removed entry is sent as last written and
+// then as removed, so that peers know what its open flows use.
+func (r *lwwMap[K]) toEntries(now time.Time, items []indexItem[K]) []Entry {
+	var entries []Entry
+	for _, item := range items {
+		held := item.entry
+		record := held.record()
+		if record.Revision != item.revision || r.byKey[record.Key] != held {
+			continue // stale: a later item holds the current state
+		}
+		entry := entryOf(now, held)
+		if record.Gone {
+			removal := Entry{Key: entry.Key, Revision: entry.Revision, Age: entry.Age}
+			entry.Revision = record.Written
+			entries = append(entries, entry, removal)
+			continue
+		}
+		entries = append(entries, entry)
+	}
+	return entries
+}
+
+// entryOf returns a known entry as sent to peers.
+func entryOf[K mergeable[K]](now time.Time, held K) Entry {
+	record := held.record()
+	entry := held.toEntry(now)
+	entry.Key, entry.Revision, entry.Age = record.Key, record.Revision, max(0, now.Sub(record.LearnedAt))
+	return entry
+}
--- a/internal/storeview/targets.go
+++ b/internal/storeview/targets.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// KnownTarget is a target as it was learned last, and stays as it is. That the store holds it no more is no
-// proof of its death: its open flows are routed on until they must have ended.
+// KnownTarget is the latest known state of a target; it is immutable. Removal from the store does
+// not prove that the target has ended: its open flows are still routed for the retention period.
 type KnownTarget struct {
 	Record
 	Target
-	// WarmAt is when the target is no longer slow from its start.
+	// WarmAt is the end of the target's slow start.
 	WarmAt time.Time
 }
 
-// The states of a target.
+// States of a target.
 const (
-	StateOpen     = "open"     // gets new flows
-	StateDraining = "draining" // keeps its flows
-	StateGone     = "gone"     // no longer in the store; keeps its flows
+	StateOpen     = "open"     // receives new flows
+	StateDraining = "draining" // keeps its open flows only
+	StateGone     = "gone"     // no longer in the store; keeps its open flows
 )
 
 func newKnownTarget(record Record, target *Target) *KnownTarget {
 	return &KnownTarget{Record: record, Target: *target, WarmAt: record.LearnedAt.Add(target.ColdFor)}
 }
 
-// State names what the target is.
+// State returns StateOpen, StateDraining or StateGone.
 func (t *KnownTarget) State() string {
 	switch {
 	case t.Gone:
@@ -33,39 +33,39 @@
 	return StateOpen
 }
 
-func (t *KnownTarget) copied() *KnownTarget {
-	copied := *t
-	return &copied
+func (t *KnownTarget) clone() *KnownTarget {
+	clone := *t
+	return &clone
 }
 
-func (t *KnownTarget) outlives(copied *KnownTarget) bool {
+func (t *KnownTarget) supersedes(other *KnownTarget) bool {
 	switch {
-	case t.Incarnation != copied.Incarnation:
-		return t.Incarnation > copied.Incarnation
+	case t.Incarnation != other.Incarnation:
+		return t.Incarnation > other.Incarnation
 	case t.Gone:
-		return !copied.Gone
+		return !other.Gone
 	}
-	return t.Draining && !copied.Draining && !copied.Gone
+	return t.Draining && !other.Draining && !other.Gone
 }
 
 func (t *KnownTarget) identity() uint64 { return t.Identifier }
 
 func (t *KnownTarget) state() string { return t.State() }
 
-func (t *KnownTarget) described(now time.Time) Entry {
+func (t *KnownTarget) toEntry(now time.Time) Entry {
 	target := t.Target
 	target.ColdFor = max(0, t.WarmAt.Sub(now))
 	if !t.Gone {
-		// Whoever is told counts from when the state was learned.
+		// The receiver counts from LearnedAt, which it derives from the entry's age.
 		target.ColdFor += max(0, now.Sub(t.LearnedAt))
 	}
 	return Entry{Target: &target}
 }
 
-func (t *KnownTarget) note(change *Change, hasNewState bool) {
+func (t *KnownTarget) addTo(change *Change, hasNewState bool) {
 	change.Targets = true
 	change.Altered = append(change.Altered, t)
 	if hasNewState {
-		change.detail(t.Key, t.State())
+		change.addDetail(t.Key, t.State())
 	}
 }
