--- a/backend/backend.go
+++ b/backend/backend.go
@@ -1,6 +1,6 @@
-// Package backend is what a QUIC server takes in to stand behind passtray: a
-// packet connection that strips and adds the encapsulation, connection IDs that
-// route back to this target, and a drain that cuts nothing.
+// Package backend lets a QUIC server run as a target behind passtray. It provides a packet connection
+// that handles the encapsulation, connection IDs that route back to this target, and graceful
+// draining.
 //
 //	listener, err := backend.Listen(address, backend.Config{...}, tlsConfig, quicConfig)
 //	for {
@@ -22,38 +22,35 @@
 	"github.com/passtray/passtray/internal/connectionid"
 )
 
-// Config says who this target is.
+// Config configures a target.
 type Config struct {
-	// Service and Target are the names declared to the operators' interface.
-	// What is meant for another target is dropped.
+	// Service and Target are the names configured through the operators' API. Datagrams for
+	// other targets are dropped.
 	Service string
 	Target  string
 	// KeyringPath is the keyring file shared with the daemons.
 	KeyringPath string
-	// Slots is how many requests may run at once, MaximumConnections how many
-	// connections may be open; both are reported to the daemons.
+	// Slots is the maximum number of concurrent requests, MaximumConnections the maximum number
+	// of open connections, 0 for no limit. Both are reported to the daemons.
 	Slots              uint16
 	MaximumConnections uint32
-	// Daemons are the networks daemons stand in. A datagram from elsewhere is
-	// dropped. Empty trusts every network, for a closed one.
+	// Daemons are the networks of the daemons; datagrams from other sources are dropped. If
+	// empty, every source is trusted, which is safe only on an isolated network.
 	Daemons []netip.Prefix
-	// Load, if set, replaces the counted load in reports, for servers that know
-	// their load better. It is called with every datagram sent and must be fast.
+	// Load, if set, overrides the counted load in reports. It is called for every datagram sent
+	// and must not block.
 	Load func(busySlots uint16, connections uint32) (uint16, uint32)
-	// Trace, if set, sees every datagram that a daemon sent here: the service
-	// address its caller used, and whether it was meant for this target. It must
-	// not block.
+	// Trace, if set, is called for every valid datagram received, with the service address that
+	// the caller used and whether the datagram was accepted. It must not block.
 	Trace func(service netip.AddrPort, accepted bool)
 }
 
-// errDraining makes the library answer CONNECTION_REFUSED.
+// errDraining and errFull make quic-go reject the connection with CONNECTION_REFUSED.
 var errDraining = eris.New("the target is draining")
 
-// errFull does so too.
-var errFull = eris.New("the target holds as many connections as it may")
+var errFull = eris.New("the target has reached its maximum number of connections")
 
-// Listener accepts QUIC connections that come through passtray. It is safe for
-// concurrent use.
+// Listener accepts QUIC connections forwarded by passtray. It is safe for concurrent use.
 type Listener struct {
 	packets   *PacketConn
 	transport *quic.Transport
@@ -63,8 +60,8 @@
 	attempts  atomic.Uint64
 }
 
-// Listen opens the target's address. Zero round-trip data is off: a request
-// must not run before its connection is known to be this target's alone.
+// Listen listens on the target's address. 0-RTT is disabled: a request must not run before its
+// connection is known to belong to this target only.
 func Listen(address netip.AddrPort, config Config, tlsConfig *tls.Config, quicConfig *quic.Config) (*Listener, error) {
 	packets, err := ListenPacket(address, config)
 	if err != nil {
@@ -97,7 +94,7 @@
 	return settings, nil
 }
 
-// Accept returns the next connection. It counts as open until its context ends.
+// Accept returns the next connection, which counts as open until its context is done.
 func (l *Listener) Accept(ctx context.Context) (*quic.Conn, error) {
 	connection, err := l.listener.Accept(ctx)
 	if err != nil {
@@ -113,8 +110,8 @@
 	return connection, nil
 }
 
-// AcquireSlot waits for one of the target's slots and returns what gives it
-// back.
+// AcquireSlot waits for a free slot and returns the function that releases it. The function must be
+// called exactly once.
 func (l *Listener) AcquireSlot(ctx context.Context) (func(), error) {
 	select {
 	case l.slots <- struct{}{}:
@@ -128,28 +125,27 @@
 	}, nil
 }
 
-// Attempts returns how many handshakes clients have begun here, those refused
-// and those never ended among them.
+// Attempts returns the number of handshakes started by clients, including rejected and incomplete
+// ones.
 func (l *Listener) Attempts() uint64 { return l.attempts.Load() }
 
-// Connections returns how many connections are open.
+// Connections returns the number of open connections.
 func (l *Listener) Connections() uint32 { return l.packets.connections.Load() }
 
-// BusySlots returns how many slots are taken.
+// BusySlots returns the number of slots in use.
 func (l *Listener) BusySlots() uint32 { return l.packets.busy.Load() }
 
-// Drain refuses new connections from now on and tells the daemons so with every
-// packet. Open connections go on.
+// Drain rejects new connections from now on and reports so to the daemons with every packet. Open
+// connections continue.
 func (l *Listener) Drain() {
 	l.packets.draining.Store(true)
 }
 
-// IsDraining reports whether Drain was called, or the operators have drained the
-// target: daemons say so with every datagram. A server may wait for it and then
-// for WaitIdle, and exit.
+// IsDraining reports whether Drain was called or an operator has drained the target, which daemons
+// signal with every datagram. A server can wait for it, call WaitIdle and exit.
 func (l *Listener) IsDraining() bool { return l.packets.isDraining() }
 
-// WaitIdle waits until every accepted connection has ended.
+// WaitIdle waits until all accepted connections are closed.
 func (l *Listener) WaitIdle(ctx context.Context) error {
 	idle := make(chan struct{})
 	go func() {
@@ -164,31 +160,30 @@
 	}
 }
 
-// Dropped returns how many datagrams were not meant for this target.
+// Dropped returns the number of received datagrams that were invalid or for another target.
 func (l *Listener) Dropped() uint64 { return l.packets.dropped.Load() }
 
-// ReloadKeyring reads the keyring file again: new IDs are issued under its
-// active key.
+// ReloadKeyring reloads the keyring file. New connection IDs use its active key.
 func (l *Listener) ReloadKeyring() error { return l.packets.reloadKeyring() }
 
-// Close ends everything at once.
+// Close closes the listener and all connections immediately.
 func (l *Listener) Close() error {
 	_ = l.listener.Close()
 	_ = l.transport.Close()
 	return l.packets.Close()
 }
 
-// idGenerator issues routable connection IDs.
+// idGenerator generates routable connection IDs.
 type idGenerator struct {
 	packets *PacketConn
 }
 
-// GenerateConnectionID fails until the first datagram has told this target its
-// numbers, which every first flight does.
+// GenerateConnectionID fails until a datagram has supplied the numbers of this target, as every first
+// flight does.
 func (g *idGenerator) GenerateConnectionID() (quic.ConnectionID, error) {
 	route, known := g.packets.route()
 	if !known {
-		return quic.ConnectionID{}, eris.New("the target's numbers are not known yet")
+		return quic.ConnectionID{}, eris.New("the numbers of this target are not known yet")
 	}
 	id, err := g.packets.newID(route)
 	if err != nil {
@@ -197,5 +192,5 @@
 	return quic.ConnectionIDFromBytes(id[:]), nil
 }
 
-// ConnectionIDLen is the length of every ID.
+// ConnectionIDLen implements quic.ConnectionIDGenerator.
 func (g *idGenerator) ConnectionIDLen() int { return connectionid.Length }
--- a/backend/packetconn.go
+++ b/backend/packetconn.go
@@ -14,8 +14,8 @@
 	"github.com/passtray/passtray/internal/encapsulation"
 )
 
-// PacketConn is a net.PacketConn whose addresses are the callers', while the
-// datagrams travel to and from daemons.
+// PacketConn is a net.PacketConn whose remote addresses are those of the callers. On the wire,
+// datagrams are exchanged with daemons.
 type PacketConn struct {
 	net.PacketConn
 	config  Config
@@ -24,12 +24,12 @@
 	paths   *returnPaths
 
 	mutex sync.Mutex
-	// revision is the highest that a daemon has named, operatorsDrain what it
-	// said of this target.
+	// revision is the highest configuration revision received, operatorsDrain whether operators
+	// drain this target in that revision.
 	revision       uint64
 	operatorsDrain bool
-	// routes are this target's numbers, the newest last. It has several only
-	// after the fleet was formed anew.
+	// routes are the numbers of this target, the newest last. There are several only after the
+	// fleet was recreated.
 	routes []connectionid.Route
 
 	busy        atomic.Uint32
@@ -44,11 +44,11 @@
 	socketBufferBytes = 2 << 20
 )
 
-// ListenPacket opens a target's packet connection, for servers that make their
-// own quic.Transport or speak plain UDP.
+// ListenPacket opens a target's packet connection, for servers that create their own quic.Transport
+// or use plain UDP.
 func ListenPacket(address netip.AddrPort, config Config) (*PacketConn, error) {
 	if config.Service == "" || config.Target == "" {
-		return nil, eris.Errorf("service %q and target %q: both must be given", config.Service, config.Target)
+		return nil, eris.Errorf("service %q, target %q: both are required", config.Service, config.Target)
 	}
 	connection := &PacketConn{config: config, names: config.Service + "/" + config.Target, paths: newReturnPaths()}
 	if config.KeyringPath != "" {
@@ -60,17 +60,17 @@
 	if err != nil {
 		return nil, eris.Wrapf(err, "listen on %s", address)
 	}
-	// Smaller buffers than asked for only cost packets under bursts.
+	// Errors are ignored: smaller buffers only drop packets during bursts.
 	_ = socket.SetReadBuffer(socketBufferBytes)
 	_ = socket.SetWriteBuffer(socketBufferBytes)
 	connection.PacketConn = socket
 	return connection, nil
 }
 
-// SetReadBuffer and SetWriteBuffer have nothing to do: the socket has its size.
+// SetReadBuffer does nothing: ListenPacket has set the socket's buffer sizes.
 func (c *PacketConn) SetReadBuffer(int) error { return nil }
 
-// SetWriteBuffer does nothing.
+// SetWriteBuffer does nothing, like SetReadBuffer.
 func (c *PacketConn) SetWriteBuffer(int) error { return nil }
 
 func (c *PacketConn) reloadKeyring() error {
@@ -99,8 +99,8 @@
 	return c.keyring.Load().Encode(route, nonce), nil
 }
 
-// ReadFrom returns the next payload meant for this target and its caller's
-// address. Everything else is counted and dropped.
+// ReadFrom returns the next payload for this target and the address of its caller. Other datagrams
+// are counted and dropped.
 func (c *PacketConn) ReadFrom(buffer []byte) (int, net.Addr, error) {
 	var datagram [maximumDatagram]byte
 	var header encapsulation.Header
@@ -133,8 +133,8 @@
 	}
 }
 
-// isForMe reports whether a datagram is meant for this target: it carries this
-// target's names, from which the numbers are learnt, or numbers learnt so.
+// isForMe reports whether a datagram is for this target: it carries the names of this target, from
+// which the target learns its numbers, or no names and numbers learned before.
 func (c *PacketConn) isForMe(source netip.AddrPort, header *encapsulation.Header) bool {
 	if header.Kind != encapsulation.KindToTarget || !c.isDaemon(source.Addr()) {
 		return false
@@ -159,9 +159,9 @@
 	return true
 }
 
-// noteDrain takes in the operators' word on this target, unless it is older than
-// one heard before. Numbers that are new begin a new count: the fleet was formed
-// anew.
+// noteDrain records whether operators drain this target, unless the datagram carries an older
+// revision or numbers other than the newest. Revisions of a recreated fleet start over, so isForMe
+// resets them with new numbers.
 func (c *PacketConn) noteDrain(header *encapsulation.Header) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -173,7 +173,7 @@
 	c.operatorsDrain = header.Draining
 }
 
-// isDraining reports whether the server itself or the operators drain it.
+// isDraining reports whether the server itself or operators drain this target.
 func (c *PacketConn) isDraining() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -192,8 +192,7 @@
 	return false
 }
 
-// answerProbe sends a report without a payload to a daemon that asked with a
-// datagram without one.
+// answerProbe answers a probe, a datagram without payload, with a report without payload.
 func (c *PacketConn) answerProbe(daemon netip.AddrPort, header *encapsulation.Header) {
 	reply := c.replyHeader(header.Caller, header.Service)
 	_, _ = c.PacketConn.WriteTo(encapsulation.Append(nil, &reply), net.UDPAddrFromAddrPort(daemon))
@@ -219,21 +218,21 @@
 	}
 }
 
-// WriteTo sends a payload to a caller by way of a daemon, with this target's
-// report. A caller that was never heard of is an error.
+// WriteTo sends a payload and this target's report to a caller through a daemon. It fails for a caller
+// from which nothing was received.
 func (c *PacketConn) WriteTo(payload []byte, to net.Addr) (int, error) {
 	address := to.(*net.UDPAddr).AddrPort()
 	caller := netip.AddrPortFrom(address.Addr().Unmap(), address.Port())
 	path, known := c.paths.choose(time.Now(), caller)
 	if !known {
-		return 0, eris.Errorf("caller %s was never heard of", caller)
+		return 0, eris.Errorf("no return path to caller %s", caller)
 	}
 	header := c.replyHeader(caller, path.service)
 	header.Ingress = path.ingress
 	datagram := encapsulation.Append(make([]byte, 0, encapsulation.MaximumSize+len(payload)), &header)
 	datagram = append(datagram, payload...)
 	if _, err := c.PacketConn.WriteTo(datagram, net.UDPAddrFromAddrPort(path.daemon)); err != nil {
-		// A daemon that is gone is like a lost packet: the next goes elsewhere.
+		// Treated as a lost packet. The retransmission uses another daemon if one is active.
 		c.paths.failed(path.daemon)
 	}
 	return len(payload), nil
--- a/backend/packetconn_test.go
+++ b/backend/packetconn_test.go
@@ -19,7 +19,7 @@
 	testService = netip.MustParseAddrPort("192.0.2.1:443")
 )
 
-// testTarget is a target and a socket that plays a daemon.
+// testTarget is a target with a socket that acts as a daemon.
 type testTarget struct {
 	t      *testing.T
 	target *PacketConn
@@ -48,7 +48,7 @@
 	assert.NilError(t.t, err)
 }
 
-// read returns the next payload that the target takes.
+// read returns the next payload that the target accepts.
 func (t *testTarget) read() string {
 	t.t.Helper()
 	assert.NilError(t.t, t.target.SetReadDeadline(time.Now().Add(10*time.Second)))
@@ -126,9 +126,9 @@
 		path, _ = paths.choose(later, testCaller)
 		chosen[path.daemon] = true
 	}
-	assert.Assert(t, chosen[alive], "a daemon that lives was never tried")
+	assert.Assert(t, chosen[alive], "an active daemon was never tried")
 	path, _ = paths.choose(now.Add(2*time.Minute), testCaller)
-	assert.Equal(t, path.daemon, gone, "with nobody heard of lately the old way is all there is")
+	assert.Equal(t, path.daemon, gone, "without a recently active daemon the recorded one is used")
 	_, known = paths.choose(now, alive)
 	assert.Assert(t, !known)
 }
--- a/backend/returnpaths.go
+++ b/backend/returnpaths.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// returnPath is how replies reach one caller.
+// returnPath is the route of replies to one caller.
 type returnPath struct {
 	daemon  netip.AddrPort
 	ingress netip.AddrPort
@@ -16,20 +16,18 @@
 }
 
 const (
-	// daemonFresh is how lately a daemon must have been heard to be used
-	// without a thought; daemonKnown how lately to be used at all in place of a
-	// silent one.
+	// daemonFresh is the time without datagrams after which a caller's daemon is replaced;
+	// daemonKnown is the time after which a daemon is no longer used as a replacement.
 	daemonFresh = time.Second
 	daemonKnown = time.Minute
-	// maximumPaths bounds the callers remembered; pathLifetime is when an idle
-	// one may be forgotten.
+	// maximumPaths bounds the number of callers; pathLifetime is the idle time after which one
+	// may be evicted.
 	maximumPaths = 16384
 	pathLifetime = 10 * time.Minute
 )
 
-// returnPaths remembers by which daemon each caller was last heard, and which
-// daemons are alive. A feed on which only the target speaks would otherwise
-// stall when the daemon it was last heard through dies.
+// returnPaths records the daemon that last forwarded each caller's datagrams, and when each daemon was
+// last active. A flow on which only the target sends would otherwise stall when its daemon fails.
 type returnPaths struct {
 	mutex   sync.Mutex
 	callers map[netip.AddrPort]returnPath
@@ -56,7 +54,7 @@
 	p.callers[caller] = path
 }
 
-// forgetIdle drops callers idle for long, and half of all if none is.
+// forgetIdle evicts idle callers, and then arbitrary ones until fewer than half of maximumPaths remain.
 func (p *returnPaths) forgetIdle(now time.Time) {
 	for caller, path := range p.callers {
 		if now.Sub(path.noted) > pathLifetime {
@@ -77,9 +75,8 @@
 	delete(p.daemons, daemon)
 }
 
-// choose returns a caller's path. If its daemon has gone quiet, any daemon heard
-// of lately will do, drawn anew each time, so that a retransmission tries
-// another.
+// choose returns a caller's path. If its daemon is unresponsive, the path uses a recently active one,
+// chosen at random on every call, so that a retransmission is likely to try another.
 func (p *returnPaths) choose(now time.Time, caller netip.AddrPort) (returnPath, bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
