--- a/backend/backend.go
+++ b/backend/backend.go
@@ -45,19 +45,19 @@
 	Trace func(service netip.AddrPort, accepted bool)
 }
 
-// errDraining and errFull make quic-go reject the connection with CONNECTION_REFUSED.
+// errDraining and errTooManyConnections make quic-go reject the connection with CONNECTION_REFUSED.
 var errDraining = eris.New("the target is draining")
 
-var errFull = eris.New("the target has reached its maximum number of connections")
+var errTooManyConnections = eris.New("the target has reached its maximum number of connections")
 
 // Listener accepts QUIC connections forwarded by passtray. It is safe for concurrent use.
 type Listener struct {
-	packets   *PacketConn
-	transport *quic.Transport
-	listener  *quic.Listener
-	slots     chan struct{}
-	open      sync.WaitGroup
-	attempts  atomic.Uint64
+	packets         *PacketConn
+	transport       *quic.Transport
+	listener        *quic.Listener
+	slots           chan struct{}
+	openConnections sync.WaitGroup
+	attempts        atomic.Uint64
 }
 
 // Listen listens on the target's address. 0-RTT is disabled: a request must not run before its
@@ -68,7 +68,7 @@
 		return nil, err
 	}
 	listener := &Listener{packets: packets, slots: make(chan struct{}, max(1, config.Slots))}
-	listener.transport = &quic.Transport{Conn: packets, ConnectionIDGenerator: &idGenerator{packets: packets}}
+	listener.transport = &quic.Transport{Conn: packets, ConnectionIDGenerator: &connectionIDGenerator{packets: packets}}
 	settings := &quic.Config{}
 	if quicConfig != nil {
 		settings = quicConfig.Clone()
@@ -88,8 +88,8 @@
 	if l.packets.isDraining() {
 		return nil, errDraining
 	}
-	if maximum := l.packets.config.MaximumConnections; maximum > 0 && l.packets.connections.Load() >= maximum {
-		return nil, errFull
+	if maxConnections := l.packets.config.MaximumConnections; maxConnections > 0 && l.packets.connections.Load() >= maxConnections {
+		return nil, errTooManyConnections
 	}
 	return settings, nil
 }
@@ -101,11 +101,11 @@
 		return nil, eris.Wrap(err, "accept")
 	}
 	l.packets.connections.Add(1)
-	l.open.Add(1)
+	l.openConnections.Add(1)
 	go func() {
 		<-connection.Context().Done()
 		l.packets.connections.Add(^uint32(0))
-		l.open.Done()
+		l.openConnections.Done()
 	}()
 	return connection, nil
 }
@@ -149,7 +149,7 @@
 func (l *Listener) WaitIdle(ctx context.Context) error {
 	idle := make(chan struct{})
 	go func() {
-		l.open.Wait()
+		l.openConnections.Wait()
 		close(idle)
 	}()
 	select {
@@ -173,19 +173,19 @@
 	return l.packets.Close()
 }
 
-// idGenerator generates routable connection IDs.
-type idGenerator struct {
+// connectionIDGenerator generates routable connection IDs.
+type connectionIDGenerator struct {
 	packets *PacketConn
 }
 
 // GenerateConnectionID fails until a datagram has supplied the numbers of this target, as every first
 // flight does.
-func (g *idGenerator) GenerateConnectionID() (quic.ConnectionID, error) {
+func (g *connectionIDGenerator) GenerateConnectionID() (quic.ConnectionID, error) {
 	route, known := g.packets.route()
 	if !known {
 		return quic.ConnectionID{}, eris.New("the numbers of this target are not known yet")
 	}
-	id, err := g.packets.newID(route)
+	id, err := g.packets.newConnectionID(route)
 	if err != nil {
 		return quic.ConnectionID{}, err
 	}
@@ -193,4 +193,4 @@
 }
 
 // ConnectionIDLen implements quic.ConnectionIDGenerator.
-func (g *idGenerator) ConnectionIDLen() int { return connectionid.Length }
+func (g *connectionIDGenerator) ConnectionIDLen() int { return connectionid.Length }
--- a/backend/packetconn.go
+++ b/backend/packetconn.go
@@ -18,16 +18,16 @@
 // datagrams are exchanged with daemons.
 type PacketConn struct {
 	net.PacketConn
-	config  Config
-	names   string
-	keyring atomic.Pointer[connectionid.Keyring]
-	paths   *returnPaths
+	config        Config
+	qualifiedName string
+	keyring       atomic.Pointer[connectionid.Keyring]
+	paths         *returnPaths
 
 	mutex sync.Mutex
-	// revision is the highest configuration revision received, operatorsDrain whether operators
+	// revision is the highest configuration revision received, drainedByOperator whether operators
 	// drain this target in that revision.
-	revision       uint64
-	operatorsDrain bool
+	revision          uint64
+	drainedByOperator bool
 	// routes are the numbers of this target, the newest last. There are several only after the
 	// fleet was recreated.
 	routes []connectionid.Route
@@ -39,8 +39,8 @@
 }
 
 const (
-	maximumRoutes     = 4
-	maximumDatagram   = 2048
+	maxRoutes         = 4
+	maxDatagramBytes  = 2048
 	socketBufferBytes = 2 << 20
 )
 
@@ -50,7 +50,7 @@
 	if config.Service == "" || config.Target == "" {
 		return nil, eris.Errorf("service %q, target %q: both are required", config.Service, config.Target)
 	}
-	connection := &PacketConn{config: config, names: config.Service + "/" + config.Target, paths: newReturnPaths()}
+	connection := &PacketConn{config: config, qualifiedName: config.Service + "/" + config.Target, paths: newReturnPaths()}
 	if config.KeyringPath != "" {
 		if err := connection.reloadKeyring(); err != nil {
 			return nil, err
@@ -91,7 +91,7 @@
 	return c.routes[len(c.routes)-1], true
 }
 
-func (c *PacketConn) newID(route connectionid.Route) ([connectionid.Length]byte, error) {
+func (c *PacketConn) newConnectionID(route connectionid.Route) ([connectionid.Length]byte, error) {
 	var nonce [connectionid.NonceSize]byte
 	if _, err := rand.Read(nonce[:]); err != nil {
 		return [connectionid.Length]byte{}, eris.Wrap(err, "nonce")
@@ -102,7 +102,7 @@
 // ReadFrom returns the next payload for this target and the address of its caller. Other datagrams
 // are counted and dropped.
 func (c *PacketConn) ReadFrom(buffer []byte) (int, net.Addr, error) {
-	var datagram [maximumDatagram]byte
+	var datagram [maxDatagramBytes]byte
 	var header encapsulation.Header
 	for {
 		length, from, err := c.PacketConn.ReadFrom(datagram[:])
@@ -112,7 +112,7 @@
 		source := from.(*net.UDPAddr).AddrPort()
 		source = netip.AddrPortFrom(source.Addr().Unmap(), source.Port())
 		offset, err := encapsulation.Parse(datagram[:length], &header)
-		accepted := err == nil && c.isForMe(source, &header)
+		accepted := err == nil && c.isForThisTarget(source, &header)
 		if err == nil && c.config.Trace != nil {
 			c.config.Trace(header.Service, accepted)
 		}
@@ -120,22 +120,22 @@
 			c.dropped.Add(1)
 			continue
 		}
-		c.noteDrain(&header)
+		c.recordDrain(&header)
 		now := time.Now()
-		c.paths.heard(now, source)
+		c.paths.recordActivity(now, source)
 		if offset == length {
 			c.answerProbe(source, &header)
 			continue
 		}
-		c.paths.note(now, header.Caller, returnPath{daemon: source, ingress: header.Ingress, service: header.Service})
-		count := copy(buffer, datagram[offset:length])
-		return count, net.UDPAddrFromAddrPort(header.Caller), nil
+		c.paths.setPath(now, header.Caller, returnPath{daemon: source, ingress: header.Ingress, service: header.Service})
+		n := copy(buffer, datagram[offset:length])
+		return n, net.UDPAddrFromAddrPort(header.Caller), nil
 	}
 }
 
-// isForMe reports whether a datagram is for this target: it carries the names of this target, from
-// which the target learns its numbers, or no names and numbers learned before.
-func (c *PacketConn) isForMe(source netip.AddrPort, header *encapsulation.Header) bool {
+// isForThisTarget reports whether a datagram is for this target: it carries the names of this target,
+// from which the target learns its numbers, or no names and numbers learned before.
+func (c *PacketConn) isForThisTarget(source netip.AddrPort, header *encapsulation.Header) bool {
 	if header.Kind != encapsulation.KindToTarget || !c.isDaemon(source.Addr()) {
 		return false
 	}
@@ -144,25 +144,25 @@
 	defer c.mutex.Unlock()
 	for _, known := range c.routes {
 		if known == route {
-			return len(header.Names) == 0 || string(header.Names) == c.names
+			return len(header.Names) == 0 || string(header.Names) == c.qualifiedName
 		}
 	}
-	if string(header.Names) != c.names {
+	if string(header.Names) != c.qualifiedName {
 		return false
 	}
 	c.routes = append(c.routes, route)
 	c.revision = 0
-	c.operatorsDrain = false
-	if excess := len(c.routes) - maximumRoutes; excess > 0 {
+	c.drainedByOperator = false
+	if excess := len(c.routes) - maxRoutes; excess > 0 {
 		c.routes = c.routes[excess:]
 	}
 	return true
 }
 
-// noteDrain records whether operators drain this target, unless the datagram carries an older
-// revision or numbers other than the newest. Revisions of a recreated fleet start over, so isForMe
-// resets them with new numbers.
-func (c *PacketConn) noteDrain(header *encapsulation.Header) {
+// recordDrain records whether operators drain this target, unless the datagram carries an older
+// revision or numbers other than the newest. Revisions of a recreated fleet start over, so
+// isForThisTarget resets the revision with new numbers.
+func (c *PacketConn) recordDrain(header *encapsulation.Header) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	newest := c.routes[len(c.routes)-1]
@@ -170,22 +170,22 @@
 		return
 	}
 	c.revision = header.Revision
-	c.operatorsDrain = header.Draining
+	c.drainedByOperator = header.Draining
 }
 
 // isDraining reports whether the server itself or operators drain this target.
 func (c *PacketConn) isDraining() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.draining.Load() || c.operatorsDrain
+	return c.draining.Load() || c.drainedByOperator
 }
 
 func (c *PacketConn) isDaemon(address netip.Addr) bool {
 	if len(c.config.Daemons) == 0 {
 		return true
 	}
-	for _, network := range c.config.Daemons {
-		if network.Contains(address) {
+	for _, prefix := range c.config.Daemons {
+		if prefix.Contains(address) {
 			return true
 		}
 	}
@@ -233,7 +233,7 @@
 	datagram = append(datagram, payload...)
 	if _, err := c.PacketConn.WriteTo(datagram, net.UDPAddrFromAddrPort(path.daemon)); err != nil {
 		// Treated as a lost packet. The retransmission uses another daemon if one is active.
-		c.paths.failed(path.daemon)
+		c.paths.removeDaemon(path.daemon)
 	}
 	return len(payload), nil
 }
--- a/backend/packetconn_test.go
+++ b/backend/packetconn_test.go
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestATargetTakesOnlyWhatIsMeantForIt(t *testing.T) {
+func TestDropsDatagramsForOtherTargets(t *testing.T) {
 	target := newTestTarget(t)
 	target.send(toTarget(1, 7, 1, ""), "numbers not known yet")
 	target.send(toTarget(2, 9, 1, "ledger/one"), "another service")
@@ -95,7 +95,7 @@
 	assert.Equal(t, target.reply().TargetNumber, uint32(7))
 }
 
-func TestTheOperatorsDrainIsLearntInBandAndNotFromOldNews(t *testing.T) {
+func TestOperatorDrainIgnoresOlderRevision(t *testing.T) {
 	target := newTestTarget(t)
 	drained := toTarget(1, 7, 5, "roster/one")
 	drained.Draining = true
@@ -110,25 +110,25 @@
 	assert.Equal(t, target.reply().Report.State, encapsulation.TargetDraining)
 }
 
-func TestRepliesLeaveASilentDaemon(t *testing.T) {
+func TestRepliesAvoidUnresponsiveDaemon(t *testing.T) {
 	paths := newReturnPaths()
 	now := time.Unix(1000, 0)
-	gone, alive := netip.MustParseAddrPort("10.0.0.1:7003"), netip.MustParseAddrPort("10.0.0.2:7003")
-	paths.heard(now, gone)
-	paths.note(now, testCaller, returnPath{daemon: gone})
+	failed, active := netip.MustParseAddrPort("10.0.0.1:7003"), netip.MustParseAddrPort("10.0.0.2:7003")
+	paths.recordActivity(now, failed)
+	paths.setPath(now, testCaller, returnPath{daemon: failed})
 	path, known := paths.choose(now, testCaller)
 	assert.Assert(t, known)
-	assert.Equal(t, path.daemon, gone)
+	assert.Equal(t, path.daemon, failed)
 	later := now.Add(5 * time.Second)
-	paths.heard(later, alive)
+	paths.recordActivity(later, active)
 	chosen := map[netip.AddrPort]bool{}
 	for range 50 {
 		path, _ = paths.choose(later, testCaller)
 		chosen[path.daemon] = true
 	}
-	assert.Assert(t, chosen[alive], "an active daemon was never tried")
+	assert.Assert(t, chosen[active], "an active daemon was never tried")
 	path, _ = paths.choose(now.Add(2*time.Minute), testCaller)
-	assert.Equal(t, path.daemon, gone, "without a recently active daemon the recorded one is used")
-	_, known = paths.choose(now, alive)
+	assert.Equal(t, path.daemon, failed, "without a recently active daemon the recorded one is used")
+	_, known = paths.choose(now, active)
 	assert.Assert(t, !known)
 }
