--- a/backend/packetconn.go
+++ b/backend/packetconn.go
@@ -14,22 +14,22 @@
 	"github.com/passtray/passtray/internal/encapsulation"
 )
 
-// PacketConn is a net.PacketConn whose addresses are the callers', while the
-// datagrams travel to and from daemons.
+// PacketConn is a net.PacketConn whose remote addresses are those of the callers. On the wire,
+// datagrams are exchanged with daemons.
 type PacketConn struct {
 	net.PacketConn
-	config  Config
-	names   string
-	keyring atomic.Pointer[connectionid.Keyring]
-	paths   *returnPaths
+	config        Config
+	qualifiedName string
+	keyring       atomic.Pointer[connectionid.Keyring]
+	paths         *returnPaths
 
 	mutex sync.Mutex
-	// revision is the highest that a daemon has named, operatorsDrain what it
-	// said of this target.
-	revision       uint64
-	operatorsDrain bool
-	// routes are this target's numbers, the newest last. It has several only
-	// after the fleet was formed anew.
+	// revision is the highest configuration revision received, drainedByOperator whether operators
+	// drain this target in that revision.
+	revision          uint64
+	drainedByOperator bool
+	// routes are the numbers of this target, the newest last. There are several only after the
+	// fleet was recreated.
 	routes []connectionid.Route
 
 	busy        atomic.Uint32
@@ -39,18 +39,18 @@
 }
 
 const (
-	maximumRoutes     = 4
-	maximumDatagram   = 2048
+	maxRoutes         = 4
+	maxDatagramBytes  = 2048
 	socketBufferBytes = 2 << 20
 )
 
-// ListenPacket opens a target's packet connection, for servers that make their
-// own quic.Transport or speak plain UDP.
+// ListenPacket opens a target's packet connection, for servers that create their own quic.Transport
+// or use plain UDP.
 func ListenPacket(address netip.AddrPort, config Config) (*PacketConn, error) {
 	if config.Service == "" || config.Target == "" {
-		return nil, eris.Errorf("service %q and target %q: both must be given", config.Service, config.Target)
+		return nil, eris.Errorf("service %q, target %q: both are required", config.Service, config.Target)
 	}
-	connection := &PacketConn{config: config, names: config.Service + "/" + config.Target, paths: newReturnPaths()}
+	connection := &PacketConn{config: config, qualifiedName: config.Service + "/" + config.Target, paths: newReturnPaths()}
 	if config.KeyringPath != "" {
 		if err := connection.reloadKeyring(); err != nil {
 			return nil, err
@@ -60,17 +60,17 @@
 	if err != nil {
 		return nil, eris.Wrapf(err, "listen on %s", address)
 	}
-	// Smaller buffers than asked for only cost packets under bursts.
+	// Errors are ignored: smaller buffers only drop packets during bursts.
 	_ = socket.SetReadBuffer(socketBufferBytes)
 	_ = socket.SetWriteBuffer(socketBufferBytes)
 	connection.PacketConn = socket
 	return connection, nil
 }
 
-// SetReadBuffer and SetWriteBuffer have nothing to do: the socket has its size.
+// SetReadBuffer does nothing: ListenPacket has set the socket's buffer sizes.
 func (c *PacketConn) SetReadBuffer(int) error { return nil }
 
-// SetWriteBuffer does nothing.
+// SetWriteBuffer does nothing, like SetReadBuffer.
 func (c *PacketConn) SetWriteBuffer(int) error { return nil }
 
 func (c *PacketConn) reloadKeyring() error {
@@ -91,7 +91,7 @@
 	return c.routes[len(c.routes)-1], true
 }
 
-func (c *PacketConn) newID(route connectionid.Route) ([connectionid.Length]byte, error) {
+func (c *PacketConn) newConnectionID(route connectionid.Route) ([connectionid.Length]byte, error) {
 	var nonce [connectionid.NonceSize]byte
 	if _, err := rand.Read(nonce[:]); err != nil {
 		return [connectionid.Length]byte{}, eris.Wrap(err, "nonce")
@@ -99,10 +99,10 @@
 	return c.keyring.Load().Encode(route, nonce), nil
 }
 
-// ReadFrom returns the next payload meant for this target and its caller's
-// address. Everything else is counted and dropped.
+// ReadFrom returns the next payload for this target and the address of its caller. Other datagrams
+// are counted and dropped.
 func (c *PacketConn) ReadFrom(buffer []byte) (int, net.Addr, error) {
-	var datagram [maximumDatagram]byte
+	var datagram [maxDatagramBytes]byte
 	var header encapsulation.Header
 	for {
 		length, from, err := c.PacketConn.ReadFrom(datagram[:])
@@ -112,7 +112,7 @@
 		source := from.(*net.UDPAddr).AddrPort()
 		source = netip.AddrPortFrom(source.Addr().Unmap(), source.Port())
 		offset, err := encapsulation.Parse(datagram[:length], &header)
-		accepted := err == nil && c.isForMe(source, &header)
+		accepted := err == nil && c.isForThisTarget(source, &header)
 		if err == nil && c.config.Trace != nil {
 			c.config.Trace(header.Service, accepted)
 		}
@@ -120,22 +120,22 @@
 			c.dropped.Add(1)
 			continue
 		}
-		c.noteDrain(&header)
+		c.recordDrain(&header)
 		now := time.Now()
-		c.paths.heard(now, source)
+		c.paths.recordActivity(now, source)
 		if offset == length {
 			c.answerProbe(source, &header)
 			continue
 		}
-		c.paths.note(now, header.Caller, returnPath{daemon: source, ingress: header.Ingress, service: header.Service})
-		count := copy(buffer, datagram[offset:length])
-		return count, net.UDPAddrFromAddrPort(header.Caller), nil
+		c.paths.setPath(now, header.Caller, returnPath{daemon: source, ingress: header.Ingress, service: header.Service})
+		n := copy(buffer, datagram[offset:length])
+		return n, net.UDPAddrFromAddrPort(header.Caller), nil
 	}
 }
 
-// isForMe reports whether a datagram is meant for this target: it carries this
-// target's names, from which the numbers are learnt, or numbers learnt so.
-func (c *PacketConn) isForMe(source netip.AddrPort, header *encapsulation.Header) bool {
+// isForThisTarget reports whether a datagram is for this target: it carries the names of this target,
+// from which the target learns its numbers, or no names and numbers learned before.
+func (c *PacketConn) isForThisTarget(source netip.AddrPort, header *encapsulation.Header) bool {
 	if header.Kind != encapsulation.KindToTarget || !c.isDaemon(source.Addr()) {
 		return false
 	}
@@ -144,25 +144,25 @@
 	defer c.mutex.Unlock()
 	for _, known := range c.routes {
 		if known == route {
-			return len(header.Names) == 0 || string(header.Names) == c.names
+			return len(header.Names) == 0 || string(header.Names) == c.qualifiedName
 		}
 	}
-	if string(header.Names) != c.names {
+	if string(header.Names) != c.qualifiedName {
 		return false
 	}
 	c.routes = append(c.routes, route)
 	c.revision = 0
-	c.operatorsDrain = false
-	if excess := len(c.routes) - maximumRoutes; excess > 0 {
+	c.drainedByOperator = false
+	if excess := len(c.routes) - maxRoutes; excess > 0 {
 		c.routes = c.routes[excess:]
 	}
 	return true
 }
 
-// noteDrain takes in the operators' word on this target, unless it is older than
-// one heard before. Numbers that are new begin a new count: the fleet was formed
-// anew.
-func (c *PacketConn) noteDrain(header *encapsulation.Header) {
+// recordDrain records whether operators drain this target, unless the datagram carries an older
+// revision or numbers other than the newest. Revisions of a recreated fleet start over, so
+// isForThisTarget resets the revision with new numbers.
+func (c *PacketConn) recordDrain(header *encapsulation.Header) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	newest := c.routes[len(c.routes)-1]
@@ -170,30 +170,29 @@
 		return
 	}
 	c.revision = header.Revision
-	c.operatorsDrain = header.Draining
+	c.drainedByOperator = header.Draining
 }
 
-// isDraining reports whether the server itself or the operators drain it.
+// isDraining reports whether the server itself or operators drain this target.
 func (c *PacketConn) isDraining() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.draining.Load() || c.operatorsDrain
+	return c.draining.Load() || c.drainedByOperator
 }
 
 func (c *PacketConn) isDaemon(address netip.Addr) bool {
 	if len(c.config.Daemons) == 0 {
 		return true
 	}
-	for _, network := range c.config.Daemons {
-		if network.Contains(address) {
+	for _, prefix := range c.config.Daemons {
+		if prefix.Contains(address) {
 			return true
 		}
 	}
 	return false
 }
 
-// answerProbe sends a report without a payload to a daemon that asked with a
-// datagram without one.
+// answerProbe answers a probe, a datagram without payload, with a report without payload.
 func (c *PacketConn) answerProbe(daemon netip.AddrPort, header *encapsulation.Header) {
 	reply := c.replyHeader(header.Caller, header.Service)
 	_, _ = c.PacketConn.WriteTo(encapsulation.Append(nil, &reply), net.UDPAddrFromAddrPort(daemon))
@@ -219,22 +218,22 @@
 	}
 }
 
-// WriteTo sends a payload to a caller by way of a daemon, with this target's
-// report. A caller that was never heard of is an error.
+// WriteTo sends a payload and this target's report to a caller through a daemon. It fails for a caller
+// from which nothing was received.
 func (c *PacketConn) WriteTo(payload []byte, to net.Addr) (int, error) {
 	address := to.(*net.UDPAddr).AddrPort()
 	caller := netip.AddrPortFrom(address.Addr().Unmap(), address.Port())
 	path, known := c.paths.choose(time.Now(), caller)
 	if !known {
-		return 0, eris.Errorf("caller %s was never heard of", caller)
+		return 0, eris.Errorf("no return path to caller %s", caller)
 	}
 	header := c.replyHeader(caller, path.service)
 	header.Ingress = path.ingress
 	datagram := encapsulation.Append(make([]byte, 0, encapsulation.MaximumSize+len(payload)), &header)
 	datagram = append(datagram, payload...)
 	if _, err := c.PacketConn.WriteTo(datagram, net.UDPAddrFromAddrPort(path.daemon)); err != nil {
-		// A daemon that is gone is like a lost packet: the next goes elsewhere.
-		c.paths.failed(path.daemon)
+		// Treated as a lost packet. The retransmission uses another daemon if one is active.
+		c.paths.removeDaemon(path.daemon)
 	}
 	return len(payload), nil
 }
--- a/internal/balance/pool.go
+++ b/internal/balance/pool.go
@@ -6,48 +6,45 @@
 	"time"
 )
 
-// Entry is a candidate in a pool, with what it stands for.
+// Entry is a candidate in a pool with an associated value.
 type Entry[T any] struct {
 	Candidate
 	Value T
 
-	place, zonePlace int
+	index, zoneIndex int
 	isWatched        bool
 }
 
-// Pool is the candidates of a service, in lists that change with one of them at a cost that
-// does not depend on how many there are. It is not safe for concurrent use.
+// Pool holds the candidates of a service. Adding and removing one takes constant time. It is not
+// safe for concurrent use.
 type Pool[T any] struct {
 	all   list[T]
 	zones map[string]*list[T]
-	// slots are those of all candidates.
+	// slots is the sum over all candidates.
 	slots int
-	// watched are the candidates that may be dead or passed over. At watchedAt so many of them
-	// were passed over.
-	watched    []*Entry[T]
-	watchedAt  time.Time
-	passedOver int
-	warmth     warmth[T]
-	// weights are of what was drawn lately.
-	weights weightBound
+	// watched holds the candidates that may be dead or ejected. ejected is the number of
+	// ejected ones at watchedAt.
+	watched   []*Entry[T]
+	watchedAt time.Time
+	ejected   int
+	warmCache warmCache[T]
+	weights   weightBound
 }
 
-// list is entries in no order.
+// list is an unordered list of entries.
 type list[T any] struct {
 	entries []*Entry[T]
-	// emptyUntil is until when nobody is looked for in the list again, as nobody in it may take
-	// a flow, and hasBusy says that this is so because some have enough to do.
+	// emptyUntil is how long the list is known to have no eligible entry; hasLimited is set if some
+	// entries were at their limit.
 	emptyUntil time.Time
-	hasBusy    bool
+	hasLimited bool
 }
 
-// Len returns how many candidates there are.
 func (p *Pool[T]) Len() int { return len(p.all.entries) }
 
-// Entries returns the candidates in no order. The list must not be changed.
+// Entries returns the candidates in no particular order. The slice must not be changed.
 func (p *Pool[T]) Entries() []*Entry[T] { return p.all.entries }
 
-// Add enters a candidate.
 func (p *Pool[T]) Add(candidate Candidate, value T) *Entry[T] {
 	entry := &Entry[T]{Candidate: candidate, Value: value}
 	if p.zones == nil {
@@ -58,12 +55,12 @@
 		zone = &list[T]{}
 		p.zones[candidate.Zone] = zone
 	}
-	entry.place, entry.zonePlace = len(p.all.entries), len(zone.entries)
+	entry.index, entry.zoneIndex = len(p.all.entries), len(zone.entries)
 	p.all.add(entry)
 	zone.add(entry)
 	p.slots += int(candidate.Slots)
-	p.warmth.noneBefore = time.Time{}
-	if candidate.Signal.hasBeenOut() {
+	p.warmCache.noneBefore = time.Time{}
+	if candidate.Signal.wasEjectedOrDead() {
 		p.Watch(entry)
 	}
 	return entry
@@ -74,34 +71,34 @@
 	l.emptyUntil = time.Time{}
 }
 
-// Remove takes a candidate out. The last one of each list takes its place.
+// Remove removes a candidate.
 func (p *Pool[T]) Remove(entry *Entry[T]) {
-	moved := p.all.removeAt(entry.place)
-	moved.place = entry.place
+	moved := p.all.removeAt(entry.index)
+	moved.index = entry.index
 	zone := p.zones[entry.Zone]
-	moved = zone.removeAt(entry.zonePlace)
-	moved.zonePlace = entry.zonePlace
+	moved = zone.removeAt(entry.zoneIndex)
+	moved.zoneIndex = entry.zoneIndex
 	if len(zone.entries) == 0 {
 		delete(p.zones, entry.Zone)
 	}
-	entry.place, entry.zonePlace = -1, -1
+	entry.index, entry.zoneIndex = -1, -1
 	p.slots -= int(entry.Slots)
-	if p.warmth.witness == entry {
-		p.warmth.witness = nil
+	if p.warmCache.warm == entry {
+		p.warmCache.warm = nil
 	}
 }
 
-// removeAt moves the last entry to a place and returns it.
-func (l *list[T]) removeAt(place int) *Entry[T] {
+// removeAt replaces the entry at a position by the last one, and returns the latter.
+func (l *list[T]) removeAt(index int) *Entry[T] {
 	last := len(l.entries) - 1
 	moved := l.entries[last]
-	l.entries[place] = moved
+	l.entries[index] = moved
 	l.entries[last] = nil
 	l.entries = l.entries[:last]
 	return moved
 }
 
-// Watch says that a candidate was found dead, or is to be passed over.
+// Watch marks a candidate that was found dead or ejected.
 func (p *Pool[T]) Watch(entry *Entry[T]) {
 	if !entry.isWatched {
 		entry.isWatched = true
@@ -109,68 +106,68 @@
 	}
 }
 
-// Slots counts the slots of the candidates that take work, and of those that are passed over.
-func (p *Pool[T]) Slots(now time.Time) (working, passedOver int) {
+// Slots returns the slots of the candidates that are neither dead nor ejected, and of the ejected
+// ones.
+func (p *Pool[T]) Slots(now time.Time) (working, ejected int) {
 	working = p.slots
-	p.watchedAt, p.passedOver = now, 0
+	p.watchedAt, p.ejected = now, 0
 	kept := p.watched[:0]
 	for _, entry := range p.watched {
 		isDead, isEjected := entry.Signal.IsDead(now), entry.Signal.IsEjected(now)
-		if entry.place < 0 || !isDead && !isEjected {
+		if entry.index < 0 || !isDead && !isEjected {
 			entry.isWatched = false
 			continue
 		}
 		kept = append(kept, entry)
 		working -= int(entry.Slots)
 		if !isDead {
-			p.passedOver++
-			passedOver += int(entry.Slots)
+			p.ejected++
+			ejected += int(entry.Slots)
 		}
 	}
 	clear(p.watched[len(kept):])
 	p.watched = kept
-	return working, passedOver
+	return working, ejected
 }
 
-// isDoubtful reports whether so many are passed over that the evidence against them is doubted,
-// which takes a look at all.
-func (p *Pool[T]) isDoubtful(now time.Time) bool {
+// exceedsEjectedShare reports whether so many candidates are ejected that some ejections must be ignored,
+// for which all candidates must be visited.
+func (p *Pool[T]) exceedsEjectedShare(now time.Time) bool {
 	if now.Sub(p.watchedAt) >= watchInterval {
 		p.Slots(now)
 	}
-	return float64(p.passedOver) > maximumEjectedShare*float64(p.Len())
+	return float64(p.ejected) > maxEjectedShare*float64(p.Len())
 }
 
-// warmth tells whether some candidate is past its slow start, without looking at all each time.
-type warmth[T any] struct {
-	// witness is one that is, if not nil; else none is before noneBefore.
-	witness    *Entry[T]
+// warmCache caches whether some candidate is past its slow start.
+type warmCache[T any] struct {
+	// warm is such a candidate. If it is nil, there is none before noneBefore.
+	warm       *Entry[T]
 	noneBefore time.Time
 }
 
 func (p *Pool[T]) hasWarm(now time.Time) bool {
-	if p.warmth.witness != nil {
+	if p.warmCache.warm != nil {
 		return true
 	}
-	if now.Before(p.warmth.noneBefore) {
+	if now.Before(p.warmCache.noneBefore) {
 		return false
 	}
 	var earliest time.Time
 	for _, entry := range p.all.entries {
 		if !now.Before(entry.WarmAt) {
-			p.warmth.witness = entry
+			p.warmCache.warm = entry
 			return true
 		}
 		if earliest.IsZero() || entry.WarmAt.Before(earliest) {
 			earliest = entry.WarmAt
 		}
 	}
-	p.warmth.noneBefore = earliest
+	p.warmCache.noneBefore = earliest
 	return false
 }
 
-// Source is a pool that flows are given out of. Allows, if set, says which of its candidates
-// count.
+// Source is a pool to pick from. Allows, if set, filters its candidates.
 type Source[T any] struct {
 	Pool   *Pool[T]
 	Allows func(value T) bool
@@ -179,73 +176,70 @@
 func (s *Source[T]) allows(entry *Entry[T]) bool { return s.Allows == nil || s.Allows(entry.Value) }
 
 const (
-	// scanUpTo is up to how many candidates all are looked at for a flow, which costs some 3 µs
-	// then.
-	scanUpTo = 48
-	// mostTries bounds the draws for one choice. It fails where fewer than one candidate in
-	// some ten may take the flow: with one in ten a choice needs more in 0.1 % of the cases.
-	mostTries = 64
-	// watchInterval is how often the candidates are counted that are passed over. Verdicts hold
-	// for seconds.
+	// scanThreshold is the number of candidates up to which all are visited for each pick.
+	scanThreshold = 48
+	// maxTries bounds the draws for one choice; after that many, probably fewer than one in ten
+	// candidates is eligible.
+	maxTries = 64
+	// watchInterval is how long the number of ejected candidates is cached.
 	watchInterval = 50 * time.Millisecond
-	// emptyFor is for how long a list in which nobody may take a flow is not looked through
-	// again: a look at 10,000 candidates takes 1 ms, and callers of a service without room come
-	// by the hundred.
-	emptyFor = 10 * time.Millisecond
+	// emptyTTL is how long a list without eligible entries is not searched again, since a full
+	// scan is expensive and many clients of a service without capacity arrive at once.
+	emptyTTL = 10 * time.Millisecond
 )
 
-// Picker picks from pools. The zero value is ready; one goroutine at a time may use it.
+// Picker picks from pools. The zero value is ready for use. It is not safe for concurrent use.
 type Picker[T any] struct {
 	scratch    Scratch
 	all, local sampler[T]
 }
 
-// Pick returns the chosen candidate of some pools, at most two, nil if none may take the flow.
-// From many candidates it draws, so that the cost of a pick does not depend on their number. All
-// are looked at only where draws fail, as few are left that may take the flow.
+// Pick returns a candidate from at most two pools, nil if none may take the flow. Large pools are
+// sampled, so that the cost does not depend on their size; all candidates are visited only if
+// sampling fails because few are eligible.
 func (p *Picker[T]) Pick(request *Request, sources []Source[T], random *rand.Rand) *Entry[T] {
-	p.all.begin(request, sources)
-	if p.all.count <= scanUpTo || isDoubtful(request.Now, sources) {
+	p.all.reset(request, sources)
+	if p.all.count <= scanThreshold || exceedsEjectedShare(request.Now, sources) {
 		return p.entryOf(p.scan(request, sources, random), sources)
 	}
-	if p.all.wasEmpty() {
+	if p.all.isKnownEmpty() {
 		return nil
 	}
 	request.anyWarm = false
 	for index := range sources {
 		request.anyWarm = request.anyWarm || sources[index].Pool.hasWarm(request.Now)
 	}
-	p.local.beginZone(request, sources, &p.scratch.near)
+	p.local.resetZone(request, sources, &p.scratch.inZone)
 	chosen := request.choose(&p.all, &p.local, random)
 	if chosen == nil || p.all.hasFailed {
 		chosen = p.scan(request, sources, random)
 	}
 	if chosen == nil {
-		p.all.noteEmpty()
+		p.all.markEmpty()
 	}
 	return p.entryOf(chosen, sources)
 }
 
-func isDoubtful[T any](now time.Time, sources []Source[T]) bool {
-	return slices.ContainsFunc(sources, func(source Source[T]) bool { return source.Pool.isDoubtful(now) })
+func exceedsEjectedShare[T any](now time.Time, sources []Source[T]) bool {
+	return slices.ContainsFunc(sources, func(source Source[T]) bool { return source.Pool.exceedsEjectedShare(now) })
 }
 
-// scan looks at all candidates.
+// scan visits all candidates.
 func (p *Picker[T]) scan(request *Request, sources []Source[T], random *rand.Rand) *Candidate {
-	given := &p.scratch.given
-	given.clear()
+	input := &p.scratch.input
+	input.clear()
 	for index := range sources {
 		source := &sources[index]
 		for _, entry := range source.Pool.all.entries {
 			if source.allows(entry) {
-				given.add(&entry.Candidate, 0)
+				input.add(&entry.Candidate, 0)
 			}
 		}
 	}
-	return request.pickOf(&p.scratch, random)
+	return request.pickFromInput(&p.scratch, random)
 }
 
-// entryOf returns the entry of a candidate, nil of none.
+// entryOf returns the entry of a candidate, nil for nil.
 func (p *Picker[T]) entryOf(candidate *Candidate, sources []Source[T]) *Entry[T] {
 	if candidate == nil {
 		return nil
@@ -262,5 +256,5 @@
 			}
 		}
 	}
-	panic("a chosen candidate is one of its pools")
+	panic("balance: chosen candidate is in none of the pools")
 }
--- a/internal/followed/backoff_test.go
+++ b/internal/followed/backoff_test.go
@@ -7,15 +7,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// A store whose lists and watches disagree about its history or its epoch for good.
-func TestAStoreThatContradictsItselfIsAskedLessAndLess(t *testing.T) {
+// The history or epoch reported by the store's lists and watches contradict each other
+// permanently; the follower must back off.
+func TestContradictoryStoreIsPolledWithBackoff(t *testing.T) {
 	for name, contradict := range map[string]func(watch *Call) *Answer{
-		"history": func(watch *Call) *Answer { return ended(watch, OutcomeHistoryGone) },
+		"history": func(watch *Call) *Answer { return answerWithOutcome(watch, OutcomeHistoryGone) },
 		"epoch":   func(watch *Call) *Answer { return inEpoch(1, answered(watch, 3)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			follower := newTestFollower()
-			call := watching(t, follower)
+			call := startWatching(t, follower)
 			calls := 0
 			for now := testStart; now.Before(testStart.Add(10 * time.Second)); now = now.Add(10 * time.Millisecond) {
 				var output Output
@@ -31,7 +32,7 @@
 					calls++
 				}
 			}
-			assert.Assert(t, calls <= 60, "%d calls in 10 s: two each pause, of which all but the first few are long", calls)
+			assert.Assert(t, calls <= 60, "%d calls in 10 s: expected two per backoff period", calls)
 		})
 	}
 }
--- a/internal/followed/contacts.go
+++ b/internal/followed/contacts.go
@@ -9,49 +9,47 @@
 )
 
 const (
-	// contactLifetime is for how long after a datagram its sender counts as a contact:
-	// several intervals of gossip.
+	// contactLifetime covers several gossip intervals.
 	contactLifetime = 2 * time.Second
-	// maximumContacts bounds how many are remembered.
-	maximumContacts = 64
+	maxContacts     = 64
 )
 
-// contacts are the peers that this daemon heard from lately: those that can supply it.
+// contacts are the peers from which a datagram arrived recently, which can therefore supply
+// this daemon.
 type contacts struct {
 	byPeer map[netip.AddrPort]contact
 }
 
-// contact is one peer: when it was heard from last, and its rank among readers.
 type contact struct {
-	heardAt time.Time
-	rank    uint64
+	lastHeardAt time.Time
+	rank        uint64
 }
 
-func (c *contacts) note(now time.Time, peer netip.AddrPort) {
+func (c *contacts) add(now time.Time, peer netip.AddrPort) {
 	if c.byPeer == nil {
 		c.byPeer = map[netip.AddrPort]contact{}
 	}
 	held, isKnown := c.byPeer[peer]
-	if !isKnown && len(c.byPeer) >= maximumContacts {
-		c.forget(now)
-		if len(c.byPeer) >= maximumContacts {
+	if !isKnown && len(c.byPeer) >= maxContacts {
+		c.prune(now)
+		if len(c.byPeer) >= maxContacts {
 			return
 		}
 	}
 	if !isKnown {
-		held.rank = rankAt(peer)
+		held.rank = rankOfAddress(peer)
 	}
-	held.heardAt = now
+	held.lastHeardAt = now
 	c.byPeer[peer] = held
 }
 
-func (c *contacts) forget(now time.Time) {
-	maps.DeleteFunc(c.byPeer, func(_ netip.AddrPort, held contact) bool { return now.Sub(held.heardAt) >= contactLifetime })
+func (c *contacts) prune(now time.Time) {
+	maps.DeleteFunc(c.byPeer, func(_ netip.AddrPort, held contact) bool { return now.Sub(held.lastHeardAt) >= contactLifetime })
 }
 
-// ahead returns how many contacts there are, and how many of them rank above a daemon.
-func (c *contacts) ahead(now time.Time, rank uint64) (heard, above int) {
-	c.forget(now)
+// countAbove returns the number of contacts, and how many of them rank above rank.
+func (c *contacts) countAbove(now time.Time, rank uint64) (total, above int) {
+	c.prune(now)
 	for _, held := range c.byPeer {
 		if held.rank > rank {
 			above++
@@ -60,5 +58,5 @@
 	return len(c.byPeer), above
 }
 
-// rankAt is the rank among readers of the daemon at an address.
-func rankAt(address netip.AddrPort) uint64 { return xxhash.Sum64String(address.String()) }
+// rankOfAddress returns the rank among readers of the daemon at an address.
+func rankOfAddress(address netip.AddrPort) uint64 { return xxhash.Sum64String(address.String()) }
--- a/internal/followed/epoch_test.go
+++ b/internal/followed/epoch_test.go
@@ -10,7 +10,7 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// inEpoch is an answer of a store in one of its lives; its revisions are the store's numbers.
+// inEpoch sets the epoch of an answer; its revisions are plain store revisions.
 func inEpoch(epoch uint64, answer *Answer) *Answer {
 	answer.Epoch = epoch
 	return answer
@@ -19,20 +19,21 @@
 func TestRevisionsOrderChangesOfAllEpochs(t *testing.T) {
 	assert.Assert(t, storeview.RevisionIn(1, 2) > storeview.RevisionIn(0, 900))
 	assert.Assert(t, storeview.RevisionIn(1, 3) > storeview.RevisionIn(1, 2))
-	assert.Equal(t, storeview.RevisionIn(0, 7), uint64(7), "a store that tells no epoch has plain numbers")
+	assert.Equal(t, storeview.RevisionIn(0, 7), uint64(7), "a store without epochs has plain revisions")
 	assert.Equal(t, storeview.EpochOf(storeview.RevisionIn(storeview.MostEpochs, storeview.MostChanges)), uint64(storeview.MostEpochs))
 	assert.Equal(t, storeview.NumberOf(storeview.RevisionIn(storeview.MostEpochs, storeview.MostChanges)), uint64(storeview.MostChanges))
 }
 
-// The store's numbers had passed the one that the daemon held, so that the watch from there
-// succeeded and told only what was written after it: of changes 8 to 11 of the new epoch, 10 and 11.
-func TestAWatchThatARestoredStoreAnswersIsFollowedByAList(t *testing.T) {
+// After the restore the store's revisions had passed the daemon's, so that its watch succeeded
+// but delivered only changes written after that revision, without revisions 8 and 9 of the new
+// epoch.
+func TestWatchAnsweredByRestoredStoreTriggersList(t *testing.T) {
 	follower := newTestFollower()
-	watch := watching(t, follower)
+	watch := startWatching(t, follower)
 	output := follower.Step(testStart, inEpoch(1, answered(watch, 11, targetEntry("b", 10), targetEntry("c", 11))))
-	assert.Equal(t, follower.View().Revision(), uint64(9), "what lies between is not known")
+	assert.Equal(t, follower.View().Revision(), uint64(9), "the changes between are unknown")
 	assert.Equal(t, output.Call.Kind, CallList)
-	assert.Assert(t, !output.Call.AllowStale, "a stale list may be of before the restoration")
+	assert.Assert(t, !output.Call.AllowStale, "a stale list may predate the restore")
 	output = follower.Step(testStart, inEpoch(1, answered(output.Call, 11,
 		configurationEntry(8, 2), targetEntry("a", 9), targetEntry("b", 10), targetEntry("c", 11))))
 	assert.Equal(t, follower.View().Configuration().Version, uint64(2))
@@ -42,12 +43,12 @@
 	assert.Equal(t, storeview.EpochOf(output.Call.AfterRevision), uint64(1))
 }
 
-// The daemon had learned from a peer of revision 4 of the next epoch when its watch from revision 9
-// of the epoch before was answered, up to revision 11. Taken for what follows on revision 4, that
-// answer hid revisions 5 to 9 from it and from all that it told.
-func TestAWatchFromAnEpochBeforeTellsNothingOfTheNext(t *testing.T) {
+// The daemon learned from a peer of the new epoch while its watch in the old epoch was in
+// flight. The answer must not be taken for a continuation of the new epoch, or revisions 5 to 9
+// would be lost.
+func TestWatchFromEarlierEpochIsNoContinuation(t *testing.T) {
 	follower := newTestFollower()
-	watch := watching(t, follower)
+	watch := startWatching(t, follower)
 	follower.Learn(testStart, &Delta{Until: storeview.RevisionIn(1, 4), Entries: []storeview.Entry{configurationEntry(storeview.RevisionIn(1, 3), 2)}})
 	output := follower.Step(testStart, inEpoch(1, answered(watch, 11, targetEntry("c", 11))))
 	assert.Equal(t, follower.View().Revision(), storeview.RevisionIn(1, 4))
@@ -55,10 +56,10 @@
 	assert.Equal(t, output.Call.AfterRevision, storeview.RevisionIn(1, 4))
 }
 
-func TestAStaleListDoesNotTellOfALaterEpoch(t *testing.T) {
+func TestStaleListOfLaterEpochIsRepeated(t *testing.T) {
 	follower := newTestFollower()
-	watch := watching(t, follower)
-	list := follower.Step(testStart, ended(watch, OutcomeHistoryGone))
+	watch := startWatching(t, follower)
+	list := follower.Step(testStart, answerWithOutcome(watch, OutcomeHistoryGone))
 	for list.Call == nil {
 		list = follower.Tick(testStart.Add(time.Second))
 	}
@@ -69,10 +70,9 @@
 	assert.Assert(t, !again.AllowStale)
 }
 
-// A store that had been restored before was still empty when the daemons started. A watch from its
-// very beginning was taken for one from before the restoration, and asked for again at once, some
-// 100 times a second by each daemon; none ever had a configuration.
-func TestAnEmptyStoreOfALaterEpochIsFollowed(t *testing.T) {
+// A watch from revision 0 of an empty store in a later epoch must not be mistaken for one from
+// before the restore and retried endlessly.
+func TestEmptyStoreOfLaterEpochIsFollowed(t *testing.T) {
 	follower := newTestFollower()
 	list := follower.Tick(testStart).Call
 	confirm := follower.Step(testStart, inEpoch(1, answered(list, 0))).Call
@@ -83,25 +83,25 @@
 	assert.Equal(t, follower.View().Revision(), storeview.RevisionIn(1, 2))
 }
 
-func TestHistoryThatWentWithAnEpochIsListedAtOnce(t *testing.T) {
+func TestLostHistoryInLaterEpochTriggersConsistentList(t *testing.T) {
 	follower := newTestFollower()
-	watch := watching(t, follower)
-	output := follower.Step(testStart, inEpoch(1, ended(watch, OutcomeHistoryGone)))
+	watch := startWatching(t, follower)
+	output := follower.Step(testStart, inEpoch(1, answerWithOutcome(watch, OutcomeHistoryGone)))
 	assert.Assert(t, output.Call != nil && output.Call.Kind == CallList)
 	assert.Assert(t, !output.Call.AllowStale)
 }
 
-func TestAnAnswerOfAnEarlierEpochIsPassedOver(t *testing.T) {
+func TestAnswerFromEarlierEpochIsIgnored(t *testing.T) {
 	follower := newTestFollower()
-	watch := watching(t, follower)
+	watch := startWatching(t, follower)
 	follower.Learn(testStart, &Delta{Until: storeview.RevisionIn(1, 4), Entries: []storeview.Entry{configurationEntry(storeview.RevisionIn(1, 3), 2)}})
 	output := follower.Step(testStart, answered(watch, 12, configurationEntry(12, 7), targetEntry("x", 11)))
-	assert.Equal(t, follower.View().Configuration().Version, uint64(2), "that version is lost, unless it is written again")
+	assert.Equal(t, follower.View().Configuration().Version, uint64(2), "that version was lost in the restore")
 	assert.Equal(t, follower.View().Present(), 0)
-	assert.Equal(t, output.Events[0], Event{EventLost, "failed: an answer of epoch 0, while 1 is known"})
+	assert.Equal(t, output.Events[0], Event{EventLost, "failed: answer from epoch 0, but epoch 1 is known"})
 }
 
-func TestPagesOfTwoEpochsAreNoList(t *testing.T) {
+func TestEpochChangeBetweenPagesRestartsList(t *testing.T) {
 	follower := newTestFollower()
 	call := follower.Tick(testStart).Call
 	first := answered(call, 20, targetEntry("a", 18))
@@ -109,24 +109,25 @@
 	second := follower.Step(testStart, first).Call
 	again := follower.Step(testStart, inEpoch(1, answered(second, 9, targetEntry("b", 8)))).Call
 	assert.Equal(t, again.Kind, CallList)
-	assert.Equal(t, again.AfterKey, "", "the list begins anew")
+	assert.Equal(t, again.AfterKey, "", "the list restarts")
 	confirm := follower.Step(testStart, inEpoch(1, answered(again, 9, configurationEntry(5, 1), targetEntry("b", 8)))).Call
 	assert.Equal(t, confirm.Kind, CallWatch)
-	assert.Equal(t, follower.View().Present(), 1, "a was read from what the store has lost")
+	assert.Equal(t, follower.View().Present(), 1, "target a was lost in the restore")
 }
 
-// A peer that learns of the restored store by gossip has not what lies between: it asks.
-func TestNewsOfALaterEpochIsNotWhole(t *testing.T) {
+// A gossiped change of a restored store does not include the changes before it, so they must be
+// requested.
+func TestDeltaOfLaterEpochIsIncomplete(t *testing.T) {
 	follower := newTestFollower()
-	watching(t, follower)
+	startWatching(t, follower)
 	since, until := storeview.RevisionIn(1, 6), storeview.RevisionIn(1, 7)
-	_, isWhole := follower.Learn(testStart, &Delta{Since: since, Until: until, Entries: []storeview.Entry{configurationEntry(until, 3)}})
-	assert.Assert(t, !isWhole)
+	_, isComplete := follower.Learn(testStart, &Delta{Since: since, Until: until, Entries: []storeview.Entry{configurationEntry(until, 3)}})
+	assert.Assert(t, !isComplete)
 	assert.Equal(t, follower.View().Revision(), uint64(9))
-	assert.Equal(t, follower.View().Configuration().Version, uint64(3), "what is known is in force at once")
+	assert.Equal(t, follower.View().Configuration().Version, uint64(3), "the known configuration is active at once")
 }
 
-func TestADaemonThatServesAPeerOfAnEarlierEpochTellsAll(t *testing.T) {
+func TestPeerOfEarlierEpochIsSentSnapshot(t *testing.T) {
 	fleet := newTestFleet(DefaultFleetConfig())
 	fleet.follower.Learn(testStart, &Delta{Until: storeview.RevisionIn(1, 4), Entries: []storeview.Entry{configurationEntry(storeview.RevisionIn(1, 3), 2)}})
 	delta := fleet.Serve(testStart.Add(time.Millisecond), &Pull{Since: 900})
@@ -135,10 +136,9 @@
 	assert.Equal(t, len(delta.Entries), 1)
 }
 
-// The reader listed a restored store and told the version after by what it changes of the one that
-// it had listed there. Its peers held that from the epoch before, and each had to ask for all: of
-// 1,000 daemons the last had the version after 7.3 s.
-func TestADifferenceOfAVersionOfAnotherEpochIsApplied(t *testing.T) {
+// A difference to a version that peers hold from the previous epoch applies to it, so that they
+// need not pull a full snapshot.
+func TestDifferenceToVersionOfEarlierEpochIsApplied(t *testing.T) {
 	routes := func(version uint64, ports ...uint16) *storeview.Configuration {
 		configuration := &storeview.Configuration{Version: version}
 		for _, port := range ports {
@@ -161,28 +161,28 @@
 	assert.Equal(t, other.Configuration().Version, uint64(2))
 }
 
-// A daemon listed a copy and heard of nothing after that: it stood still, or was cut off from the store and
-// from its peers. When the writers' time was over it took the copy for the last word, and gave new
-// flows to a target that had said again meanwhile that it leaves.
-func TestACopyIsNotTheLastWordWhileNothingIsConfirmed(t *testing.T) {
-	settled := testStart.Add(DefaultConfig().View.RestoredFor)
+// The daemon listed a restored store and received nothing afterwards, neither from the store
+// nor from peers. It must not take the backup's state for current when the writers' time is
+// over: the target had written again meanwhile that it is draining.
+func TestRestoredStateIsNotFinalBeforeConfirmation(t *testing.T) {
+	afterRestore := testStart.Add(DefaultConfig().View.RestoredFor)
 	cutOff := func(t *testing.T) *Fleet {
 		fleet := newTestFleet(DefaultFleetConfig())
 		leaving, copied := stateEntry("a", 12, true), stateEntry("a", storeview.RevisionIn(1, 2), false)
 		fleet.follower.Learn(testStart, &Delta{Until: 15, Entries: []storeview.Entry{configurationEntry(1, 1), leaving}})
 		fleet.follower.Learn(testStart, &Delta{Until: storeview.RevisionIn(1, 10), Entries: []storeview.Entry{configurationEntry(storeview.RevisionIn(1, 1), 1), copied}})
-		fleet.Tick(settled)
+		fleet.Tick(afterRestore)
 		assert.Equal(t, fleet.View().Target("a").State(), storeview.StateDraining)
 		return fleet
 	}
 	confirm := func(fleet *Fleet, revision uint64) {
-		fleet.hear(settled, settled, peerAddress(1), Digest{Revision: revision, IsConfirmed: true})
-		fleet.Tick(settled)
+		fleet.handleDigest(afterRestore, afterRestore, peerAddress(1), Digest{Revision: revision, IsConfirmed: true})
+		fleet.Tick(afterRestore)
 	}
 	t.Run("the writer wrote again", func(t *testing.T) {
 		fleet := cutOff(t)
 		again := Delta{Since: storeview.RevisionIn(1, 10), Until: storeview.RevisionIn(1, 11), Entries: []storeview.Entry{stateEntry("a", storeview.RevisionIn(1, 11), true)}}
-		fleet.follower.Learn(settled, &again)
+		fleet.follower.Learn(afterRestore, &again)
 		confirm(fleet, storeview.RevisionIn(1, 11))
 		assert.Equal(t, fleet.View().Target("a").State(), storeview.StateDraining)
 	})
--- a/internal/liveness/detector_test.go
+++ b/internal/liveness/detector_test.go
@@ -12,18 +12,18 @@
 
 const (
 	target   = 7
-	fastRate = 40 // signs of life a second: LeastSilence decides
-	slowRate = 1  // MostSilence decides
+	fastRate = 40 // observations per second; LeastSilence applies
+	slowRate = 1  // MostSilence applies
 )
 
-// fakeDirectory is what one daemon knows.
+// fakeDirectory is one daemon's Directory.
 type fakeDirectory struct {
-	life     time.Time
-	rate     float64
-	isCutOff bool
-	// zoneLife is of another target of the zone.
-	zoneLife time.Time
-	now      *time.Time
+	lastActivity time.Time
+	rate         float64
+	isCutOff     bool
+	// zoneLastActivity is the last activity of another target in the zone.
+	zoneLastActivity time.Time
+	now              *time.Time
 }
 
 func (f *fakeDirectory) ZoneOf(uint64) (string, bool) { return "a", true }
@@ -35,12 +35,12 @@
 	return []uint64{target, target + 1, target + 2}[:min(count, 3)]
 }
 
-// LastLife is the target's own, and the zone's if another target of it answers.
+// LastLife returns the target's activity or, for a zone, the latest activity of any target.
 func (f *fakeDirectory) LastLife(subject Subject) time.Time {
-	if subject.Zone != "" && f.zoneLife.After(f.life) {
-		return f.zoneLife
+	if subject.Zone != "" && f.zoneLastActivity.After(f.lastActivity) {
+		return f.zoneLastActivity
 	}
-	return f.life
+	return f.lastActivity
 }
 
 func (f *fakeDirectory) ExpectedRate(Subject) float64 { return f.rate }
@@ -51,46 +51,48 @@
 	return *f.now
 }
 
-// group is daemons that hear each other's reports after a delay.
+// group simulates daemons that exchange reports with a fixed delay.
 type group struct {
 	now         time.Time
 	detectors   []*Detector
 	directories []*fakeDirectory
 	verdicts    map[int]Verdict
-	revived     map[int]int
+	withdrawn   map[int]int
 	delayed     []delivery
-	// zones are verdicts on the zone.
+	// zones holds the verdicts on the zone, by daemon.
 	zones map[int]Verdict
-	// answersProbes says that the target does, othersAnswerProbes that others of its zone do.
+	// answersProbes is set if the target answers probes, othersAnswerProbes if others in its
+	// zone do.
 	answersProbes      bool
 	othersAnswerProbes bool
-	// reaches, if set, says instead which daemons' probes the target answers.
-	reaches func(daemon int) bool
-	// probes counts those made.
-	probes int
-	// sent counts reports times those whom they went to, asked the questions among them,
-	// and lost says which datagrams to a daemon do not arrive.
-	sent, asked int
-	lost        func(to int, report *Report) bool
-	// frozen is a daemon that stands still, wokeAt when it did no longer.
-	frozen int
-	wokeAt time.Time
+	// answersProbeOf, if set, overrides both: it returns whether probes of a daemon are answered.
+	answersProbeOf func(daemon int) bool
+	probes         int
+	// sent counts reports times recipients, suspicions those that are suspicions. lost reports
+	// whether a datagram to a daemon is lost.
+	sent, suspicions int
+	lost             func(to int, report *Report) bool
+	// paused is the paused daemon, resumesAt when it resumes.
+	paused    int
+	resumesAt time.Time
 }
 
-// none is no daemon.
-const none = -1
+// noDaemon marks that no daemon is paused.
+const noDaemon = -1
 
-// backlog is for how long after it woke a daemon takes no reports in.
-const backlog = 300 * time.Millisecond
+// discardPeriod is how long after a pause a daemon still discards incoming reports.
+const discardPeriod = 300 * time.Millisecond
 
-// freeze has a daemon stand still from now on for a while.
-func (g *group) freeze(daemon int, span time.Duration) { g.frozen, g.wokeAt = daemon, g.now.Add(span) }
+// pauseDaemon pauses a daemon for the given time.
+func (g *group) pauseDaemon(daemon int, duration time.Duration) {
+	g.paused, g.resumesAt = daemon, g.now.Add(duration)
+}
 
-func (g *group) isFrozen(daemon int) bool { return daemon == g.frozen && g.now.Before(g.wokeAt) }
+func (g *group) isPaused(daemon int) bool { return daemon == g.paused && g.now.Before(g.resumesAt) }
 
-// isDeaf reports whether a daemon takes no reports in: it stands still, or did so lately.
-func (g *group) isDeaf(daemon int) bool {
-	return daemon == g.frozen && g.now.Before(g.wokeAt.Add(backlog))
+// isDiscarding reports whether a daemon discards incoming reports: it is or was recently paused.
+func (g *group) isDiscarding(daemon int) bool {
+	return daemon == g.paused && g.now.Before(g.resumesAt.Add(discardPeriod))
 }
 
 type delivery struct {
@@ -99,12 +101,12 @@
 	report Received
 }
 
-// travel is how long a datagram takes, and is read.
-const travel = 20 * time.Millisecond
+// networkDelay is the time from sending a datagram to its processing.
+const networkDelay = 20 * time.Millisecond
 
 func newGroup(daemons int) *group { return newGroupWith(daemons, DefaultConfig()) }
 
-// newGroupWithoutEarly is a group whose judges wait for the callers of two daemons.
+// newGroupWithoutEarly disables early probes, so that judges need reports from two daemons.
 func newGroupWithoutEarly(daemons int) *group {
 	config := DefaultConfig()
 	config.EarlyProbes, config.EarlyBurst = 0, 0
@@ -112,29 +114,29 @@
 }
 
 func newGroupWith(daemons int, config Config) *group {
-	made := &group{now: testStart, frozen: none, verdicts: map[int]Verdict{}, zones: map[int]Verdict{}, revived: map[int]int{}}
+	g := &group{now: testStart, paused: noDaemon, verdicts: map[int]Verdict{}, zones: map[int]Verdict{}, withdrawn: map[int]int{}}
 	for range daemons {
-		made.detectors = append(made.detectors, New(config))
-		made.directories = append(made.directories, &fakeDirectory{rate: fastRate, now: &made.now})
+		g.detectors = append(g.detectors, New(config))
+		g.directories = append(g.directories, &fakeDirectory{rate: fastRate, now: &g.now})
 	}
-	return made
+	return g
 }
 
-// repeat has a caller of a daemon send again now what it sent 200 ms before.
-func (g *group) repeat(daemon int, flow uint64) {
+// retransmit simulates a client retransmitting now what it sent 200 ms before.
+func (g *group) retransmit(daemon int, flow uint64) {
 	g.detectors[daemon].Observe(g.now, g.directories[daemon], target, flow, g.now.Add(-200*time.Millisecond))
 }
 
-// fallSilent has three callers of two daemons send again, just enough for a verdict.
-func (g *group) fallSilent() {
-	g.repeat(0, 1)
-	g.repeat(1, 2)
-	g.repeat(1, 3)
+// stopResponding simulates retransmissions of three clients at two daemons, the minimum for a verdict.
+func (g *group) stopResponding() {
+	g.retransmit(0, 1)
+	g.retransmit(1, 2)
+	g.retransmit(1, 3)
 }
 
-// advance lets time pass in steps of 10 ms.
-func (g *group) advance(span time.Duration) {
-	for end := g.now.Add(span); g.now.Before(end); {
+// advance moves the time forward in steps of 10 ms.
+func (g *group) advance(duration time.Duration) {
+	for end := g.now.Add(duration); g.now.Before(end); {
 		g.now = g.now.Add(10 * time.Millisecond)
 		arrived := g.delayed
 		g.delayed = nil
@@ -143,55 +145,56 @@
 				g.delayed = append(g.delayed, message)
 				continue
 			}
-			if g.isDeaf(message.to) {
+			if g.isDiscarding(message.to) {
 				continue
 			}
-			g.take(message.to, g.detectors[message.to].Hear(g.now, g.directories[message.to], []Received{message.report}))
+			g.handleOutput(message.to, g.detectors[message.to].Hear(g.now, g.directories[message.to], []Received{message.report}))
 		}
 		for index, detector := range g.detectors {
-			if !g.isFrozen(index) {
-				g.take(index, detector.Tick(g.now, g.directories[index]))
+			if !g.isPaused(index) {
+				g.handleOutput(index, detector.Tick(g.now, g.directories[index]))
 			}
 		}
 	}
 }
 
-func (g *group) take(index int, output Output) {
+func (g *group) handleOutput(index int, output Output) {
 	for _, verdict := range output.Dead {
 		g.verdicts[index] = verdict
 	}
 	for _, verdict := range output.Silent {
 		g.zones[index] = verdict
 	}
-	g.revived[index] += len(output.Alive)
+	g.withdrawn[index] += len(output.Alive)
 	for _, probe := range output.Probes {
 		answers := g.answersProbes || probe.Target != target && g.othersAnswerProbes
-		if g.reaches != nil {
-			answers = g.reaches(index)
+		if g.answersProbeOf != nil {
+			answers = g.answersProbeOf(index)
 		}
 		g.probes++
 		g.detectors[index].Probed(g.now, probe, answers)
 	}
 	for _, outgoing := range output.Reports {
 		for to := range g.detectors {
-			if to != index && g.isFor(&outgoing, to) {
+			if to != index && g.isRecipient(&outgoing, to) {
 				report := outgoing.Report
 				g.sent++
-				g.asked += boolean(report.Kind == Asked)
+				g.suspicions += boolToInt(report.Kind == Asked)
 				if g.lost != nil && g.lost(to, &report) {
 					continue
 				}
 				if outgoing.Judges > 0 {
 					report.Rank = len(g.detectors) - 1 - to
 				}
-				g.delayed = append(g.delayed, delivery{g.now.Add(travel), to, Received{report, addressOf(index)}})
+				g.delayed = append(g.delayed, delivery{g.now.Add(networkDelay), to, Received{report, addressOf(index)}})
 			}
 		}
 	}
 }
 
-// isFor chooses the last daemons for judges: the tests' evidence comes from the first.
-func (g *group) isFor(outgoing *Outgoing, to int) bool {
+// isRecipient reports whether a daemon receives a report. The last daemons are the judges, since the
+// tests' evidence comes from the first ones.
+func (g *group) isRecipient(outgoing *Outgoing, to int) bool {
 	switch {
 	case outgoing.To.IsValid():
 		return outgoing.To == addressOf(to)
@@ -205,88 +208,85 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(daemon)}), 8166)
 }
 
-func TestSilenceAtSeveralDaemonsIsDeath(t *testing.T) {
+func TestVerdictFromSeveralReporters(t *testing.T) {
 	group := newGroup(5)
-	group.fallSilent()
+	group.stopResponding()
 	group.advance(500 * time.Millisecond)
-	assert.Equal(t, len(group.verdicts), 5, "all daemons know: %v", group.verdicts)
+	assert.Equal(t, len(group.verdicts), 5, "verdicts: %v", group.verdicts)
 	for _, verdict := range group.verdicts {
 		assert.Assert(t, verdict.Silence >= DefaultConfig().LeastSilence)
 	}
 }
 
-func TestWhatOneDaemonSeesIsNotEnough(t *testing.T) {
+func TestNoVerdictFromOneReporter(t *testing.T) {
 	group := newGroupWithoutEarly(5)
 	for flow := range uint64(10) {
-		group.repeat(0, flow)
+		group.retransmit(0, flow)
 		group.advance(200 * time.Millisecond)
 	}
 	assert.Equal(t, len(group.verdicts), 0)
 }
 
-func TestOneFlowIsNotEnough(t *testing.T) {
+func TestNoVerdictFromOneFlow(t *testing.T) {
 	group := newGroupWithoutEarly(5)
 	for range 10 {
-		group.repeat(0, 1)
+		group.retransmit(0, 1)
 		group.advance(200 * time.Millisecond)
 	}
 	assert.Equal(t, len(group.verdicts), 0)
 }
 
-// TestWhoeverHearsFromTheTargetObjects: two daemons cannot reach a target that a third
-// one hears from.
-func TestWhoeverHearsFromTheTargetObjects(t *testing.T) {
+// Two daemons cannot reach a target that a third one sees activity of.
+func TestActivityRefutesSuspicion(t *testing.T) {
 	group := newGroup(5)
 	for range 20 {
-		group.fallSilent()
-		group.directories[4].life = group.now
+		group.stopResponding()
+		group.directories[4].lastActivity = group.now
 		group.advance(100 * time.Millisecond)
 	}
 	assert.Equal(t, len(group.verdicts), 0, "%v", group.verdicts)
 }
 
-// TestWithoutObjectionsALivingTargetIsBuried shows what the objections are for.
-func TestWithoutObjectionsALivingTargetIsBuried(t *testing.T) {
+// Verifies that the refutations, not something else, protect the target in the test above.
+func TestWithoutRefutationLiveTargetIsDeclaredDead(t *testing.T) {
 	group := newGroup(5)
-	group.detectors = group.detectors[:4] // the one that hears from the target says nothing
+	group.detectors = group.detectors[:4] // the daemon that sees activity is absent
 	group.directories = group.directories[:4]
 	for range 20 {
-		group.fallSilent()
+		group.stopResponding()
 		group.advance(100 * time.Millisecond)
 	}
 	assert.Equal(t, len(group.verdicts), 4)
 }
 
-// TestAProbeThatIsAnsweredIsLife: nobody but the two daemons that cannot reach the target
-// have callers there.
-func TestAProbeThatIsAnsweredIsLife(t *testing.T) {
+// Only the two daemons that cannot reach the target have clients there.
+func TestAnsweredProbePreventsVerdict(t *testing.T) {
 	group := newGroup(5)
 	group.answersProbes = true
 	for range 20 {
-		group.fallSilent()
+		group.stopResponding()
 		group.advance(100 * time.Millisecond)
 	}
 	assert.Equal(t, len(group.verdicts), 0)
 }
 
-func TestALifeSignBetweenTwoSendsIsNoSilence(t *testing.T) {
+func TestActivityBetweenRetransmissionsPreventsVerdict(t *testing.T) {
 	group := newGroup(3)
 	for index := range group.directories {
-		group.directories[index].life = group.now.Add(-100 * time.Millisecond)
+		group.directories[index].lastActivity = group.now.Add(-100 * time.Millisecond)
 	}
-	group.fallSilent()
+	group.stopResponding()
 	group.advance(time.Second)
 	assert.Equal(t, len(group.verdicts), 0)
 }
 
-// TestARarelyUsedTargetIsSilentForLonger: where signs of life are rare, their absence says
-// little.
-func TestARarelyUsedTargetIsSilentForLonger(t *testing.T) {
+// With a low expected rate, a short silence is normal.
+func TestLowExpectedRateRequiresLongerSilence(t *testing.T) {
 	group := newGroup(3)
 	for index := range group.directories {
 		group.directories[index].rate = slowRate
 	}
-	group.fallSilent()
+	group.stopResponding()
 	const sentBefore = 200 * time.Millisecond
 	group.advance(DefaultConfig().MostSilence - sentBefore - 100*time.Millisecond)
 	assert.Equal(t, len(group.verdicts), 0)
@@ -294,87 +294,85 @@
 	assert.Equal(t, len(group.verdicts), 3)
 }
 
-// TestADaemonThatReachesNobodyDoesNotJudge: its own path is lost.
-func TestADaemonThatReachesNobodyDoesNotJudge(t *testing.T) {
+// Reporters that have lost their own path must not cause a verdict.
+func TestCutOffDaemonsDoNotReport(t *testing.T) {
 	group := newGroup(3)
 	group.directories[0].isCutOff = true
 	group.directories[1].isCutOff = true
 	for range 10 {
-		group.fallSilent()
+		group.stopResponding()
 		group.advance(100 * time.Millisecond)
 	}
 	assert.Equal(t, len(group.verdicts), 0)
 }
 
-func TestASignOfLifeTakesTheVerdictBackEverywhere(t *testing.T) {
+func TestActivityWithdrawsVerdictEverywhere(t *testing.T) {
 	group := newGroup(5)
-	group.fallSilent()
+	group.stopResponding()
 	group.advance(500 * time.Millisecond)
 	assert.Equal(t, len(group.verdicts), 5)
-	group.directories[3].life = group.now
+	group.directories[3].lastActivity = group.now
 	group.advance(200 * time.Millisecond)
 	for index := range group.detectors {
-		assert.Equal(t, group.revived[index], 1, "daemon %d", index)
+		assert.Equal(t, group.withdrawn[index], 1, "daemon %d", index)
 	}
 }
 
-// TestAVerdictRunsOutAndIsFoundAgain: a target that was held for dead gets packets again,
-// so that it can show that it lives.
-func TestAVerdictRunsOutAndIsFoundAgain(t *testing.T) {
+// Verdicts expire, and a target that is still dead is detected again.
+func TestVerdictExpiresAndIsRenewed(t *testing.T) {
 	group := newGroup(3)
-	group.fallSilent()
+	group.stopResponding()
 	group.advance(DefaultConfig().HoldFor + time.Second)
 	clear(group.verdicts)
-	group.repeat(0, 4)
-	group.repeat(1, 5)
-	group.repeat(1, 6)
+	group.retransmit(0, 4)
+	group.retransmit(1, 5)
+	group.retransmit(1, 6)
 	group.advance(500 * time.Millisecond)
 	assert.Equal(t, len(group.verdicts), 3)
 }
 
-// TestAZoneIsSilentTogether: no target of it has two callers.
-func TestAZoneIsSilentTogether(t *testing.T) {
+// A zone can be unresponsive although none of its targets has enough reporters.
+func TestUnresponsiveZone(t *testing.T) {
 	group := newGroupWithoutEarly(5)
 	for other := range uint64(3) {
 		group.detectors[other].Observe(group.now, group.directories[other], target+other, other, group.now.Add(-200*time.Millisecond))
 	}
 	group.advance(700 * time.Millisecond)
 	assert.Equal(t, len(group.zones), 5)
-	assert.Equal(t, len(group.verdicts), 3, "each daemon that has a caller at one judges alone")
+	assert.Equal(t, len(group.verdicts), 3, "daemons with a client at a target decide locally")
 }
 
-// TestATargetOfASilentZoneIsProbedItself: one that answers is not dead, whoever lost a packet
-// to it; one that does not is.
-func TestATargetOfASilentZoneIsProbedItself(t *testing.T) {
+// In an unresponsive zone, a target is declared dead only if a probe of it fails.
+func TestTargetOfUnresponsiveZoneIsProbed(t *testing.T) {
 	for _, answers := range []bool{true, false} {
 		group := newGroup(5)
 		group.answersProbes = answers
 		for index := range group.detectors {
 			group.detectors[index].suspect(Subject{Zone: "a"}).deadUntil = group.now.Add(time.Hour)
 		}
-		group.repeat(4, 9)
+		group.retransmit(4, 9)
 		group.advance(700 * time.Millisecond)
-		_, isBuried := group.verdicts[4]
-		assert.Equal(t, isBuried, !answers)
+		_, isDeclaredDead := group.verdicts[4]
+		assert.Equal(t, isDeclaredDead, !answers)
 	}
 }
 
-func TestAZoneWithALivingTargetIsNotDead(t *testing.T) {
-	t.Run("which somebody hears from", func(t *testing.T) {
+func TestZoneWithLiveTargetIsNotUnresponsive(t *testing.T) {
+	t.Run("activity seen by another daemon", func(t *testing.T) {
 		group := newGroup(5)
 		for range 20 {
-			group.fallSilent()
-			group.directories[4].zoneLife = group.now
+			group.stopResponding()
+			group.directories[4].zoneLastActivity = group.now
 			group.advance(100 * time.Millisecond)
 		}
 		assert.Equal(t, len(group.verdicts), 5)
 		assert.Equal(t, len(group.zones), 0)
 	})
-	t.Run("which answers a probe", func(t *testing.T) {
+	t.Run("another target answers a probe", func(t *testing.T) {
 		group := newGroup(5)
 		group.othersAnswerProbes = true
 		for range 20 {
-			group.fallSilent()
+			group.stopResponding()
 			group.advance(100 * time.Millisecond)
 		}
 		assert.Equal(t, len(group.verdicts), 5)
@@ -382,36 +380,35 @@
 	})
 }
 
-// TestWhoMissedTheVerdictLearnsItWhenItReports.
-func TestWhoMissedTheVerdictLearnsItWhenItReports(t *testing.T) {
+// A daemon that missed a verdict must learn it in response to its own report.
+func TestReporterLearnsMissedVerdict(t *testing.T) {
 	group := newGroup(5)
-	group.fallSilent()
+	group.stopResponding()
 	group.advance(500 * time.Millisecond)
-	group.detectors[2] = New(DefaultConfig()) // started anew
+	group.detectors[2] = New(DefaultConfig()) // restarted
 	delete(group.verdicts, 2)
-	group.repeat(2, 9)
+	group.retransmit(2, 9)
 	group.advance(100 * time.Millisecond)
 	assert.Equal(t, len(group.verdicts), 5)
 }
 
-// TestOneJudgeAsksAtATime: others that have the same evidence wait for its verdict.
-func TestOneJudgeAsksAtATime(t *testing.T) {
+// Judges with the same evidence must not all broadcast a suspicion.
+func TestOneJudgeBroadcastsSuspicion(t *testing.T) {
 	group := newGroup(50)
-	group.repeat(0, 1)
+	group.retransmit(0, 1)
 	group.advance(60 * time.Millisecond)
-	group.repeat(1, 2)
+	group.retransmit(1, 2)
 	group.advance(60 * time.Millisecond)
-	group.repeat(1, 3)
+	group.retransmit(1, 3)
 	group.advance(time.Second)
 	assert.Equal(t, len(group.verdicts), 50)
-	// The verdict on the target is told twice, which is one more report to each.
+	// The verdict on the target is sent twice, one more report to each daemon.
 	assert.Assert(t, group.sent < 2*5*len(group.detectors)/2+len(group.detectors), "%d reports for one target and its zone to %d daemons", group.sent, len(group.detectors))
-	assert.Equal(t, group.asked, 2*(len(group.detectors)-1), "one question on the target and one on its zone to each")
+	assert.Equal(t, group.suspicions, 2*(len(group.detectors)-1), "one suspicion of the target and one of its zone to each daemon")
 }
 
-// TestAVerdictIsToldTwice: flows that rest there are known to the daemon alone that the first
-// datagram did not reach.
-func TestAVerdictIsToldTwice(t *testing.T) {
+// A lost verdict datagram must not leave a daemon without the verdict.
+func TestVerdictIsSentTwice(t *testing.T) {
 	group := newGroup(5)
 	lost := 0
 	group.lost = func(to int, report *Report) bool {
@@ -421,47 +418,46 @@
 		lost++
 		return lost == 1
 	}
-	group.fallSilent()
+	group.stopResponding()
 	group.advance(700 * time.Millisecond)
 	assert.Equal(t, lost, 2)
 	assert.Equal(t, len(group.verdicts), 5)
 }
 
-func boolean(value bool) int {
+func boolToInt(value bool) int {
 	if value {
 		return 1
 	}
 	return 0
 }
 
-// TestAJudgeThatIsGoneIsReplaced: with each further report more daemons judge.
-func TestAJudgeThatIsGoneIsReplaced(t *testing.T) {
+// If the first judges cannot decide, further reports must reach others.
+func TestUnavailableJudgeIsReplaced(t *testing.T) {
 	group := newGroup(10)
 	for judge := len(group.detectors) - DefaultConfig().FirstJudges; judge < len(group.detectors); judge++ {
 		group.directories[judge].isCutOff = true
 	}
 	for flow := range uint64(4) {
-		group.repeat(0, flow)
-		group.repeat(1, 10+flow)
+		group.retransmit(0, flow)
+		group.retransmit(1, 10+flow)
 		group.advance(200 * time.Millisecond)
 	}
 	assert.Assert(t, len(group.verdicts) >= 8, "%v", group.verdicts)
 }
 
-// A judge asked all about a target that only two daemons could not reach, and stood still. Objections that
-// came meanwhile are not taken in, as nobody knows how old they are. When it woke, 1 s after it had
-// asked, it took that for a second in which nobody objected, and told all that the target was dead.
-func TestAJudgeThatStoodStillAsksAgain(t *testing.T) {
+// A judge that was paused while refutations arrived discards them, and must not count the pause
+// as time in which nobody refuted.
+func TestPausedJudgeRestartsSuspicion(t *testing.T) {
 	const judge, objector = 4, 2
 	group := newGroup(5)
-	group.fallSilent()
-	group.directories[objector].life = group.now
-	for group.asked == 0 {
+	group.stopResponding()
+	group.directories[objector].lastActivity = group.now
+	for group.suspicions == 0 {
 		group.advance(10 * time.Millisecond)
 	}
-	group.freeze(judge, time.Second)
+	group.pauseDaemon(judge, time.Second)
 	for range 20 {
-		group.directories[objector].life = group.now
+		group.directories[objector].lastActivity = group.now
 		group.advance(100 * time.Millisecond)
 	}
 	assert.Equal(t, len(group.verdicts), 0, "%v", group.verdicts)
--- a/internal/liveness/early_test.go
+++ b/internal/liveness/early_test.go
@@ -7,10 +7,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestOneDaemonsCallerAndFailedProbesAreEnough: neither path explains both.
-func TestOneDaemonsCallerAndFailedProbesAreEnough(t *testing.T) {
+// One daemon's client and failed probes of others suffice without a second daemon's clients.
+func TestEarlyVerdictFromOneReporter(t *testing.T) {
 	group := newGroup(5)
-	group.repeat(0, 1)
+	group.retransmit(0, 1)
 	group.advance(300 * time.Millisecond)
 	assert.Equal(t, len(group.verdicts), 5)
 	for _, verdict := range group.verdicts {
@@ -18,27 +18,27 @@
 	}
 }
 
-// TestOneDaemonThatReachesNoTargetBuriesNone, whether it judges or not.
-func TestOneDaemonThatReachesNoTargetBuriesNone(t *testing.T) {
-	for _, reporter := range []int{0, 4} { // the last two judge
+// A daemon without a path to any target must not cause a verdict, be it judge or not.
+func TestNoVerdictFromOneCutOffDaemon(t *testing.T) {
+	for _, reporter := range []int{0, 4} { // the last two daemons are judges
 		group := newGroup(5)
-		group.reaches = func(daemon int) bool { return daemon != reporter }
+		group.answersProbeOf = func(daemon int) bool { return daemon != reporter }
 		for flow := range uint64(10) {
-			group.repeat(reporter, flow)
+			group.retransmit(reporter, flow)
 			group.advance(200 * time.Millisecond)
 		}
 		assert.Equal(t, len(group.verdicts), 0, "reporter %d", reporter)
 	}
 }
 
-// TestTwoDaemonsThatReachNoTargetBuryNone: whichever they are, a third one judges that does.
-func TestTwoDaemonsThatReachNoTargetBuryNone(t *testing.T) {
+// Any two daemons without a path must be outvoted by a judge whose probe succeeds.
+func TestNoVerdictFromTwoCutOffDaemons(t *testing.T) {
 	for reporter := range 5 {
 		for other := range 5 {
 			group := newGroup(5)
-			group.reaches = func(daemon int) bool { return daemon != reporter && daemon != other }
+			group.answersProbeOf = func(daemon int) bool { return daemon != reporter && daemon != other }
 			for flow := range uint64(10) {
-				group.repeat(reporter, flow)
+				group.retransmit(reporter, flow)
 				group.advance(200 * time.Millisecond)
 			}
 			assert.Equal(t, len(group.verdicts), 0, "daemons %d and %d", reporter, other)
@@ -46,27 +46,28 @@
 	}
 }
 
-// TestOneWitnessIsNotEnough besides the judge, nor a judge whose own path may be lost.
-func TestOneWitnessIsNotEnough(t *testing.T) {
+// An early verdict needs evidence from clients, another daemon's failed probe and a working path
+// of the judge.
+func TestEarlyVerdictNeedsThreeDaemons(t *testing.T) {
 	suspected, now := newSuspect(), testStart
 	suspected.early, suspected.earlyAt = probeFailed, testStart.Add(-time.Millisecond)
 	directory := &fakeDirectory{now: &now}
-	suspected.evidence[addressOf(1)] = evidence{flows: 1, sends: 1}
-	assert.Assert(t, !suspected.isProvenEarly(directory), "its callers alone")
-	suspected.evidence[self] = evidence{flows: 1, sends: 1}
-	assert.Assert(t, !suspected.isProvenEarly(directory), "nor the judge's own")
+	suspected.evidence[addressOf(1)] = evidence{flows: 1, retransmissions: 1}
+	assert.Assert(t, !suspected.isEarlyConfirmed(directory), "clients of one daemon only")
+	suspected.evidence[self] = evidence{flows: 1, retransmissions: 1}
+	assert.Assert(t, !suspected.isEarlyConfirmed(directory), "clients of one daemon and of the judge")
 	suspected.evidence[addressOf(2)] = evidence{}
-	assert.Assert(t, suspected.isProvenEarly(directory), "and another one's probe")
+	assert.Assert(t, suspected.isEarlyConfirmed(directory), "with another daemon's failed probe")
 	suspected.earlyAt = now
-	assert.Assert(t, !suspected.isProvenEarly(directory), "no answer came since the judge's own probe began")
+	assert.Assert(t, !suspected.isEarlyConfirmed(directory), "judge's path not confirmed since its probe began")
 	suspected.earlyAt = testStart.Add(-time.Millisecond)
 	delete(suspected.evidence, addressOf(1))
 	suspected.evidence[addressOf(3)] = evidence{}
-	assert.Assert(t, !suspected.isProvenEarly(directory), "no probes without a caller")
+	assert.Assert(t, !suspected.isEarlyConfirmed(directory), "failed probes only, no clients")
 }
 
-// TestEarlyProbesAreBounded: lost packets make one daemon report many targets.
-func TestEarlyProbesAreBounded(t *testing.T) {
+// Packet loss at one daemon, which makes it report many targets, must not cause a flood of probes.
+func TestEarlyProbesAreRateLimited(t *testing.T) {
 	const targets, seconds = 300, 3
 	group := newGroup(3)
 	group.answersProbes = true
@@ -77,52 +78,52 @@
 		group.advance(time.Second)
 	}
 	config := DefaultConfig()
-	judges := float64(len(group.detectors) - 1) // with each further send more are told
-	most := judges * (config.EarlyBurst + seconds*config.EarlyProbes)
-	assert.Assert(t, group.probes > 0 && float64(group.probes) <= most, "%d probes, %v allowed", group.probes, most)
+	judges := float64(len(group.detectors) - 1) // further reports reach more judges
+	maxProbes := judges * (config.EarlyBurst + seconds*config.EarlyProbes)
+	assert.Assert(t, group.probes > 0 && float64(group.probes) <= maxProbes, "%d probes, %v allowed", group.probes, maxProbes)
 }
 
-// TestOneLostPathAndOneLostProbeBuryNone: a judge whose probe failed is no daemon with callers.
-func TestOneLostPathAndOneLostProbeBuryNone(t *testing.T) {
+// A judge's failed probe must not count as a daemon with clients.
+func TestNoVerdictFromLostPathAndLostProbe(t *testing.T) {
 	const reporter, other = 4, 3
 	group := newGroup(5)
-	for _, judge := range []int{0, 1, 2} { // their budgets are spent
-		group.detectors[judge].config.EarlyProbes, group.detectors[judge].early.left = 0, 0
+	for _, judge := range []int{0, 1, 2} { // exhaust their token buckets
+		group.detectors[judge].config.EarlyProbes, group.detectors[judge].early.tokens = 0, 0
 	}
 	probes := 0
-	group.reaches = func(daemon int) bool {
+	group.answersProbeOf = func(daemon int) bool {
 		if daemon == other {
 			probes++
-			return probes > 1 // one packet is lost
+			return probes > 1 // the first probe is lost
 		}
 		return daemon != reporter
 	}
 	for flow := range uint64(3) {
-		group.repeat(reporter, flow)
+		group.retransmit(reporter, flow)
 	}
 	group.advance(time.Second)
 	assert.Equal(t, len(group.verdicts), 0)
 }
 
-func TestAProbeFromBeforeASignOfLifeSaysNothing(t *testing.T) {
+func TestProbeResultFromBeforeActivityIsIgnored(t *testing.T) {
 	now := testStart
 	directory := &fakeDirectory{rate: fastRate, now: &now}
 	d := New(DefaultConfig())
-	told := func(age uint32) []Received {
+	silentReport := func(age uint32) []Received {
 		report := Report{Subject: Subject{Target: target}, Kind: Silent, Flows: 1, Sends: 1, AgeMilliseconds: age}
 		return []Received{{Report: report, From: addressOf(1)}}
 	}
-	d.Probed(now, d.Hear(now, directory, told(200)).Probes[0], true) // an earlier doubt, answered
+	d.Probed(now, d.Hear(now, directory, silentReport(200)).Probes[0], true) // an earlier probe, answered
 	now = now.Add(time.Second)
-	first := d.Hear(now, directory, told(200))
+	first := d.Hear(now, directory, silentReport(200))
 	assert.Equal(t, len(first.Probes), 1)
 	now = now.Add(20 * time.Millisecond)
-	directory.life = now
+	directory.lastActivity = now
 	d.Tick(now, directory)
 	now = now.Add(30 * time.Millisecond)
 	d.Probed(now, first.Probes[0], false)
 	now = now.Add(200 * time.Millisecond)
-	for _, report := range d.Hear(now, directory, told(180)).Reports {
+	for _, report := range d.Hear(now, directory, silentReport(180)).Reports {
 		assert.Assert(t, report.Kind != Asked)
 	}
 }
--- a/internal/loop/quiet.go
+++ b/internal/loop/quiet.go
@@ -10,8 +10,9 @@
 	"github.com/passtray/passtray/internal/telemetry"
 )
 
-// WaitForQuiet returns once no packet came for a while, or at the bound.
-func WaitForQuiet(ctx context.Context, log logr.Logger, quiet, maximum time.Duration, lastReceived *atomic.Int64) {
+// WaitForQuiet returns once no packet has been received for the duration quiet, at the latest after
+// maxWait. lastReceived is in Unix nanoseconds.
+func WaitForQuiet(ctx context.Context, log logr.Logger, quiet, maxWait time.Duration, lastReceived *atomic.Int64) {
 	started := time.Now()
 	ticker := time.NewTicker(TickInterval)
 	defer ticker.Stop()
@@ -23,7 +24,7 @@
 		}
 		quietSince := time.Unix(0, max(lastReceived.Load(), started.UnixNano()))
 		isQuiet := time.Since(quietSince) >= quiet
-		if isQuiet || time.Since(started) >= maximum {
+		if isQuiet || time.Since(started) >= maxWait {
 			log.Info("drained", telemetry.FieldDetail, time.Since(started).String())
 			return
 		}
--- a/internal/steering/token/dead_test.go
+++ b/internal/steering/token/dead_test.go
@@ -13,7 +13,7 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-func TestAFlowOfADeadTargetIsRefused(t *testing.T) {
+func TestFlowOfDeadTargetIsRefused(t *testing.T) {
 	site := newSite(t)
 	opened := site.open(rosterAddress, 1)
 	target := opened.Target
@@ -22,15 +22,15 @@
 	assert.Equal(t, refused.Action, Refuse)
 	assert.Equal(t, refused.Reason, ReasonDeadTarget)
 	for number := range 200 {
-		assert.Assert(t, site.open(rosterAddress, 10+number).Target != target, "no new flow goes there")
+		assert.Assert(t, site.open(rosterAddress, 10+number).Target != target, "new flow sent to a dead target")
 	}
-	assert.Assert(t, site.open(rosterAddress, 1).Target != target, "nor a copy of an opening packet")
+	assert.Assert(t, site.open(rosterAddress, 1).Target != target, "retransmitted first packet sent to a dead target")
 
 	site.now = site.now.Add(time.Second)
-	assert.Equal(t, site.follow(rosterAddress, 1, target.Token).Action, Forward, "the verdict ran out")
+	assert.Equal(t, site.follow(rosterAddress, 1, target.Token).Action, Forward, "after the dead state has expired")
 }
 
-func TestAVerdictIsTakenBack(t *testing.T) {
+func TestSetAliveRevertsSetDead(t *testing.T) {
 	site := newSite(t)
 	opened := site.open(rosterAddress, 1)
 	site.table.SetDead(opened.Target.Identifier, site.now.Add(time.Hour), site.now.Add(time.Hour))
@@ -38,8 +38,7 @@
 	assert.Equal(t, site.follow(rosterAddress, 1, opened.Target.Token).Action, Forward)
 }
 
-// TestACallersOwnResetIsNotAnswered: its flow is over.
-func TestACallersOwnResetIsNotAnswered(t *testing.T) {
+func TestCallersResetIsNotAnswered(t *testing.T) {
 	site := newSite(t)
 	opened := site.open(rosterAddress, 1)
 	site.table.SetDead(opened.Target.Identifier, site.now.Add(time.Hour), site.now.Add(time.Hour))
@@ -47,16 +46,17 @@
 	assert.Equal(t, site.table.Follow(site.now, packet).Action, Drop)
 }
 
-// TestWhoeverRunsAtATargetsAddressHasSupersededIt, whether its entry is there still or not.
-func TestWhoeverRunsAtATargetsAddressHasSupersededIt(t *testing.T) {
+// TestLaterTargetAtSameAddressSupersedes checks that a target is superseded by a later one at its
+// address, whether or not its entry is still there.
+func TestLaterTargetAtSameAddressSupersedes(t *testing.T) {
 	for name, leave := range map[string]func(site *site){
-		"both are in the store":     func(*site) {},
-		"the earlier one's is gone": func(site *site) { site.remove("roster-0") },
-		"the later one drains":      func(site *site) { site.target("new", 300, "ledger", drainingAtFirst) },
+		"both in the store":     func(*site) {},
+		"earlier entry removed": func(site *site) { site.remove("roster-0") },
+		"later target drains":   func(site *site) { site.target("new", 300, "ledger", drainingAtRoster0Address) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			site := newSite(t)
-			site.target("new", 300, "ledger", atFirst)
+			site.target("new", 300, "ledger", atRoster0Address)
 			leave(site)
 			refused := site.follow(rosterAddress, 1, Of(100))
 			assert.Equal(t, refused.Action, Refuse)
@@ -69,25 +69,26 @@
 	}
 }
 
-// TestATargetThatWentIsNotSupersededByAnEarlierOne, whose removal did not come here yet.
-func TestATargetThatWentIsNotSupersededByAnEarlierOne(t *testing.T) {
+// TestGoneTargetIsNotSupersededByEarlierOne covers an earlier target whose removal is not known
+// here yet.
+func TestGoneTargetIsNotSupersededByEarlierOne(t *testing.T) {
 	site := newSite(t)
-	site.target("new", 300, "roster", atFirst)
+	site.target("new", 300, "roster", atRoster0Address)
 	site.remove("new")
 	assert.Equal(t, site.follow(rosterAddress, 1, Of(300)).Action, Forward)
 }
 
-// A restored store has an entry, under a later revision, of a target that ended long ago. The one that
-// runs at its address since was started later, and keeps its flows.
-func TestATargetIsNotSupersededByOneThatARestoredStoreBringsBack(t *testing.T) {
+// TestTargetIsNotSupersededByEntryOfRestoredStore guards a running target against the entry of an
+// ended one that a restored store lists under a later revision.
+func TestTargetIsNotSupersededByEntryOfRestoredStore(t *testing.T) {
 	for name, leave := range map[string]func(site *site){
-		"the later one is in the store": func(*site) {},
-		"its entry went":                func(site *site) { site.remove("new") },
+		"later target in the store": func(*site) {},
+		"later entry removed":       func(site *site) { site.remove("new") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			site := newSite(t)
 			site.target("new", 300, "ledger", func(target *storeview.Target) {
-				atFirst(target)
+				atRoster0Address(target)
 				target.Incarnation = 9
 			})
 			leave(site)
@@ -98,29 +99,29 @@
 	}
 }
 
-// atFirst puts a target at the address of roster-0.
-func atFirst(target *storeview.Target) {
+// atRoster0Address moves a target to the address of roster-0.
+func atRoster0Address(target *storeview.Target) {
 	target.Address = netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), 100)
 }
 
-func drainingAtFirst(target *storeview.Target) {
-	atFirst(target)
+func drainingAtRoster0Address(target *storeview.Target) {
+	atRoster0Address(target)
 	target.Draining = true
 }
 
-func TestAGoneTargetAloneAtItsAddressServesOn(t *testing.T) {
+func TestGoneTargetKeepsServingOpenFlows(t *testing.T) {
 	site := newSite(t)
 	site.remove("roster-0")
 	assert.Equal(t, site.follow(rosterAddress, 1, Of(100)).Action, Forward)
 }
 
-func TestDataSentAgainIsUnacknowledged(t *testing.T) {
+func TestRetransmittedDataIsUnacknowledged(t *testing.T) {
 	flow := newExchange(t)
 	flow.send(1, 500, 100)
 	sentAt := flow.now
-	flow.now = flow.now.Add(repeatedAfter - time.Millisecond)
+	flow.now = flow.now.Add(minRetransmitDelay - time.Millisecond)
 	flow.send(1, 500, 100)
-	assert.Equal(t, len(flow.requests.TakeUnacknowledged()), 0, "the network's copy")
+	assert.Equal(t, len(flow.requests.TakeUnacknowledged()), 0, "duplicate made by the network")
 	first := flow.now
 	flow.now = flow.now.Add(200 * time.Millisecond)
 	flow.send(1, 500, 100)
@@ -128,53 +129,53 @@
 	assert.Equal(t, len(unacknowledged), 1)
 	assert.Equal(t, unacknowledged[0].Target, uint64(100))
 	assert.Assert(t, unacknowledged[0].Since.Equal(first) && first.After(sentAt))
-	assert.Equal(t, len(flow.requests.TakeUnacknowledged()), 0, "taken once")
+	assert.Equal(t, len(flow.requests.TakeUnacknowledged()), 0, "returned twice")
 }
 
-func TestSignsOfLife(t *testing.T) {
-	lifeOf := func(flow *exchange) time.Time { return flow.site.table.LastLife(liveness.Subject{Target: 100}) }
-	t.Run("an answer is one", func(t *testing.T) {
+func TestTargetActivity(t *testing.T) {
+	lastActivity := func(flow *exchange) time.Time { return flow.site.table.LastLife(liveness.Subject{Target: 100}) }
+	t.Run("response", func(t *testing.T) {
 		flow := newExchange(t)
 		flow.send(1, 500, 100)
-		assert.Assert(t, lifeOf(flow).IsZero())
+		assert.Assert(t, lastActivity(flow).IsZero())
 		flow.now = flow.now.Add(20 * time.Millisecond)
 		flow.send(101, 900, 0)
-		assert.Assert(t, lifeOf(flow).Equal(flow.now))
+		assert.Assert(t, lastActivity(flow).Equal(flow.now))
 	})
-	t.Run("an answer that is acknowledged with the next request is one of when it was asked", func(t *testing.T) {
+	t.Run("response acknowledged with the next request counts from the request", func(t *testing.T) {
 		flow := newExchange(t)
-		asked := flow.now
+		requestedAt := flow.now
 		flow.send(1, 500, 100)
-		flow.now = flow.now.Add(3 * time.Second) // the caller rests, and the target may die
+		flow.now = flow.now.Add(3 * time.Second) // the target may die while the caller is idle
 		flow.send(101, 900, 100)
-		assert.Assert(t, lifeOf(flow).Equal(asked))
+		assert.Assert(t, lastActivity(flow).Equal(requestedAt))
 	})
-	t.Run("an opening packet's answer is one", func(t *testing.T) {
+	t.Run("reply to a first packet", func(t *testing.T) {
 		site := newSite(t)
 		opened := site.open(rosterAddress, 1)
 		site.now = site.now.Add(5 * time.Millisecond)
 		site.follow(rosterAddress, 1, opened.Target.Token)
 		assert.Assert(t, site.table.LastLife(liveness.Subject{Target: opened.Target.Identifier}).Equal(site.now))
 	})
-	t.Run("new data a while after the first is one", func(t *testing.T) {
+	t.Run("new data some time after the first", func(t *testing.T) {
 		flow := newExchange(t)
 		flow.send(1, 500, 1200)
 		flow.send(1201, 500, 1200)
-		assert.Assert(t, lifeOf(flow).IsZero(), "a window of data goes at once")
-		flow.now = flow.now.Add(repeatedAfter)
+		assert.Assert(t, lastActivity(flow).IsZero(), "initial window needs no acknowledgement")
+		flow.now = flow.now.Add(minRetransmitDelay)
 		flow.send(2401, 500, 1200)
-		assert.Assert(t, lifeOf(flow).Equal(flow.now))
+		assert.Assert(t, lastActivity(flow).Equal(flow.now))
 	})
-	t.Run("data that comes again is none", func(t *testing.T) {
+	t.Run("retransmission is not activity", func(t *testing.T) {
 		flow := newExchange(t)
 		flow.send(1, 500, 100)
 		flow.now = flow.now.Add(time.Second)
 		flow.send(1, 500, 100)
-		assert.Assert(t, lifeOf(flow).IsZero())
+		assert.Assert(t, lastActivity(flow).IsZero())
 	})
 }
 
-func TestWhoWaitsForATargetIsTakenOnce(t *testing.T) {
+func TestPendingRequestsOfDeadTargetAreTakenOnce(t *testing.T) {
 	flow := newExchange(t)
 	flow.send(1, 500, 100)
 	assert.Equal(t, len(flow.requests.TakeWaiting(func(target uint64) bool { return target == 999 })), 0)
@@ -187,19 +188,19 @@
 	assert.Equal(t, flow.requests.Len(), 0)
 }
 
-func TestAZoneIsItsTargetsTogether(t *testing.T) {
+func TestZoneSubject(t *testing.T) {
 	site := newZonedSite(t)
 	zone := liveness.Subject{Zone: "b"}
 	assert.Assert(t, site.table.IsKnown(zone) && !site.table.IsKnown(liveness.Subject{Zone: "nowhere"}))
 	assert.DeepEqual(t, site.table.ServicesOf(zone), map[string]int{"roster": 2})
 	assert.Equal(t, len(site.table.TargetsToProbe(zone, 1)), 1)
-	site.table.targetOf(104).Signal.NoteLife(site.now)
+	site.table.targetByIdentifier(104).Signal.NoteLife(site.now)
 	assert.Assert(t, site.table.LastLife(zone).Equal(site.now))
 	assert.DeepEqual(t, site.table.TargetsToProbe(zone, 2), []uint64{104, 101})
 }
 
-// BenchmarkLastLifeOfAZone is what a report on a zone costs of 15,000 targets in 23.
-func BenchmarkLastLifeOfAZone(b *testing.B) {
+// BenchmarkZoneLastActivity reports on one zone among 15,000 targets in 23 zones.
+func BenchmarkZoneLastActivity(b *testing.B) {
 	table := &Table{index: newIndex(0)}
 	for number := range 15_000 {
 		described := &storeview.KnownTarget{Record: storeview.Record{Key: fmt.Sprint(number)}, Target: storeview.Target{Identifier: uint64(number), Zone: fmt.Sprint(number % 23)}}
--- a/internal/steering/token/lapse_test.go
+++ b/internal/steering/token/expired_test.go
@@ -9,13 +9,13 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// lapsing says that the store came back just now.
-func (s *site) lapsing() {
+// startExpiryWindow simulates that the store has just come back.
+func (s *site) startExpiryWindow() {
 	s.opener.SetLapse(storeview.Lapse{Since: s.now, Until: s.now.Add(2 * time.Second)})
 }
 
-// opened counts the targets of some flows by identifier.
-func (s *site) opened(t *testing.T, flows int) map[uint64]int {
+// countByTarget opens flows and returns their number by target identifier.
+func (s *site) countByTarget(t *testing.T, flows int) map[uint64]int {
 	t.Helper()
 	counts := map[uint64]int{}
 	for number := range flows {
@@ -26,9 +26,10 @@
 	return counts
 }
 
-// TestOneTargetIsNotFloodedForALapse: all entries lapsed, and one is back.
-func TestOneTargetIsNotFloodedForALapse(t *testing.T) {
-	lapsed := func(t *testing.T) *site {
+// TestFirstTargetBackAfterOutageIsNotFlooded guards against sending all flows to the first target
+// that re-registers after all entries expired in a store outage.
+func TestFirstTargetBackAfterOutageIsNotFlooded(t *testing.T) {
+	newExpiredSite := func(t *testing.T) *site {
 		t.Helper()
 		site := newSite(t)
 		for _, key := range []string{"roster-0", "roster-1", "roster-2", "roster-3"} {
@@ -37,28 +38,29 @@
 		site.target("roster-4", 104, "roster", func(target *storeview.Target) { target.Draining = true })
 		return site
 	}
-	t.Run("in a lapse those that went without a word get flows", func(t *testing.T) {
-		site := lapsed(t)
-		site.lapsing()
-		counts := site.opened(t, 100)
+	t.Run("during the expiry window targets with expired entries get flows", func(t *testing.T) {
+		site := newExpiredSite(t)
+		site.startExpiryWindow()
+		counts := site.countByTarget(t, 100)
 		assert.Equal(t, len(counts), 5)
-		assert.Equal(t, counts[104], 0, "one that said it leaves gets none")
+		assert.Equal(t, counts[104], 0, "draining target got flows")
 	})
-	t.Run("without one they get none", func(t *testing.T) {
-		counts := lapsed(t).opened(t, 100)
+	t.Run("no expiry window", func(t *testing.T) {
+		counts := newExpiredSite(t).countByTarget(t, 100)
 		assert.Equal(t, counts[105], 100)
 	})
-	t.Run("after it they get none", func(t *testing.T) {
-		site := lapsed(t)
-		site.lapsing()
+	t.Run("after the expiry window", func(t *testing.T) {
+		site := newExpiredSite(t)
+		site.startExpiryWindow()
 		site.now = site.now.Add(2 * time.Second)
-		counts := site.opened(t, 100)
+		counts := site.countByTarget(t, 100)
 		assert.Equal(t, counts[105], 100)
 	})
 }
 
-// TestWhatMayOnlyBeMissingIsHeld instead of being refused or dropped.
-func TestWhatMayOnlyBeMissingIsHeld(t *testing.T) {
+// TestPacketsAreHeldWhileTargetsMayBeMissing checks that packets are held, not refused or dropped,
+// while targets may be missing from the store.
+func TestPacketsAreHeldWhileTargetsMayBeMissing(t *testing.T) {
 	site := newSite(t)
 	site.remove("ledger-0")
 	site.remove("ledger-1")
@@ -67,8 +69,8 @@
 	unknown := site.follow(rosterAddress, 1, 0xdeadbeef)
 	assert.Equal(t, lack(site.open(ledgerAddress, 1)), Refuse)
 	assert.Equal(t, lack(unknown), Drop)
-	site.lapsing()
+	site.startExpiryWindow()
 	assert.Equal(t, lack(site.open(ledgerAddress, 2)), Hold)
 	assert.Equal(t, lack(unknown), Hold)
-	assert.Equal(t, lack(site.follow(ledgerAddress, 1, Of(100))), Forward, "a known target waits for nothing")
+	assert.Equal(t, lack(site.follow(ledgerAddress, 1, Of(100))), Forward, "packet for a known target was held")
 }
--- a/internal/steering/token/index.go
+++ b/internal/steering/token/index.go
@@ -11,32 +11,33 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// index holds the known targets by token, by address, by zone and by service. It changes in
-// place, target by target, at a cost that does not depend on how many there are. Whoever
-// decides on packets holds it back meanwhile.
+// index holds the known targets by token, address, zone and service. It is updated in place,
+// target by target, at a cost independent of the number of targets. It must not be read while it
+// is updated.
 type index struct {
-	// marks leads to the targets of each mark, and by that to those of each token, addresses
-	// to those at each address; both are chains, as few have company there.
-	marks     map[loadshare.Mark]*Target
-	addresses map[addressKey]*Target
+	// byMark and byAddress hold linked lists of the targets with a mark and at an address. A mark
+	// is a prefix of the token, so it also leads to the targets of a token. Most lists have one
+	// element.
+	byMark    map[loadshare.Mark]*Target
+	byAddress map[addressKey]*Target
 	zones     map[string]*zone
 	services  map[string]*Service
-	// count is of all targets.
+	// count is the number of all targets.
 	count int
-	// mayOpen counts the targets that may get new flows, superseded those at whose address
-	// another one runs.
-	mayOpen, superseded int
-	// cold are the targets that are slow from their start and bear a bounded rate meanwhile.
-	cold map[*Target]struct{}
+	// eligibleCount is the number of targets that accept new flows, superseded that of targets at
+	// whose address another target runs.
+	eligibleCount, superseded int
+	// slowStarting are the targets in slow start whose rate of new flows is limited.
+	slowStarting map[*Target]struct{}
 }
 
-// zone is the targets of one zone, but for those that are superseded.
+// zone holds the targets of a zone, except superseded ones, and their number by service.
 type zone struct {
 	targets  []*Target
 	services map[string]int
 }
 
-// addressKey is an address and port, or their hash.
+// addressKey is an IPv4 address and port, or the hash of an IPv6 address and port.
 type addressKey uint64
 
 func addressKeyOf(address netip.AddrPort) addressKey {
@@ -51,18 +52,18 @@
 	return addressKey(xxhash.Sum64(bytes[:]))
 }
 
-// newIndex makes an index with room for so many targets.
+// newIndex returns an index with capacity for the given number of targets.
 func newIndex(targets int) *index {
 	return &index{
-		marks: make(map[loadshare.Mark]*Target, targets), addresses: make(map[addressKey]*Target, targets),
-		zones: map[string]*zone{}, services: map[string]*Service{}, cold: map[*Target]struct{}{},
+		byMark: make(map[loadshare.Mark]*Target, targets), byAddress: make(map[addressKey]*Target, targets),
+		zones: map[string]*zone{}, services: map[string]*Service{}, slowStarting: map[*Target]struct{}{},
 	}
 }
 
-// find returns the target of a token, nil if there is none. Two may have one token; the first
-// by key gets the flows then, on every daemon alike.
+// find returns the target with a token, nil if there is none. If tokens collide, the target with
+// the lowest key gets the flows, so that all daemons agree.
 func (x *index) find(token uint32) *Target {
-	for target := x.marks[loadshare.MarkOf(token)]; target != nil; target = target.sameMark {
+	for target := x.byMark[loadshare.MarkOf(token)]; target != nil; target = target.nextSameMark {
 		if target.Token == token && !target.isShadowed {
 			return target
 		}
@@ -70,9 +71,9 @@
 	return nil
 }
 
-// held returns the target that was made of an entry, nil if there is none.
-func (x *index) held(identifier uint64, key string) *Target {
-	for target := x.marks[loadshare.MarkOf(Of(identifier))]; target != nil; target = target.sameMark {
+// known returns the target of a store entry, nil if there is none.
+func (x *index) known(identifier uint64, key string) *Target {
+	for target := x.byMark[loadshare.MarkOf(Of(identifier))]; target != nil; target = target.nextSameMark {
 		if target.Identifier == identifier && target.Key == key {
 			return target
 		}
@@ -80,29 +81,27 @@
 	return nil
 }
 
-// add enters a target.
 func (x *index) add(target *Target) {
 	x.count++
 	mark, address := loadshare.MarkOf(target.Token), addressKeyOf(target.Address)
-	target.sameMark, x.marks[mark] = x.marks[mark], target
-	target.sameAddress, x.addresses[address] = x.addresses[address], target
-	x.settle(target)
+	target.nextSameMark, x.byMark[mark] = x.byMark[mark], target
+	target.nextSameAddress, x.byAddress[address] = x.byAddress[address], target
+	x.recompute(target)
 }
 
-// remove takes a target out.
 func (x *index) remove(target *Target) {
 	x.count--
-	x.displace(target)
+	x.unindex(target)
 	mark, address := loadshare.MarkOf(target.Token), addressKeyOf(target.Address)
-	unlink(x.marks, mark, target, func(of *Target) **Target { return &of.sameMark })
-	unlink(x.addresses, address, target, func(of *Target) **Target { return &of.sameAddress })
+	unlink(x.byMark, mark, target, func(t *Target) **Target { return &t.nextSameMark })
+	unlink(x.byAddress, address, target, func(t *Target) **Target { return &t.nextSameAddress })
 	if target.IsSuperseded {
 		x.superseded--
 	}
-	x.settle(target)
+	x.recompute(target)
 }
 
-// unlink takes a target out of a chain.
+// unlink removes a target from a linked list; next returns the link field of an element.
 func unlink[K comparable](chains map[K]*Target, key K, target *Target, next func(*Target) **Target) {
 	if chains[key] == target {
 		if chains[key] = *next(target); chains[key] == nil {
@@ -118,74 +117,76 @@
 	}
 }
 
-// settle decides anew who gets the flows of a token, and who runs at an address, after a target
-// with them was added or removed.
-func (x *index) settle(changed *Target) {
-	tokens := x.marks[loadshare.MarkOf(changed.Token)]
-	shadow(tokens, changed.Token)
-	neighbours := x.addresses[addressKeyOf(changed.Address)]
-	x.supersede(neighbours, changed.Address)
-	for target := tokens; target != nil; target = target.sameMark {
-		x.place(target)
+// recompute updates which target owns a token and which one runs at an address, after a target
+// with that token and address was added or removed.
+func (x *index) recompute(changed *Target) {
+	sameMark := x.byMark[loadshare.MarkOf(changed.Token)]
+	resolveCollision(sameMark, changed.Token)
+	atAddress := x.byAddress[addressKeyOf(changed.Address)]
+	x.updateSuperseded(atAddress, changed.Address)
+	for target := sameMark; target != nil; target = target.nextSameMark {
+		x.reindex(target)
 	}
-	for target := neighbours; target != nil; target = target.sameAddress {
-		x.place(target)
+	for target := atAddress; target != nil; target = target.nextSameAddress {
+		x.reindex(target)
 	}
 }
 
-// shadow lets the first by key of the targets with a token have its flows, and no other.
-func shadow(chain *Target, token uint32) {
-	var first *Target
-	for target := chain; target != nil; target = target.sameMark {
-		if target.Token == token && (first == nil || target.Key < first.Key) {
-			first = target
+// resolveCollision resolves token collisions: of the targets with a token only the one with the
+// lowest key gets flows.
+func resolveCollision(chain *Target, token uint32) {
+	var owner *Target
+	for target := chain; target != nil; target = target.nextSameMark {
+		if target.Token == token && (owner == nil || target.Key < owner.Key) {
+			owner = target
 		}
 	}
-	for target := chain; target != nil; target = target.sameMark {
+	for target := chain; target != nil; target = target.nextSameMark {
 		if target.Token == token {
-			target.isShadowed = target != first
+			target.isShadowed = target != owner
 		}
 	}
 }
 
-// supersede decides which targets at an address have ended.
-func (x *index) supersede(chain *Target, address netip.AddrPort) {
-	present := presentAt(chain, address)
-	for target := chain; target != nil; target = target.sameAddress {
+// updateSuperseded recomputes which targets at an address have ended.
+func (x *index) updateSuperseded(chain *Target, address netip.AddrPort) {
+	current := currentAt(chain, address)
+	for target := chain; target != nil; target = target.nextSameAddress {
 		if target.Address == address {
-			x.setSuperseded(target, target.isSupersededBy(present))
+			x.setSuperseded(target, target.isSupersededBy(current))
 		}
 	}
 }
 
-// presentAt returns the target that runs at an address: of those in the store the one that was
-// written last.
-func presentAt(chain *Target, address netip.AddrPort) *Target {
-	var present *Target
-	for target := chain; target != nil; target = target.sameAddress {
+// currentAt returns the target that runs at an address: of those in the store, the one written
+// last.
+func currentAt(chain *Target, address netip.AddrPort) *Target {
+	var current *Target
+	for target := chain; target != nil; target = target.nextSameAddress {
 		if target.Address != address || target.Gone || target.isUndeclared {
 			continue
 		}
-		if present == nil || target.isLaterThan(present) {
-			present = target
+		if current == nil || target.startedAfter(current) {
+			current = target
 		}
 	}
-	return present
+	return current
 }
 
-// isLaterThan reports whether a target began to run at an address after another one, both being in
-// the store.
-func (t *Target) isLaterThan(other *Target) bool {
-	if order := t.compareRuns(other); order != 0 {
+// startedAfter reports whether a target started to run at an address after another one, both being
+// in the store.
+func (t *Target) startedAfter(other *Target) bool {
+	if order := t.compareIncarnations(other); order != 0 {
 		return order > 0
 	}
 	return cmp.Or(cmp.Compare(t.Revision, other.Revision), cmp.Compare(t.Key, other.Key)) > 0
 }
 
-// compareRuns compares when two targets were started, 0 if their revisions tell which was written
-// later. Those of two epochs do not: a restored store may have an entry, under a later revision, of
-// a target that has ended long ago.
-func (t *Target) compareRuns(other *Target) int {
+// compareIncarnations compares the incarnations of two targets of different store epochs, and
+// returns 0 if their revisions are to be compared instead. Revisions aren't comparable across
+// epochs: a store restored from a backup may list a target that ended long ago under a later
+// revision.
+func (t *Target) compareIncarnations(other *Target) int {
 	isOfOneEpoch := storeview.EpochOf(t.Written) == storeview.EpochOf(other.Written)
 	if isOfOneEpoch || t.Incarnation == 0 || other.Incarnation == 0 {
 		return 0
@@ -193,16 +194,16 @@
 	return cmp.Compare(t.Incarnation, other.Incarnation)
 }
 
-// isSupersededBy reports whether the target has ended, as another one runs at its address. Of
-// two in the store the one written earlier has ended, as it cannot have been written since. One
-// that went has ended if the one that is there was written later: else it is the other one that
-// ended, whose removal is not known here yet.
-func (t *Target) isSupersededBy(present *Target) bool {
+// isSupersededBy reports whether the target has ended because another one runs at its address. Of
+// two targets in the store the earlier one has ended, since it can't have been written since. A
+// target that is gone has ended only if the present one was written later: otherwise it is the
+// present one that ended, and its removal is not known here yet.
+func (t *Target) isSupersededBy(current *Target) bool {
 	switch {
-	case present == nil || present == t:
+	case current == nil || current == t:
 		return false
 	case t.Gone || t.isUndeclared:
-		return cmp.Or(present.compareRuns(t), cmp.Compare(present.Revision, t.Written)) > 0
+		return cmp.Or(current.compareIncarnations(t), cmp.Compare(current.Revision, t.Written)) > 0
 	}
 	return true
 }
@@ -219,10 +220,10 @@
 	}
 }
 
-// all calls visit with every target that flows can be followed to.
-func (x *index) all(visit func(target *Target)) {
-	for _, chain := range x.marks {
-		for target := chain; target != nil; target = target.sameMark {
+// each calls visit with every target that can have flows.
+func (x *index) each(visit func(target *Target)) {
+	for _, chain := range x.byMark {
+		for target := chain; target != nil; target = target.nextSameMark {
 			if !target.isShadowed {
 				visit(target)
 			}
--- a/internal/steering/token/limit_test.go
+++ b/internal/steering/token/limit_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// shrunken is a service of which one target with two slots is left.
-func shrunken(t *testing.T) *site {
+// newShrunkenSite has a service with a single target of two slots left.
+func newShrunkenSite(t *testing.T) *site {
 	t.Helper()
 	site := newSite(t)
 	for _, key := range []string{"roster-0", "roster-1", "roster-2", "roster-3", "roster-4"} {
@@ -18,8 +18,8 @@
 	return site
 }
 
-// admitted opens flows until one is not forwarded.
-func (s *site) admitted(t *testing.T) int {
+// countAdmitted opens flows until one is not forwarded and returns the number forwarded.
+func (s *site) countAdmitted(t *testing.T) int {
 	t.Helper()
 	for number := range 100 {
 		if decision := s.open(rosterAddress, 1000+number); decision.Action != Forward {
@@ -32,25 +32,25 @@
 }
 
 func TestATargetGetsNoMoreThanItCanTake(t *testing.T) {
-	t.Run("one daemon gives it one for each slot", func(t *testing.T) {
-		site := shrunken(t)
+	t.Run("one daemon sends one flow per slot", func(t *testing.T) {
+		site := newShrunkenSite(t)
 		site.opener.SetDaemons(1)
-		assert.Equal(t, site.admitted(t), 2)
+		assert.Equal(t, site.countAdmitted(t), 2)
 	})
-	t.Run("many share it, each with one at least", func(t *testing.T) {
-		site := shrunken(t)
+	t.Run("many daemons send at least one each", func(t *testing.T) {
+		site := newShrunkenSite(t)
 		site.opener.SetDaemons(50)
-		assert.Equal(t, site.admitted(t), 1)
+		assert.Equal(t, site.countAdmitted(t), 1)
 	})
-	t.Run("without a limit it gets all", func(t *testing.T) {
-		assert.Equal(t, shrunken(t).admitted(t), 100)
+	t.Run("no limit", func(t *testing.T) {
+		assert.Equal(t, newShrunkenSite(t).countAdmitted(t), 100)
 	})
 }
 
-// TestWhatWaitsCountsUntilItIsAnswered: the next flow goes on when the answer to the
-// one before begins.
-func TestWhatWaitsCountsUntilItIsAnswered(t *testing.T) {
-	site := shrunken(t)
+// TestPendingRequestOccupiesSlot checks that a pending request occupies a slot until its response
+// begins.
+func TestPendingRequestOccupiesSlot(t *testing.T) {
+	site := newShrunkenSite(t)
 	site.opener.SetDaemons(50)
 	requests := NewRequests(16)
 	opened := site.open(rosterAddress, 1)
@@ -60,20 +60,20 @@
 	site.opener.NoteAnswered(site.now, &followed, data)
 	requests.Note(site.now, &followed, data)
 	site.now = site.now.Add(time.Second)
-	assert.Equal(t, site.open(rosterAddress, 2).Action, Hold, "it waits for longer than a pick is remembered")
+	assert.Equal(t, site.open(rosterAddress, 2).Action, Hold, "request pending for longer than the lifetime of a pick")
 	answered := &Packet{Source: caller(1), Destination: rosterAddress, Token: opened.Word(), Acknowledgement: 4001}
 	requests.Note(site.now, &followed, answered)
 	assert.Equal(t, site.open(rosterAddress, 3).Action, Forward)
 }
 
-// TestALimitMovesNoShares: what one backend cannot take at once is not another's.
+// TestALimitMovesNoShares checks that flows of a backend at its limit don't spill over to others.
 func TestALimitMovesNoShares(t *testing.T) {
 	site := newSite(t)
 	site.opener.SetDaemons(50)
 	counts := map[string]int{}
 	held := 0
 	for number := range 200 {
-		decision := site.open(bothAddress, number)
+		decision := site.open(mixedAddress, number)
 		if decision.Action == Hold {
 			held++
 			continue
@@ -84,10 +84,10 @@
 	assert.Assert(t, counts["ledger"] <= 2, "%v", counts)
 }
 
-// TestARequestThatIsNotFollowedAnyMoreHoldsNoPlace: the table of requests is full, or
-// the answer went past another daemon.
-func TestARequestThatIsNotFollowedAnyMoreHoldsNoPlace(t *testing.T) {
-	site := shrunken(t)
+// TestUntrackedRequestsReleaseTheirSlots guards against leaked slots of requests that were evicted
+// from the full table, or whose acknowledgement went past another daemon.
+func TestUntrackedRequestsReleaseTheirSlots(t *testing.T) {
+	site := newShrunkenSite(t)
 	requests := NewRequests(1)
 	var decision Decision
 	for number := range 3 {
@@ -96,7 +96,7 @@
 		requests.Note(site.now, &decision, data)
 	}
 	later := site.now.Add(time.Minute)
-	assert.Equal(t, decision.Target.Signal.InProgress(later) > 0.5, true, "one is followed")
+	assert.Equal(t, decision.Target.Signal.InProgress(later) > 0.5, true, "only one request is tracked")
 	requests.Overdue(later)
 	assert.Assert(t, decision.Target.Signal.InProgress(later) < 0.5, "%v", decision.Target.Signal.InProgress(later))
 	assert.Equal(t, decision.Action, Forward)
--- a/internal/steering/token/open_bench_test.go
+++ b/internal/steering/token/open_bench_test.go
@@ -13,10 +13,10 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// newLargeSite has a service of many targets, of which some are listed by the store that
-// has just come back.
+// newLargeSite has a service of many targets, of which only the first ones are listed by the store
+// that has just come back.
 func newLargeSite(targets, listed int) *site {
-	made := &site{
+	s := &site{
 		view:    storeview.New(time.Minute),
 		builder: NewBuilder(time.Minute),
 		opener:  NewOpener("a", rand.New(rand.NewPCG(1, 1)), ownership.NewTable(1024, 3*time.Second), 3*time.Second),
@@ -31,16 +31,15 @@
 			Address: netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), uint16(1000+number)),
 		}})
 	}
-	made.view.Merge(testStart, entries)
-	made.view.MergeAll(testStart, entries[:1+listed], 3)
-	made.table = made.builder.Build(testStart, made.view)
-	made.opener.SetLapse(storeview.Lapse{Since: testStart, Until: testStart.Add(2500 * time.Millisecond)})
-	return made
+	s.view.Merge(testStart, entries)
+	s.view.MergeAll(testStart, entries[:1+listed], 3)
+	s.table = s.builder.Build(testStart, s.view)
+	s.opener.SetLapse(storeview.Lapse{Since: testStart, Until: testStart.Add(2500 * time.Millisecond)})
+	return s
 }
 
-// BenchmarkOpen chooses for opening packets, while all targets are listed and while the store has
-// just come back with none. When each choice looked at all, one took 13, 76, 534 and 1,357 µs of
-// 150, 1,000, 10,000 and 20,000 that are listed (one core of the test machine).
+// BenchmarkOpen picks targets while all of them are listed, and while the store has just come back
+// with none.
 func BenchmarkOpen(b *testing.B) {
 	for _, targets := range []int{150, 1000, 10_000, 20_000} {
 		for name, listed := range map[string]int{"all": targets, "none": 0} {
@@ -55,9 +54,9 @@
 	}
 }
 
-// TestAPickKeepsNoNewMemory: daemons have little of it, and opening packets come by the
-// thousand while targets are missing.
-func TestAPickKeepsNoNewMemory(t *testing.T) {
+// TestPickDoesNotAllocate guards against allocations per first packet, also while targets are
+// missing from the store.
+func TestPickDoesNotAllocate(t *testing.T) {
 	for name, listed := range map[string]int{"all listed": 1000, "none listed": 0} {
 		t.Run(name, func(t *testing.T) {
 			site := newLargeSite(1000, listed)
--- a/internal/storenode/orders.go
+++ b/internal/storenode/orders.go
@@ -7,12 +7,12 @@
 	"github.com/passtray/passtray/internal/telemetry"
 )
 
-// messageOrder is the log message of an order that came into force or was withdrawn.
+// messageOrder is logged when an operator order becomes active or is withdrawn.
 const messageOrder = "order changed"
 
-// noteOrders takes in what became of orders. The age in a log line is how long before it
-// whoever read the store learned the news.
-func (n *Node) noteOrders(now time.Time, changed []storeview.KnownOrder) {
+// updateOrders logs changed orders and updates the active ones. The logged age counts from when the
+// daemon that read the store learned of the order.
+func (n *Node) updateOrders(now time.Time, changed []storeview.KnownOrder) {
 	inForce := n.fleet.View().Orders()
 	n.orders.Store(&inForce)
 	for index := range changed {
--- a/internal/storenode/resets.go
+++ b/internal/storenode/resets.go
@@ -8,69 +8,68 @@
 )
 
 const (
-	messageRestingReset = "flows at rest reset"
+	messageIdleReset = "idle flows reset"
 
-	// mostRestingResets bounds the resets of flows at rest in a tick: 5,000 a second of
-	// some 60 bytes are a quarter of a link of 10 Mbit/s. Callers that wait go first, and
-	// are not bounded by it.
-	mostRestingResets = 256
+	// maxIdleResets bounds the resets of idle flows per tick: 5,000 per second of some 60 bytes
+	// use a quarter of a 10 Mbit/s link. Flows with waiting callers are reset first and not bounded.
+	maxIdleResets = 256
 )
 
-// resetWaiting resets the flows whose callers wait for targets that are dead, and returns how
-// many. Only the control loop calls it.
+// resetWaiting resets the flows whose callers wait for responses of dead targets, and returns their
+// number. Only the control loop calls it.
 func (p *tokenPlane) resetWaiting(isDead func(target uint64) bool) int {
 	p.mutex.Lock()
 	waiting := p.requests.TakeWaiting(isDead)
 	p.mutex.Unlock()
 	p.resetAll(waiting, token.ReasonDeadTarget)
-	p.mayRest = true
+	p.mayHaveIdleResets = true
 	return len(waiting)
 }
 
-// resetResting resets flows that rest at targets that were found dead, and returns how many.
-// Their callers learn of it before they send a request that may not be repeated. What is over
-// the bound waits for the next call. Only the control loop calls it.
-func (p *tokenPlane) resetResting(now time.Time, table *token.Table) int {
-	if !p.mayRest {
+// resetIdle resets idle flows of dead or superseded targets, and returns their number. Callers thus
+// learn of it before they send a request that may not be repeated. Flows beyond the bound are left for
+// the next call. Only the control loop calls it.
+func (p *tokenPlane) resetIdle(now time.Time, table *token.Table) int {
+	if !p.mayHaveIdleResets {
 		return 0
 	}
 	p.mutex.Lock()
-	resting := p.requests.TakeResting(func(target uint32) bool { return table.IsDeadToken(now, target) }, mostRestingResets)
+	idle := p.requests.TakeResting(func(target uint32) bool { return table.IsDeadToken(now, target) }, maxIdleResets)
 	p.mutex.Unlock()
-	p.resetAll(resting, token.ReasonAtRest)
-	p.mayRest = len(resting) == mostRestingResets
-	for index := range resting {
-		decision := token.Decision{Action: token.Refuse, Reason: token.ReasonAtRest, Target: table.TargetOf(resting[index].Token)}
-		p.explainer.explain(table, &resting[index], &decision, p.confirmedUntil.Load())
+	p.resetAll(idle, token.ReasonAtRest)
+	p.mayHaveIdleResets = len(idle) == maxIdleResets
+	for index := range idle {
+		decision := token.Decision{Action: token.Refuse, Reason: token.ReasonAtRest, Target: table.TargetOf(idle[index].Token)}
+		p.decisionLog.logDecision(table, &idle[index], &decision, p.confirmedUntil.Load())
 	}
-	return len(resting)
+	return len(idle)
 }
 
-func (p *tokenPlane) resetAll(heads []token.Packet, reason token.Reason) {
-	for index := range heads {
-		p.sendReset(p.releaser, &heads[index], reason, p.codec.Reset(&heads[index]))
+func (p *tokenPlane) resetAll(packets []token.Packet, reason token.Reason) {
+	for index := range packets {
+		p.sendReset(p.releaseWorker, &packets[index], reason, p.codec.Reset(&packets[index]))
 	}
-	p.releaser.Flush()
+	p.releaseWorker.Flush()
 }
 
-// setIdle says after how long of rest a flow may be forgotten.
-func (p *tokenPlane) setIdle(idle time.Duration) {
+// setIdleTimeout sets after how long without packets a flow may be forgotten.
+func (p *tokenPlane) setIdleTimeout(timeout time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.requests.SetIdle(idle)
+	p.requests.SetIdle(timeout)
 }
 
-// heldFlows returns what is kept of open flows.
+// heldFlows returns the number and size of the open flows tracked.
 func (p *tokenPlane) heldFlows() token.HeldFlows {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.requests.HeldFlows()
 }
 
-// resetResting resets what rests at dead targets, and says so.
-func (n *Node) resetResting(now time.Time, table *token.Table) {
-	if reset := n.plane.resetResting(now, table); reset > 0 {
-		n.counters().resting.Add(uint64(reset))
-		n.log.Info(messageRestingReset, telemetry.FieldCount, reset)
+// resetIdle resets idle flows of dead or superseded targets and logs their number.
+func (n *Node) resetIdle(now time.Time, table *token.Table) {
+	if reset := n.plane.resetIdle(now, table); reset > 0 {
+		n.counters().idleResets.Add(uint64(reset))
+		n.log.Info(messageIdleReset, telemetry.FieldCount, reset)
 	}
 }
--- a/internal/storenode/transfer.go
+++ b/internal/storenode/transfer.go
@@ -5,59 +5,59 @@
 	"sync"
 )
 
-// transfers sees to it that one long answer comes at a time while nothing is known: several
-// share the link, and each comes later. It is safe for concurrent use.
+// transfers limits a daemon without a configuration to one long answer at a time: several would share
+// the link and all arrive later. It is safe for concurrent use.
 type transfers struct {
-	// place is held by the answer that comes.
-	place chan struct{}
+	// semaphore is held while a long answer is received.
+	semaphore chan struct{}
 
 	mutex sync.Mutex
-	// begun ends once an answer begins to come. Questions that wait for their answers are
-	// taken back then: of 7.3 MB that a fleet of 88 gave out 3.1 MB were for nobody.
-	begun context.Context
-	begin context.CancelFunc
+	// started is done once a long answer begins to arrive. Pulls still waiting for their answers are
+	// canceled then, since those would not be used.
+	started    context.Context
+	setStarted context.CancelFunc
 }
 
 func newTransfers() *transfers {
-	made := &transfers{place: make(chan struct{}, 1)}
-	made.begun, made.begin = context.WithCancel(context.Background())
-	return made
+	t := &transfers{semaphore: make(chan struct{}, 1)}
+	t.started, t.setStarted = context.WithCancel(context.Background())
+	return t
 }
 
-// untilBegun returns what ends once an answer begins to come.
-func (t *transfers) untilBegun() context.Context {
+// untilStarted returns a context that is done once a long answer begins to arrive.
+func (t *transfers) untilStarted() context.Context {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.begun
+	return t.started
 }
 
-// start takes the place of the one long answer. While another one comes it waits for that
-// to fail, and reports false if it does not.
-func (t *transfers) start(ctx context.Context) bool {
+// acquire acquires the semaphore for a long answer. While another one is being received it waits for
+// that to end, and reports false if ctx is done first.
+func (t *transfers) acquire(ctx context.Context) bool {
 	select {
-	case t.place <- struct{}{}:
+	case t.semaphore <- struct{}{}:
 	case <-ctx.Done():
 		return false
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.begin()
+	t.setStarted()
 	return true
 }
 
-// end gives the place back. Whoever asks from now on may wait for an answer again.
-func (t *transfers) end() {
+// release releases the semaphore. Pulls that start from now on may wait for an answer again.
+func (t *transfers) release() {
 	t.mutex.Lock()
-	t.begun, t.begin = context.WithCancel(context.Background())
+	t.started, t.setStarted = context.WithCancel(context.Background())
 	t.mutex.Unlock()
-	<-t.place
+	<-t.semaphore
 }
 
-// wait returns once no answer comes any more.
-func (t *transfers) wait(ctx context.Context) {
+// waitIdle returns once no long answer is being received or ctx is done.
+func (t *transfers) waitIdle(ctx context.Context) {
 	select {
-	case t.place <- struct{}{}:
-		<-t.place
+	case t.semaphore <- struct{}{}:
+		<-t.semaphore
 	case <-ctx.Done():
 	}
 }
--- /dev/null
+++ b/internal/storeview/invalid.go
@@ -0,0 +1,75 @@
+package storeview
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// maxInvalidEntries bounds the invalid entries that are remembered, some 200 bytes each. Further
+// ones are rejected as well, but neither listed nor sent to peers as invalid.
+const maxInvalidEntries = 1024
+
+// Refusal is a rejected, invalid entry.
+type Refusal struct {
+	// Key and Revision are the store's.
+	Key      string
+	Revision uint64
+	// Reason is why the entry is invalid.
+	Reason    string
+	LearnedAt time.Time
+}
+
+// invalidEntries holds the invalid entries by key. An invalid entry may stay in the store
+// indefinitely, so that it must not cause work each time it is listed.
+type invalidEntries map[string]Refusal
+
+// add remembers an invalid entry; it reports false if it, or a later one, is already known.
+func (r invalidEntries) add(entry *Entry, at time.Time) bool {
+	held, isHeld := r[entry.Key]
+	if isHeld && entry.Revision <= held.Revision {
+		return false
+	}
+	if isHeld || len(r) < maxInvalidEntries {
+		r[entry.Key] = Refusal{Key: entry.Key, Revision: entry.Revision, Reason: entry.Fault, LearnedAt: at}
+	}
+	return true
+}
+
+// dropOlder forgets an invalid entry once its key has a later one or a removal.
+func (r invalidEntries) dropOlder(key string, revision uint64) {
+	if held, isHeld := r[key]; isHeld && revision > held.Revision {
+		delete(r, key)
+	}
+}
+
+// dropUnlisted forgets invalid entries that a full list as of a revision lacks.
+func (r invalidEntries) dropUnlisted(listed listedKeys, revision uint64) {
+	for key, held := range r {
+		if !listed.isListedIn(EpochOf(revision), key) && held.Revision <= revision {
+			delete(r, key)
+		}
+	}
+}
+
+func (r invalidEntries) sorted() []Refusal {
+	all := make([]Refusal, 0, len(r))
+	for _, held := range r {
+		all = append(all, held)
+	}
+	slices.SortFunc(all, func(a, b Refusal) int { return cmp.Compare(a.Key, b.Key) })
+	return all
+}
+
+// since returns the invalid entries with a higher revision, unordered.
+func (r invalidEntries) since(now time.Time, revision uint64) []Entry {
+	var entries []Entry
+	for _, held := range r {
+		if held.Revision > revision {
+			entries = append(entries, Entry{
+				Key: held.Key, Revision: held.Revision, Fault: held.Reason, Age: max(0, now.Sub(held.LearnedAt)),
+			})
+		}
+	}
+	return entries
+}
--- a/internal/storeview/tombstones.go
+++ b/internal/storeview/tombstones.go
@@ -2,61 +2,62 @@
 
 import "time"
 
-// tombstones hold the removals whose entry is not held, so that older news of the key from
-// elsewhere cannot bring it back, and others that hold the entry are told.
+// tombstones holds the removals of keys that are not held, so that older updates cannot resurrect
+// them and peers that hold them learn of the removal.
 type tombstones struct {
 	byKey map[string]tombstone
-	// latest is the highest revision ever added: most who ask know all up to there.
-	latest uint64
+	// maxRevision is the highest revision ever added, as most polling peers know everything up to
+	// it.
+	maxRevision uint64
 }
 
 type tombstone struct {
-	revision uint64
-	at       time.Time
+	revision  uint64
+	learnedAt time.Time
 }
 
-// entry is the removal as others are told of it.
-func (t tombstone) entry(now time.Time, key string) Entry {
-	return Entry{Key: key, Revision: t.revision, Age: max(0, now.Sub(t.at))}
+// toEntry returns the removal as sent to peers.
+func (t tombstone) toEntry(now time.Time, key string) Entry {
+	return Entry{Key: key, Revision: t.revision, Age: max(0, now.Sub(t.learnedAt))}
 }
 
 func newTombstones() *tombstones { return &tombstones{byKey: map[string]tombstone{}} }
 
-// revisionOf returns when a key was removed, 0 if that is not known.
+// revisionOf returns the revision of a key's removal, 0 if none is known.
 func (t *tombstones) revisionOf(key string) uint64 { return t.byKey[key].revision }
 
-func (t *tombstones) add(key string, revision uint64, at time.Time) {
+func (t *tombstones) add(key string, revision uint64, learnedAt time.Time) {
 	if revision > t.revisionOf(key) {
-		t.byKey[key] = tombstone{revision: revision, at: at}
-		t.latest = max(t.latest, revision)
+		t.byKey[key] = tombstone{revision: revision, learnedAt: learnedAt}
+		t.maxRevision = max(t.maxRevision, revision)
 	}
 }
 
-func (t *tombstones) lift(key string) { delete(t.byKey, key) }
+func (t *tombstones) remove(key string) { delete(t.byKey, key) }
 
-// since returns the removals after a revision, in no order. A whole content tells them by what it
-// lacks.
+// since returns the removals with a higher revision, unordered. For revision 0 it returns none,
+// since a full list implies them.
 func (t *tombstones) since(now time.Time, revision uint64) []Entry {
-	if revision == 0 || t.latest <= revision {
+	if revision == 0 || t.maxRevision <= revision {
 		return nil
 	}
 	var entries []Entry
 	for key, removed := range t.byKey {
 		if removed.revision > revision {
-			entries = append(entries, removed.entry(now, key))
+			entries = append(entries, removed.toEntry(now, key))
 		}
 	}
 	return entries
 }
 
-// expire forgets removals of longer than the retention ago, and returns the highest revision of
-// those.
-func (t *tombstones) expire(now time.Time, retention time.Duration) (forgotten uint64) {
+// expire drops removals that were learned at least the retention period ago and returns the highest
+// revision among them.
+func (t *tombstones) expire(now time.Time, retention time.Duration) (compacted uint64) {
 	for key, removed := range t.byKey {
-		if now.Sub(removed.at) >= retention {
-			forgotten = max(forgotten, removed.revision)
+		if now.Sub(removed.learnedAt) >= retention {
+			compacted = max(compacted, removed.revision)
 			delete(t.byKey, key)
 		}
 	}
-	return forgotten
+	return compacted
 }
--- a/internal/targetspeed/meter.go
+++ b/internal/targetspeed/meter.go
@@ -1,10 +1,10 @@
-// Package targetspeed estimates how fast targets work compared with the others of their
-// service, from how long their answers take to begin.
+// Package targetspeed estimates the speed of targets, relative to others of their service, from the
+// time to first byte of their answers.
 //
-// Each daemon sees few answers of each target, so that the daemons of a zone tell each
-// other what they saw (Exchange). An estimate is the weighted median of what they tell: no
-// single daemon decides. What is not seen again fades, and a target of which little is
-// known counts as being as fast as the others. The package does no I/O and holds no clock.
+// Each daemon sees few answers per target, so the daemons of a zone gossip their observations
+// (Exchange). An estimate is the weighted median over daemons, so that no single one dominates.
+// Observations decay, and an unknown target is assumed to have the usual speed. The package does no
+// I/O and has no clock.
 package targetspeed
 
 import (
@@ -15,71 +15,68 @@
 )
 
 const (
-	// memory is the time constant with which observations fade: a target that turned slow
-	// or recovered shows within as long.
-	memory = 12 * time.Second
-	// mostTargets bounds the targets that are followed, and the memory for them.
-	mostTargets = 16384
-	// mostLog bounds one observation, as a logarithm: an answer counts as at most 4.5 times
-	// as long as usual, or as short. A lost packet or a caller that rests must not decide.
-	mostLog = 1.5
-	// leastWeight is below what number of observations nothing is known any more.
-	leastWeight = 0.25
+	// decayTime is the time constant of the decay of observations.
+	decayTime = 12 * time.Second
+	// maxTargets is the maximum number of targets in memory.
+	maxTargets = 16384
+	// maxLogRatio limits the logarithm of one latency ratio, to a factor of 4.5, so that a lost packet
+	// or an idle client does not dominate.
+	maxLogRatio = 1.5
+	// minWeight is the weight below which observations are dropped.
+	minWeight = 0.25
 )
 
-// observed is what was seen of one target: the logarithms of how many times as long as
-// usual its answers took, as a fading sum.
-type observed struct {
+// decayedSum is the exponentially decayed sum of the logarithms of a target's latency ratios.
+type decayedSum struct {
 	at     time.Time
 	weight float64
 	sum    float64
-	// untold is how many answers came since the target was told last.
-	untold int
+	// unreported counts the answers since the target was last reported.
+	unreported int
 }
 
-func (o *observed) fade(now time.Time) {
-	part := math.Exp(-max(0, now.Sub(o.at).Seconds()) / memory.Seconds())
+func (o *decayedSum) fade(now time.Time) {
+	part := math.Exp(-max(0, now.Sub(o.at).Seconds()) / decayTime.Seconds())
 	o.weight *= part
 	o.sum *= part
 	o.at = now
 }
 
-// Meter keeps what one daemon sees. It is not safe for concurrent use.
+// Meter holds one daemon's own observations. It is not safe for concurrent use.
 type Meter struct {
-	targets map[loadshare.Mark]*observed
+	targets map[loadshare.Mark]*decayedSum
 }
 
-// NewMeter makes a meter that has seen nothing.
-func NewMeter() *Meter { return &Meter{targets: map[loadshare.Mark]*observed{}} }
+func NewMeter() *Meter { return &Meter{targets: map[loadshare.Mark]*decayedSum{}} }
 
-// Note takes in that an answer of a target took so many times as long to begin as is usual
-// for its route.
-func (m *Meter) Note(now time.Time, target loadshare.Mark, times float64) {
-	if !(times > 0) {
+// Note records the latency ratio of an answer: its time to first byte over the usual one of its
+// route.
+func (m *Meter) Note(now time.Time, target loadshare.Mark, ratio float64) {
+	if !(ratio > 0) {
 		return
 	}
-	held := m.targets[target]
-	if held == nil {
-		if len(m.targets) >= mostTargets {
+	observed := m.targets[target]
+	if observed == nil {
+		if len(m.targets) >= maxTargets {
 			return
 		}
-		held = &observed{at: now}
-		m.targets[target] = held
+		observed = &decayedSum{at: now}
+		m.targets[target] = observed
 	}
-	held.fade(now)
-	held.weight++
-	held.sum += min(max(math.Log(times), -mostLog), mostLog)
-	held.untold++
+	observed.fade(now)
+	observed.weight++
+	observed.sum += min(max(math.Log(ratio), -maxLogRatio), maxLogRatio)
+	observed.unreported++
 }
 
-// seen fades what was observed and calls for each target of which something is known.
-func (m *Meter) seen(now time.Time, call func(target loadshare.Mark, held *observed)) {
-	for target, held := range m.targets {
-		held.fade(now)
-		if held.weight < leastWeight {
+// forEach applies the decay, drops targets without observations, and calls visit for each other target.
+func (m *Meter) forEach(now time.Time, visit func(target loadshare.Mark, observed *decayedSum)) {
+	for target, observed := range m.targets {
+		observed.fade(now)
+		if observed.weight < minWeight {
 			delete(m.targets, target)
 			continue
 		}
-		call(target, held)
+		visit(target, observed)
 	}
 }
