--- a/internal/membership/broadcast.go
+++ b/internal/membership/broadcast.go
@@ -8,8 +8,8 @@
 	"github.com/passtray/passtray/internal/identity"
 )
 
-// broadcast is one piece of news with the number of times it was sent. News
-// sent least goes first (section 4.1 of the paper).
+// broadcast is a queued member update or application payload. Those sent the fewest times go first
+// (section 4.1 of the SWIM paper).
 type broadcast struct {
 	member  *Member
 	payload []byte
@@ -17,14 +17,14 @@
 	size    int
 }
 
-// isRefutation reports whether a member says that it lives although it was suspected.
+// isRefutation reports whether the update is a member's refutation of its own suspicion.
 func (b *broadcast) isRefutation() bool {
 	return b.member != nil && b.member.Status == Alive && b.member.Incarnation > 0
 }
 
-// class orders news: refutations go first, and as often as ever. They must reach all before a
-// suspicion runs out, also where most of a group has died and news of that fills the messages:
-// with 165 of 300 daemons killed, 31 pairs of living ones held each other for dead for a while.
+// class is the broadcast's priority class, lower first. Refutations precede all else: they must
+// reach every member before the suspicion times out, also when updates of a mass failure fill the
+// messages, or live members declare each other dead.
 func (b *broadcast) class() int {
 	if b.isRefutation() {
 		return 0
@@ -32,17 +32,17 @@
 	return 1
 }
 
-// broadcastQueue holds news until each was sent often enough to reach all with
-// high probability.
+// broadcastQueue retransmits each broadcast often enough to reach all members with high
+// probability.
 type broadcastQueue struct {
 	items []broadcast
-	// members are those that some item is of.
+	// members are those with an update in items.
 	members map[identity.Identity]bool
-	// isClosed says that news of members is not queued, as others are told it, too.
+	// isClosed discards member updates, because the other members receive them too.
 	isClosed bool
 }
 
-// approximateMemberSize is a member's CBOR form in bytes, from above.
+// approximateMemberSize is an upper bound of a member's encoded size without its zone, in bytes.
 const approximateMemberSize = 80
 
 func (q *broadcastQueue) addMember(member Member) {
@@ -61,8 +61,8 @@
 	q.items = append(q.items, broadcast{payload: payload, size: len(payload) + 4})
 }
 
-// take moves news that fits into room bytes onto the message and returns the
-// bytes used. What was sent limit times is dropped.
+// take adds the broadcasts that fit into room bytes to the message and returns the bytes used.
+// Broadcasts sent limit times are dropped; with a backlog, all but refutations are dropped sooner.
 func (q *broadcastQueue) take(into *message, room, limit int) int {
 	backlogLimit := limit
 	if q.hasBacklog() {
@@ -94,14 +94,13 @@
 	return used
 }
 
-// forget drops what is to be told of a member.
+// forget removes the queued update of a member.
 func (q *broadcastQueue) forget(member identity.Identity) {
 	if q.members[member] {
 		q.drop(func(item *broadcast) bool { return item.member != nil && item.member.Identity == member })
 	}
 }
 
-// forgetAll drops what is to be told of some members.
 func (q *broadcastQueue) forgetAll(members map[identity.Identity]bool) {
 	q.drop(func(item *broadcast) bool { return item.member != nil && members[item.member.Identity] })
 }
@@ -122,16 +121,16 @@
 	q.items = kept
 }
 
-// retransmitLimit grows with the logarithm of the group's size, which is how
-// many rounds an epidemic needs.
+// retransmitLimit grows with the logarithm of the group's size, as does the number of gossip rounds
+// that an update needs to reach all.
 func (c *Config) retransmitLimit(members int) int {
 	return c.RetransmitMultiplier * int(math.Ceil(math.Log10(float64(members+1))))
 }
 
 const (
-	// backlogThreshold is how many waiting items show that more happens than gossip can
-	// carry, as when a whole region starts. From then on each item is sent a few
-	// times only, and comparing whole lists repairs what that misses.
+	// backlogThreshold is the queue length above which updates exceed what gossip can carry, as when
+	// a whole region starts. Each is then sent only backlogRetransmits times, and the comparison of
+	// full member lists repairs losses.
 	backlogThreshold   = 64
 	backlogRetransmits = 3
 )
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -18,64 +18,63 @@
 	kindGossip
 )
 
-// message is one datagram.
+// message is the content of one datagram.
 type message struct {
 	Kind     messageKind       `cbor:"1,keyasint"`
 	From     identity.Identity `cbor:"2,keyasint"`
 	Sequence uint64            `cbor:"3,keyasint,omitempty"`
-	// Target is the identity meant by a ping or to be pinged on request. A ping
-	// to a seed whose identity is unknown has only the address.
-	Target identity.Identity `cbor:"4,keyasint,omitempty"`
-	// Updates are news of members.
-	Updates []Member `cbor:"5,keyasint,omitempty"`
-	// Digest is the sender's applied configuration, opaque here.
+	// Target is the identity that a ping is for, or that a ping request is about. A ping to an
+	// address whose identity is unknown has none.
+	Target  identity.Identity `cbor:"4,keyasint,omitempty"`
+	Updates []Member          `cbor:"5,keyasint,omitempty"`
+	// Digest is the application's digest, opaque to this package.
 	Digest []byte `cbor:"6,keyasint,omitempty"`
-	// Broadcasts are the application's news, opaque here.
+	// Broadcasts are application payloads, opaque to this package.
 	Broadcasts [][]byte `cbor:"7,keyasint,omitempty"`
-	// Near is the application's message to members of the sender's zone, opaque here.
+	// Near is the application's payload for members of the sender's zone, opaque to this package.
 	Near []byte `cbor:"8,keyasint,omitempty"`
-	// Direct is the application's message to this member alone, opaque here.
+	// Direct is an application payload that is not gossiped on, opaque to this package.
 	Direct []byte `cbor:"9,keyasint,omitempty"`
 }
 
 func (m *message) encode() []byte {
 	encoded, err := cbor.Marshal(m)
 	if err != nil {
-		panic(eris.Wrap(err, "a membership message always has a CBOR form"))
+		panic(eris.Wrap(err, "encode membership message"))
 	}
 	return encoded
 }
 
-// Datagram is bytes to send.
+// Datagram is an encoded message to send.
 type Datagram struct {
 	To    netip.AddrPort
 	Bytes []byte
 }
 
-// DirectMessage is the application's, from one member.
+// DirectMessage is an application payload that a member sent with Tell.
 type DirectMessage struct {
 	From    identity.Identity
 	Payload []byte
 }
 
-// RemoteDigest is the application's digest of another member.
+// RemoteDigest is another member's application digest.
 type RemoteDigest struct {
 	From   identity.Identity
 	Digest []byte
 }
 
-// Output is what one call has brought forth.
+// Output is the result of one call.
 type Output struct {
 	Datagrams []Datagram
-	// Changed reports that the set of live members is another one.
+	// Changed reports a change of the set of live members.
 	Changed bool
-	// Digests and Broadcasts are the application's, received.
+	// Digests and Broadcasts are the application data received.
 	Digests    []RemoteDigest
 	Broadcasts [][]byte
-	// Near are the application's messages from members of this zone, received.
+	// Near are the payloads received for members of the sender's zone.
 	Near [][]byte
-	// Direct are the application's messages to this member alone, received.
+	// Direct are the payloads received that were sent with Tell.
 	Direct []DirectMessage
-	// Joined names a member through which the whole list can be fetched.
+	// Joined are senders that were unknown before; the full member list can be requested from them.
 	Joined []identity.Identity
 }
--- a/internal/membership/news.go
+++ b/internal/membership/news.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// learn takes in news of one member.
+// learn applies an update of one member, unless the known record overrides it.
 func (g *Group) learn(now time.Time, news Member, output *Output) {
 	if news.Identity == g.self.Identity {
 		g.refute(news)
@@ -49,10 +49,9 @@
 	}
 }
 
-// supersede declares older runs at the same address dead: two cannot be there.
-// The starts order two runs that are both held for alive. Clocks of a machine and
-// of its replacement may differ, so a start that is lower but whose rival is gone
-// already is taken as it is.
+// supersede declares the older of two live identities at one address dead, since only one process can
+// run there. Start numbers decide which is older. They depend on the machines' clocks, so a lower
+// start is accepted where the other identity is no longer live.
 func (g *Group) supersede(now time.Time, state *memberState, output *Output) {
 	if !state.IsLive() {
 		return
@@ -83,7 +82,7 @@
 	}
 }
 
-// refute answers a false word on this member with a higher incarnation.
+// refute answers a suspicion or death of this member with a higher incarnation.
 func (g *Group) refute(news Member) {
 	if g.leaving || news.Status == Alive || news.Incarnation < g.self.Incarnation {
 		return
--- a/internal/membership/reconcile.go
+++ b/internal/membership/reconcile.go
@@ -7,12 +7,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// fingerprintSize is small, so that a whole list's fingerprints are a thirtieth
-// of the list. Two records share one with a probability of 2^-32; what that
-// hides, probes repair.
+// fingerprintSize is in bytes. Two records collide with a probability of 2^-32; a difference hidden
+// by a collision is repaired by probes.
 const fingerprintSize = 4
 
-// fingerprint is of what may differ between two views of a member.
+// fingerprint hashes the parts of a record that may differ between members: identity, incarnation and
+// status.
 func (m *Member) fingerprint() [fingerprintSize]byte {
 	var buffer [18 + 8 + 8 + 1]byte
 	address := m.Identity.Address.Addr().As16()
@@ -26,7 +26,7 @@
 	return print
 }
 
-// Fingerprints returns the fingerprints of all members remembered, packed, in no order.
+// Fingerprints returns the concatenated fingerprints of all known members, in no particular order.
 func (g *Group) Fingerprints() []byte {
 	packed := make([]byte, 0, (len(g.members)+1)*fingerprintSize)
 	print := g.self.fingerprint()
@@ -38,8 +38,8 @@
 	return packed
 }
 
-// Lacking returns the members that are not among packed fingerprints: what a
-// peer with those lacks, or holds differently.
+// Lacking returns the members whose fingerprints are not in packed: those that the peer with these
+// fingerprints does not know, or knows in another state. They are ordered by identity.
 func (g *Group) Lacking(packed []byte) []Member {
 	held := make(map[[fingerprintSize]byte]bool, len(packed)/fingerprintSize)
 	for ; len(packed) >= fingerprintSize; packed = packed[fingerprintSize:] {
