--- a/internal/membership/broadcast.go
+++ b/internal/membership/broadcast.go
@@ -11,10 +11,10 @@
 // broadcast is a queued member update or application payload. Those sent the fewest times go first
 // (section 4.1 of the SWIM paper).
 type broadcast struct {
-	member  *Member
-	payload []byte
-	sent    int
-	size    int
+	member    *Member
+	payload   []byte
+	transmits int
+	size      int
 }
 
 // isRefutation reports whether the update is a member's refutation of its own suspicion.
@@ -38,18 +38,18 @@
 	items []broadcast
 	// members are those with an update in items.
 	members map[identity.Identity]bool
-	// isClosed discards member updates, because the other members receive them too.
-	isClosed bool
+	// skipsMembers discards member updates, because the other members receive them too.
+	skipsMembers bool
 }
 
 // approximateMemberSize is an upper bound of a member's encoded size without its zone, in bytes.
 const approximateMemberSize = 80
 
 func (q *broadcastQueue) addMember(member Member) {
-	if q.isClosed {
+	if q.skipsMembers {
 		return
 	}
-	q.forget(member.Identity)
+	q.removeMember(member.Identity)
 	if q.members == nil {
 		q.members = map[identity.Identity]bool{}
 	}
@@ -61,55 +61,56 @@
 	q.items = append(q.items, broadcast{payload: payload, size: len(payload) + 4})
 }
 
-// take adds the broadcasts that fit into room bytes to the message and returns the bytes used.
-// Broadcasts sent limit times are dropped; with a backlog, all but refutations are dropped sooner.
-func (q *broadcastQueue) take(into *message, room, limit int) int {
-	backlogLimit := limit
+// appendTo adds the broadcasts that fit into maxBytes to the message and returns the bytes used.
+// Broadcasts sent maxTransmits times are dropped; with a backlog, all but refutations are dropped
+// sooner.
+func (q *broadcastQueue) appendTo(msg *message, maxBytes, maxTransmits int) int {
+	maxBacklogTransmits := maxTransmits
 	if q.hasBacklog() {
-		backlogLimit = min(limit, backlogRetransmits)
+		maxBacklogTransmits = min(maxTransmits, backlogRetransmits)
 	}
 	slices.SortStableFunc(q.items, func(a, b broadcast) int {
-		return cmp.Or(cmp.Compare(a.class(), b.class()), cmp.Compare(a.sent, b.sent))
+		return cmp.Or(cmp.Compare(a.class(), b.class()), cmp.Compare(a.transmits, b.transmits))
 	})
 	used := 0
 	for index := range q.items {
 		item := &q.items[index]
-		if used+item.size > room {
+		if used+item.size > maxBytes {
 			continue
 		}
 		used += item.size
-		item.sent++
+		item.transmits++
 		if item.member != nil {
-			into.Updates = append(into.Updates, *item.member)
+			msg.Updates = append(msg.Updates, *item.member)
 		} else {
-			into.Broadcasts = append(into.Broadcasts, item.payload)
+			msg.Broadcasts = append(msg.Broadcasts, item.payload)
 		}
 	}
-	q.drop(func(item *broadcast) bool {
+	q.removeIf(func(item *broadcast) bool {
 		if item.isRefutation() {
-			return item.sent >= limit
+			return item.transmits >= maxTransmits
 		}
-		return item.sent >= backlogLimit
+		return item.transmits >= maxBacklogTransmits
 	})
 	return used
 }
 
-// forget removes the queued update of a member.
-func (q *broadcastQueue) forget(member identity.Identity) {
+// removeMember removes the queued update of a member.
+func (q *broadcastQueue) removeMember(member identity.Identity) {
 	if q.members[member] {
-		q.drop(func(item *broadcast) bool { return item.member != nil && item.member.Identity == member })
+		q.removeIf(func(item *broadcast) bool { return item.member != nil && item.member.Identity == member })
 	}
 }
 
-func (q *broadcastQueue) forgetAll(members map[identity.Identity]bool) {
-	q.drop(func(item *broadcast) bool { return item.member != nil && members[item.member.Identity] })
+func (q *broadcastQueue) removeMembers(members map[identity.Identity]bool) {
+	q.removeIf(func(item *broadcast) bool { return item.member != nil && members[item.member.Identity] })
 }
 
-func (q *broadcastQueue) drop(isOver func(item *broadcast) bool) {
+func (q *broadcastQueue) removeIf(shouldRemove func(item *broadcast) bool) {
 	kept := q.items[:0]
 	for index := range q.items {
 		item := &q.items[index]
-		if !isOver(item) {
+		if !shouldRemove(item) {
 			kept = append(kept, *item)
 			continue
 		}
--- a/internal/membership/reconcile.go
+++ b/internal/membership/reconcile.go
@@ -41,13 +41,13 @@
 // Lacking returns the members whose fingerprints are not in packed: those that the peer with these
 // fingerprints does not know, or knows in another state. They are ordered by identity.
 func (g *Group) Lacking(packed []byte) []Member {
-	held := make(map[[fingerprintSize]byte]bool, len(packed)/fingerprintSize)
+	known := make(map[[fingerprintSize]byte]bool, len(packed)/fingerprintSize)
 	for ; len(packed) >= fingerprintSize; packed = packed[fingerprintSize:] {
-		held[[fingerprintSize]byte(packed)] = true
+		known[[fingerprintSize]byte(packed)] = true
 	}
 	var lacking []Member
 	add := func(member *Member) {
-		if !held[member.fingerprint()] {
+		if !known[member.fingerprint()] {
 			lacking = append(lacking, *member)
 		}
 	}
--- a/internal/membership/news.go
+++ b/internal/membership/update.go
@@ -5,47 +5,47 @@
 	"time"
 )
 
-// learn applies an update of one member, unless the known record overrides it.
-func (g *Group) learn(now time.Time, news Member, output *Output) {
-	if news.Identity == g.self.Identity {
-		g.refute(news)
+// applyUpdate applies an update of one member, unless the known record overrides it.
+func (g *Group) applyUpdate(now time.Time, update Member, output *Output) {
+	if update.Identity == g.self.Identity {
+		g.refute(update)
 		return
 	}
-	if news.Identity.Address == g.self.Identity.Address || !news.Identity.Address.IsValid() {
+	if update.Identity.Address == g.self.Identity.Address || !update.Identity.Address.IsValid() {
 		return
 	}
-	held := g.members[news.Identity]
-	if held != nil && !news.overrides(&held.Member) {
+	known := g.members[update.Identity]
+	if known != nil && !update.overrides(&known.Member) {
 		return
 	}
-	if held == nil {
-		if !news.IsLive() && news.Status != Left && news.Status != Dead {
+	if known == nil {
+		if !update.IsLive() && update.Status != Left && update.Status != Dead {
 			return
 		}
-		held = &memberState{Member: Member{Identity: news.Identity}}
-		g.members[news.Identity] = held
+		known = &memberState{Member: Member{Identity: update.Identity}}
+		g.members[update.Identity] = known
 	}
-	wasLive := held.IsLive()
-	held.Member = news
-	g.queue.addMember(news)
-	g.applyStatus(now, held)
-	g.supersede(now, held, output)
-	if wasLive != held.IsLive() {
-		g.noteLive(&held.Member, held.IsLive())
+	wasLive := known.IsLive()
+	known.Member = update
+	g.queue.addMember(update)
+	g.applyStatus(now, known)
+	g.supersede(now, known, output)
+	if wasLive != known.IsLive() {
+		g.updateLive(&known.Member, known.IsLive())
 		output.Changed = true
 	}
 }
 
 func (g *Group) applyStatus(now time.Time, state *memberState) {
-	delete(g.unsettled, state.Identity)
+	delete(g.expiring, state.Identity)
 	if state.Status != Alive {
-		g.unsettled[state.Identity] = true
+		g.expiring[state.Identity] = true
 	}
 	switch state.Status {
 	case Suspect:
 		state.suspectUntil = now.Add(g.suspicionTimeout())
 	case Dead, Left:
-		state.forgetAt = now.Add(g.config.DeadRetention)
+		state.removeAt = now.Add(g.config.DeadRetention)
 	}
 }
 
@@ -57,13 +57,13 @@
 		return
 	}
 	address := state.Identity.Address
-	current, known := g.current[address]
-	rival := g.members[current]
-	if !known || current == state.Identity || rival == nil || !rival.IsLive() {
+	current, found := g.current[address]
+	incumbent := g.members[current]
+	if !found || current == state.Identity || incumbent == nil || !incumbent.IsLive() {
 		g.current[address] = state.Identity
 		return
 	}
-	older, newer := rival, state
+	older, newer := incumbent, state
 	if older.Identity.Start > newer.Identity.Start {
 		older, newer = newer, older
 	}
@@ -77,18 +77,18 @@
 	g.applyStatus(now, state)
 	g.queue.addMember(state.Member)
 	if wasLive != state.IsLive() {
-		g.noteLive(&state.Member, state.IsLive())
+		g.updateLive(&state.Member, state.IsLive())
 		output.Changed = true
 	}
 }
 
 // refute answers a suspicion or death of this member with a higher incarnation.
-func (g *Group) refute(news Member) {
-	if g.leaving || news.Status == Alive || news.Incarnation < g.self.Incarnation {
+func (g *Group) refute(update Member) {
+	if g.leaving || update.Status == Alive || update.Incarnation < g.self.Incarnation {
 		return
 	}
-	g.self.Incarnation = news.Incarnation + 1
-	g.noteLive(&g.self, true)
+	g.self.Incarnation = update.Incarnation + 1
+	g.updateLive(&g.self, true)
 	g.queue.addMember(g.self)
 }
 
