--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -20,7 +20,7 @@
 	r.startBallot(now, VoteRequest, r.term)
 }
 
-// startBallot votes for itself and asks the other voters.
+// startBallot votes for itself and requests the votes of the other voters.
 func (r *Replica) startBallot(now time.Time, kind MessageKind, term uint64) {
 	r.votes = map[identity.Identity]bool{r.self: true}
 	r.resetElectionDeadline(now)
@@ -36,7 +36,7 @@
 	r.finishBallot(now)
 }
 
-// finishBallot moves on once a majority of the newest voters said yes.
+// finishBallot proceeds to the next role once a majority of the latest voters has granted its vote.
 func (r *Replica) finishBallot(now time.Time) {
 	if !r.hasQuorum(func(voter identity.Identity) bool { return r.votes[voter] }) {
 		return
@@ -48,7 +48,7 @@
 	r.becomeLeader(now)
 }
 
-// hasQuorum reports whether a majority of the newest voters satisfies holds.
+// hasQuorum reports whether holds is true for a majority of the latest voters.
 func (r *Replica) hasQuorum(holds func(identity.Identity) bool) bool {
 	voters := r.Voters()
 	count := 0
@@ -60,8 +60,8 @@
 	return count > len(voters)/2
 }
 
-// isUpToDate is the restriction of section 3.6.1: a leader must hold every
-// committed entry, so nobody votes for a log older than its own.
+// isUpToDate is the election restriction of section 3.6.1: a leader must have every committed entry,
+// so a voter rejects a candidate whose log is less up-to-date than its own.
 func (r *Replica) isUpToDate(message *Message) bool {
 	if message.LogTerm != r.log.lastTerm() {
 		return message.LogTerm > r.log.lastTerm()
@@ -92,7 +92,7 @@
 		return
 	}
 	if message.Term > r.term {
-		// The leader is fresh: silence, and the term stays (section 4.2.3).
+		// The term was not raised because the leader is active: ignore the request (section 4.2.3).
 		return
 	}
 	unbound := r.votedFor.IsZero() || r.votedFor == message.From
--- a/internal/consensus/follower.go
+++ b/internal/consensus/follower.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// followLeader takes note of a message from a leader of the current term. It
-// reports false for a message of an earlier term.
+// followLeader follows the sender of an append or snapshot request. It rejects the message and returns
+// false if its term is stale.
 func (r *Replica) followLeader(now time.Time, message *Message) bool {
 	if message.Term < r.term {
 		r.send(Message{Kind: AppendReply, To: message.From, LogIndex: r.log.lastIndex()})
@@ -22,7 +22,7 @@
 	}
 	reply := Message{Kind: AppendReply, To: message.From, Round: message.Round}
 	if message.LogIndex < r.log.snapshot.Index {
-		// What lies before the snapshot is committed and matches by definition.
+		// Entries up to the snapshot are committed, so they match.
 		reply.Accepted = true
 		reply.LogIndex = r.commit
 		r.send(reply)
@@ -40,8 +40,8 @@
 	r.send(reply)
 }
 
-// mergeEntries appends what is new. Only a real conflict truncates, so that a
-// late, shorter append cannot drop entries already acknowledged (section 3.5).
+// mergeEntries appends the entries that are missing. It truncates only on a conflict, so that a late,
+// shorter append cannot drop entries already acknowledged (section 3.5).
 func (r *Replica) mergeEntries(entries []Entry) {
 	for _, entry := range entries {
 		term, held := r.log.termAt(entry.Index)
@@ -50,7 +50,7 @@
 		}
 		if held {
 			if entry.Index <= r.commit {
-				panic("consensus: a committed entry would be replaced")
+				panic("consensus: append conflicts with a committed entry")
 			}
 			r.log.truncateFrom(entry.Index)
 		}
@@ -70,8 +70,8 @@
 	r.send(Message{Kind: AppendReply, To: message.From, Accepted: true, LogIndex: r.commit, Round: message.Round})
 }
 
-// Compact replaces the committed entries up to index by the application's state
-// at that index. An index not committed, or compacted already, changes nothing.
+// Compact replaces the entries up to index by a snapshot with data, the application's state at index.
+// It does nothing if index is not committed or is already compacted.
 func (r *Replica) Compact(index uint64, data []byte) {
 	if index > r.commit || index <= r.log.snapshot.Index {
 		return
@@ -79,5 +79,5 @@
 	r.log.compact(index, data)
 }
 
-// LogLength returns how many entries are kept after the snapshot.
+// LogLength returns the number of entries after the snapshot.
 func (r *Replica) LogLength() int { return len(r.log.entries) }
--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -9,14 +9,13 @@
 	"github.com/passtray/passtray/internal/identity"
 )
 
-// Errors of Propose and ProposeVoters. They are outcomes, not faults.
+// Errors of Propose and ProposeVoters, expected in normal operation.
 var (
-	// ErrNotLeader: ask the leader instead.
-	ErrNotLeader = eris.New("this replica does not lead")
-	// ErrVotersChanging: the last change of voters is not committed yet.
-	ErrVotersChanging = eris.New("a change of voters is under way")
-	// ErrVotersStep: more than one voter would come or go at once.
-	ErrVotersStep = eris.New("voters change one at a time")
+	ErrNotLeader = eris.New("this replica is not the leader")
+	// ErrVotersChanging: the last change of voters, or an entry of this term, is not committed yet.
+	ErrVotersChanging = eris.New("a change of voters is in progress")
+	// ErrVotersStep: the change does not add or remove exactly one voter.
+	ErrVotersStep = eris.New("voters must be added or removed one at a time")
 )
 
 func (r *Replica) becomeLeader(now time.Time) {
@@ -26,8 +25,8 @@
 	r.round = 0
 	r.quorumRound = 0
 	r.quorumDeadline = now.Add(r.config.ElectionTimeout)
-	// Entries of earlier terms commit only behind one of this term
-	// (section 3.6.2), so a new leader appends an empty one at once.
+	// Entries of earlier terms commit only with an entry of this term (section 3.6.2), so a new
+	// leader appends an empty one.
 	r.appendEntry(now, Entry{Kind: EntryEmpty})
 }
 
@@ -41,7 +40,7 @@
 	return entry.Index
 }
 
-// alignProgress keeps one progress for each of the newest voters.
+// alignProgress adds and removes progress to match the latest voters other than this replica.
 func (r *Replica) alignProgress() {
 	voters := r.Voters()
 	for voter := range r.progress {
@@ -56,8 +55,8 @@
 	}
 }
 
-// Propose appends data to the log. It is committed once its index comes back in
-// Output.Committed with the same term, and lost if another entry does.
+// Propose appends data to the log and returns its index. The entry is committed when an entry with
+// that index and the current term is in Output.Committed, and lost when that entry has another term.
 func (r *Replica) Propose(now time.Time, data []byte) (uint64, Output, error) {
 	if r.role != Leader {
 		return 0, Output{}, ErrNotLeader
@@ -66,9 +65,8 @@
 	return index, r.take(), nil
 }
 
-// ProposeVoters changes the voters by one. Two majorities one server apart
-// always meet (section 4.1), provided an entry of this term was committed
-// before, which the commit index shows.
+// ProposeVoters adds or removes one voter. The majorities before and after such a change overlap
+// (section 4.1). The leader must have committed an entry of its term and the previous change.
 func (r *Replica) ProposeVoters(now time.Time, voters []identity.Identity) (Output, error) {
 	if r.role != Leader {
 		return Output{}, ErrNotLeader
@@ -102,8 +100,8 @@
 func (r *Replica) tickLeader(now time.Time) {
 	if !now.Before(r.quorumDeadline) {
 		if !r.roundIsConfirmed(r.quorumRound) {
-			// No quorum for an election timeout: somebody else may lead by now
-			// (section 6.2).
+			// No quorum within an election timeout: another replica may be the leader by now (section
+			// 6.2).
 			r.becomeFollower(now, r.term, identity.Identity{})
 			return
 		}
@@ -115,7 +113,7 @@
 	}
 }
 
-// broadcast sends each voter what it lacks, and a heartbeat in any case.
+// broadcast sends each other voter its missing entries, or an empty heartbeat.
 func (r *Replica) broadcast(now time.Time) {
 	r.round++
 	r.nextHeartbeat = now.Add(r.config.HeartbeatInterval)
@@ -161,16 +159,16 @@
 	r.stepDownIfRemoved(now)
 }
 
-// stepDownIfRemoved ends the rule of a leader that its own committed change of
-// voters has removed (section 4.2.2).
+// stepDownIfRemoved makes a leader step down once its removal from the voters is committed (section
+// 4.2.2).
 func (r *Replica) stepDownIfRemoved(now time.Time) {
 	if r.role == Leader && !r.IsVoter() && r.commit >= r.log.lastVotersIndex() {
 		r.becomeFollower(now, r.term, identity.Identity{})
 	}
 }
 
-// advanceCommit commits the highest index of this term that a majority holds.
-// An earlier term's entry never commits by counting (section 3.6.2).
+// advanceCommit commits the highest index of this term that a majority has. Entries of earlier terms
+// are never committed by counting replicas (section 3.6.2).
 func (r *Replica) advanceCommit() {
 	for index := r.log.lastIndex(); index > r.commit; index-- {
 		if term, _ := r.log.termAt(index); term != r.term {
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -6,7 +6,7 @@
 	"github.com/passtray/passtray/internal/identity"
 )
 
-// replicatedLog is the entries after a snapshot, in memory.
+// replicatedLog is a snapshot and the entries after it, in memory.
 type replicatedLog struct {
 	snapshot Snapshot
 	entries  []Entry
@@ -19,7 +19,7 @@
 	return term
 }
 
-// termAt reports false for an index that is compacted away or not there yet.
+// termAt returns false for an index that is compacted or after the last one.
 func (l *replicatedLog) termAt(index uint64) (uint64, bool) {
 	if index == l.snapshot.Index {
 		return l.snapshot.Term, true
@@ -30,7 +30,7 @@
 	return l.entries[index-l.snapshot.Index-1].Term, true
 }
 
-// from returns at most limit entries starting at index, which must be kept.
+// from returns at most limit entries starting at index, which must not be compacted.
 func (l *replicatedLog) from(index uint64, limit int) []Entry {
 	tail := l.entries[index-l.snapshot.Index-1:]
 	return slices.Clone(tail[:min(limit, len(tail))])
@@ -38,12 +38,11 @@
 
 func (l *replicatedLog) append(entry Entry) { l.entries = append(l.entries, entry) }
 
-// truncateFrom drops index and all after it.
+// truncateFrom removes the entry at index and all later ones.
 func (l *replicatedLog) truncateFrom(index uint64) {
 	l.entries = slices.Clone(l.entries[:index-l.snapshot.Index-1])
 }
 
-// compact replaces the entries up to index by a snapshot with data.
 func (l *replicatedLog) compact(index uint64, data []byte) {
 	term, _ := l.termAt(index)
 	voters := l.votersAt(index)
@@ -51,8 +50,8 @@
 	l.snapshot = Snapshot{Term: term, Index: index, Voters: voters, Data: data}
 }
 
-// votersAt returns the newest voters at or before index. The newest in the log
-// count from the moment they are appended, committed or not (section 4.1).
+// votersAt returns the latest voters at or before index. Voters are in effect as soon as they are
+// appended, committed or not (section 4.1).
 func (l *replicatedLog) votersAt(index uint64) []identity.Identity {
 	for position := len(l.entries) - 1; position >= 0; position-- {
 		entry := &l.entries[position]
@@ -63,7 +62,7 @@
 	return l.snapshot.Voters
 }
 
-// lastVotersIndex returns the index of the newest voters entry.
+// lastVotersIndex returns the index of the latest voters entry, or the snapshot's index.
 func (l *replicatedLog) lastVotersIndex() uint64 {
 	for position := len(l.entries) - 1; position >= 0; position-- {
 		if l.entries[position].Kind == EntryVoters {
--- a/internal/consensus/message.go
+++ b/internal/consensus/message.go
@@ -1,44 +1,39 @@
-// Package consensus is the Raft algorithm (Ongaro, "Consensus: Bridging Theory
-// and Practice", 2014) as a library without I/O, for replicas that keep nothing
-// on disk. It holds no clock, socket, goroutine or global randomness: the caller
-// passes time and messages in and carries outputs out.
+// Package consensus implements Raft (Ongaro, "Consensus: Bridging Theory and Practice", 2014) for
+// replicas without stable storage. It does no I/O and has no clock, goroutine or global randomness:
+// the caller passes in time and messages, and sends the messages returned.
 //
-// Three things differ from the dissertation. A replica is named by an identity
-// that changes at every start, so that one which forgot its votes is a new
-// replica and counts for nothing under its old name (section 3.8 asks for
-// stable storage instead). A group is founded by one replica alone and grows by
-// single-server changes (section 4.1). Entries are handed out as soon as they
-// are committed; there is nothing to persist first.
+// In place of stable storage (section 3.8), a replica gets a new identity at every start: a restarted
+// replica, which has lost its votes and log, is no voter under its new identity. One replica founds a
+// group as its only voter; the group grows by single-server changes (section 4.1).
 package consensus
 
 import (
 	"github.com/passtray/passtray/internal/identity"
 )
 
-// Epoch names a group of voters. Number grows only by a forced recovery; Group
-// is random, so that two groups founded apart cannot mistake each other.
+// Epoch identifies a group of voters. Number increases only with a forced recovery. Group is random,
+// so that groups founded independently differ.
 type Epoch struct {
 	Number uint32 `cbor:"1,keyasint"`
 	Group  uint64 `cbor:"2,keyasint"`
 }
 
-// IsZero reports whether no group is known.
+// IsZero reports whether the epoch is that of no group.
 func (e Epoch) IsZero() bool { return e.Number == 0 }
 
-// EntryKind says what an entry holds.
+// EntryKind is the type of an entry's content.
 type EntryKind uint8
 
-// The kinds of entries.
 const (
-	// EntryEmpty is what a new leader commits first (section 6.4).
+	// EntryEmpty is the first entry of a new leader's term (section 6.4).
 	EntryEmpty EntryKind = iota
-	// EntryData holds the application's bytes.
+	// EntryData holds application data.
 	EntryData
-	// EntryVoters holds a new set of voters.
+	// EntryVoters holds the new full set of voters.
 	EntryVoters
 )
 
-// Entry is one place of the replicated log.
+// Entry is one entry of the replicated log.
 type Entry struct {
 	Term   uint64              `cbor:"1,keyasint"`
 	Index  uint64              `cbor:"2,keyasint"`
@@ -47,7 +42,7 @@
 	Voters []identity.Identity `cbor:"5,keyasint,omitempty"`
 }
 
-// Snapshot stands for all entries up to Index.
+// Snapshot replaces all entries up to Index.
 type Snapshot struct {
 	Term   uint64              `cbor:"1,keyasint"`
 	Index  uint64              `cbor:"2,keyasint"`
@@ -55,57 +50,52 @@
 	Data   []byte              `cbor:"4,keyasint"`
 }
 
-// MessageKind says what a message asks or answers.
+// MessageKind is the type of a message.
 type MessageKind uint8
 
-// The kinds of messages.
 const (
-	// PreVoteRequest asks whether a candidacy could succeed (section 9.6).
+	// PreVoteRequest asks whether the receiver would vote for the sender (section 9.6).
 	PreVoteRequest MessageKind = iota + 1
-	// PreVoteReply answers it.
 	PreVoteReply
-	// VoteRequest asks for a vote (section 3.4).
+	// VoteRequest requests a vote (section 3.4).
 	VoteRequest
-	// VoteReply answers it.
 	VoteReply
 	// AppendRequest carries entries, or none as a heartbeat (section 3.5).
 	AppendRequest
-	// AppendReply answers it.
+	// AppendReply answers an AppendRequest or a SnapshotRequest.
 	AppendReply
 	// SnapshotRequest carries a snapshot (section 5).
 	SnapshotRequest
 )
 
-// Message goes from one replica to another.
 type Message struct {
 	Epoch Epoch             `cbor:"1,keyasint"`
 	Kind  MessageKind       `cbor:"2,keyasint"`
 	Term  uint64            `cbor:"3,keyasint"`
 	From  identity.Identity `cbor:"4,keyasint"`
 	To    identity.Identity `cbor:"5,keyasint"`
-	// LogTerm and LogIndex are the candidate's last entry in a vote request,
-	// and the entry before Entries in an append request. In an append reply
-	// LogIndex is the last index known to match, or the hint where to retry.
+	// LogTerm and LogIndex identify the candidate's last entry in a vote or pre-vote request, and the
+	// entry before Entries in an append request. In an append reply, LogIndex is the last matching
+	// index if accepted, otherwise the index from which the leader should retry.
 	LogTerm  uint64 `cbor:"6,keyasint,omitempty"`
 	LogIndex uint64 `cbor:"7,keyasint,omitempty"`
 	// Commit is the leader's commit index.
 	Commit  uint64  `cbor:"8,keyasint,omitempty"`
 	Entries []Entry `cbor:"9,keyasint,omitempty"`
-	// Accepted says yes to a vote or an append.
+	// Accepted is whether a vote was granted, or an append or a snapshot accepted.
 	Accepted bool `cbor:"10,keyasint,omitempty"`
-	// Round counts the leader's heartbeats; replies echo it, which confirms the
-	// leader's hold on its quorum (section 6.2).
+	// Round numbers the leader's broadcasts. Replies echo it, by which the leader confirms its quorum
+	// (section 6.2).
 	Round    uint64    `cbor:"11,keyasint,omitempty"`
 	Snapshot *Snapshot `cbor:"12,keyasint,omitempty"`
 }
 
-// Output is what one call of Step, Tick, Propose or the like has brought forth.
+// Output is the result of one call.
 type Output struct {
-	// Messages are to be sent; each may be lost, doubled or late.
+	// Messages are to be sent. They may be lost, duplicated, delayed or reordered.
 	Messages []Message
-	// Installed is a snapshot that replaces the application's state, before
-	// Committed.
+	// Installed is a snapshot that replaces the application's state, to be applied before Committed.
 	Installed *Snapshot
-	// Committed are entries now safe to apply, in order.
+	// Committed are newly committed entries, in log order.
 	Committed []Entry
 }
--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -10,18 +10,17 @@
 
 // Config holds a replica's timings and bounds.
 type Config struct {
-	// HeartbeatInterval is how often a leader speaks to each voter. Shorter
-	// finds a dead leader sooner and costs more messages.
+	// HeartbeatInterval is the period of the leader's heartbeats.
 	HeartbeatInterval time.Duration
-	// ElectionTimeout is the shortest silence after which a follower tries to
-	// lead; the longest is twice that. It must be several heartbeats, or a slow
-	// network causes needless elections.
+	// ElectionTimeout is the minimum time without a leader's message before a follower starts an
+	// election; the maximum is twice that. It must be several heartbeats, or a slow network causes
+	// needless elections.
 	ElectionTimeout time.Duration
-	// EntriesPerMessage bounds an append, and so a message's size.
+	// EntriesPerMessage is the maximum number of entries per append request.
 	EntriesPerMessage int
 }
 
-// DefaultLANConfig suits replicas within a few milliseconds of each other.
+// DefaultLANConfig is for round-trip times of a few milliseconds.
 func DefaultLANConfig() Config {
 	return Config{
 		HeartbeatInterval: 150 * time.Millisecond,
@@ -30,10 +29,9 @@
 	}
 }
 
-// Role is what a replica is at the moment.
+// Role is a replica's current Raft role.
 type Role uint8
 
-// The roles.
 const (
 	Follower Role = iota
 	PreCandidate
@@ -41,11 +39,12 @@
 	Leader
 )
 
-// progress is what the leader knows of one voter.
+// progress is the leader's view of one voter.
 type progress struct {
+	// match is the last index known to be replicated, next the first index to send.
 	match uint64
 	next  uint64
-	// round is the newest heartbeat the voter has answered.
+	// round is the latest broadcast that the voter has answered.
 	round uint64
 }
 
@@ -65,27 +64,27 @@
 	leader           identity.Identity
 	votes            map[identity.Identity]bool
 	electionDeadline time.Time
-	// heardLeader is when a leader of this term last spoke (section 4.2.3).
+	// heardLeader is when a message of this term's leader was last received (section 4.2.3).
 	heardLeader time.Time
 
 	progress      map[identity.Identity]*progress
 	round         uint64
 	nextHeartbeat time.Time
-	// quorumDeadline is when a leader that heard no quorum steps down.
+	// quorumDeadline is when a leader steps down unless a quorum has answered a broadcast numbered
+	// quorumRound or later.
 	quorumDeadline time.Time
 	quorumRound    uint64
 
 	output Output
 }
 
-// NewReplica makes a replica that belongs to no group yet. All randomness comes
-// from random.
+// NewReplica returns a replica without a group. All randomness comes from random.
 func NewReplica(config Config, self identity.Identity, random *rand.Rand) *Replica {
 	return &Replica{config: config, self: self, random: random}
 }
 
-// Found makes this replica the only voter of a new group whose state is data.
-// Whoever calls it must know that no other replica does so for the same fleet.
+// Found makes this replica the only voter of a new group with a snapshot of data at index. The caller
+// must ensure that no other replica founds a group for the same fleet.
 func (r *Replica) Found(now time.Time, epoch Epoch, index uint64, data []byte) Output {
 	r.reset(epoch, Snapshot{Term: 1, Index: index, Voters: []identity.Identity{r.self}, Data: data})
 	r.becomeCandidate(now)
@@ -102,34 +101,32 @@
 	r.commit = snapshot.Index
 }
 
-// Epoch returns the group this replica belongs to.
+// Epoch returns the epoch of the replica's group, zero without one.
 func (r *Replica) Epoch() Epoch { return r.epoch }
 
-// Role returns what the replica is at the moment.
 func (r *Replica) Role() Role { return r.role }
 
-// Term returns the current term.
 func (r *Replica) Term() uint64 { return r.term }
 
-// Leader returns the leader of the current term, zero if unknown.
+// Leader returns the leader of the current term, zero if it is unknown.
 func (r *Replica) Leader() identity.Identity { return r.leader }
 
 // Commit returns the highest index known to be committed.
 func (r *Replica) Commit() uint64 { return r.commit }
 
-// CommittedEntry returns term and index of the last entry known to be committed.
+// CommittedEntry returns the term and index of the last entry known to be committed.
 func (r *Replica) CommittedEntry() (uint64, uint64) {
 	term, _ := r.log.termAt(r.commit)
 	return term, r.commit
 }
 
-// Voters returns the newest voters in the log.
+// Voters returns the latest voters in the log, committed or not.
 func (r *Replica) Voters() []identity.Identity { return r.log.votersAt(r.log.lastIndex()) }
 
-// LastEntry returns term and index of the last entry held.
+// LastEntry returns the term and index of the last entry in the log.
 func (r *Replica) LastEntry() (uint64, uint64) { return r.log.lastTerm(), r.log.lastIndex() }
 
-// IsVoter reports whether the replica counts in the newest voters.
+// IsVoter reports whether the replica is among the latest voters.
 func (r *Replica) IsVoter() bool { return slices.Contains(r.Voters(), r.self) }
 
 func (r *Replica) take() Output {
@@ -152,7 +149,7 @@
 	r.electionDeadline = now.Add(r.config.ElectionTimeout + spread)
 }
 
-// Tick lets time pass. It is to be called at least every HeartbeatInterval.
+// Tick runs all timers. Call it at least once per HeartbeatInterval.
 func (r *Replica) Tick(now time.Time) Output {
 	if r.role == Leader {
 		r.tickLeader(now)
@@ -167,16 +164,16 @@
 	return r.take()
 }
 
-// Step handles one message. A message of another group, or for another run of
-// this daemon, changes nothing.
+// Step handles one message. It ignores messages to other identities and, except from a leader of a
+// higher epoch, those of other groups.
 func (r *Replica) Step(now time.Time, message *Message) Output {
 	if message.To != r.self {
 		return Output{}
 	}
 	fromLeader := message.Kind == AppendRequest || message.Kind == SnapshotRequest
 	if fromLeader && message.Epoch.Number > r.epoch.Number {
-		// A replica without a group joins the one that speaks to it, and one of
-		// a group that was given up follows the group recovered from it.
+		// A replica without a group joins the sender's group, and a replica of a group that was
+		// replaced by a forced recovery joins the recovered one.
 		r.reset(message.Epoch, Snapshot{})
 	}
 	if message.Epoch != r.epoch {
@@ -189,15 +186,15 @@
 	return r.take()
 }
 
-// mayRaiseTerm keeps a removed or cut-off replica from disturbing a group whose
-// leader is alive (section 4.2.3): pre-votes never raise the term, and votes do
-// not while a leader has been heard within the election timeout.
+// mayRaiseTerm keeps a removed or partitioned replica from disrupting a group with an active leader
+// (section 4.2.3): pre-vote requests never raise the term, and vote requests do not within the
+// election timeout after the leader's last message.
 func (r *Replica) mayRaiseTerm(now time.Time, message *Message) bool {
 	switch message.Kind {
 	case PreVoteRequest:
 		return false
 	case PreVoteReply:
-		// A granted pre-vote carries the term asked for, which no one is in.
+		// A granted pre-vote carries the requested term, which has not begun.
 		return !message.Accepted
 	case VoteRequest:
 		return !r.leaderIsFresh(now)
