--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -9,7 +9,7 @@
 func (r *Replica) becomePreCandidate(now time.Time) {
 	r.role = PreCandidate
 	r.leader = identity.Identity{}
-	r.startBallot(now, PreVoteRequest, r.term+1)
+	r.startElection(now, PreVoteRequest, r.term+1)
 }
 
 func (r *Replica) becomeCandidate(now time.Time) {
@@ -17,11 +17,11 @@
 	r.term++
 	r.votedFor = r.self
 	r.leader = identity.Identity{}
-	r.startBallot(now, VoteRequest, r.term)
+	r.startElection(now, VoteRequest, r.term)
 }
 
-// startBallot votes for itself and requests the votes of the other voters.
-func (r *Replica) startBallot(now time.Time, kind MessageKind, term uint64) {
+// startElection votes for itself and requests the votes of the other voters.
+func (r *Replica) startElection(now time.Time, kind MessageKind, term uint64) {
 	r.votes = map[identity.Identity]bool{r.self: true}
 	r.resetElectionDeadline(now)
 	for _, voter := range r.Voters() {
@@ -33,11 +33,11 @@
 			LogTerm: r.log.lastTerm(), LogIndex: r.log.lastIndex(),
 		})
 	}
-	r.finishBallot(now)
+	r.checkElection(now)
 }
 
-// finishBallot proceeds to the next role once a majority of the latest voters has granted its vote.
-func (r *Replica) finishBallot(now time.Time) {
+// checkElection proceeds to the next role once a majority of the latest voters has granted its vote.
+func (r *Replica) checkElection(now time.Time) {
 	if !r.hasQuorum(func(voter identity.Identity) bool { return r.votes[voter] }) {
 		return
 	}
@@ -48,12 +48,12 @@
 	r.becomeLeader(now)
 }
 
-// hasQuorum reports whether holds is true for a majority of the latest voters.
-func (r *Replica) hasQuorum(holds func(identity.Identity) bool) bool {
+// hasQuorum reports whether predicate is true for a majority of the latest voters.
+func (r *Replica) hasQuorum(predicate func(identity.Identity) bool) bool {
 	voters := r.Voters()
 	count := 0
 	for _, voter := range voters {
-		if holds(voter) {
+		if predicate(voter) {
 			count++
 		}
 	}
@@ -69,8 +69,8 @@
 	return message.LogIndex >= r.log.lastIndex()
 }
 
-func (r *Replica) answerPreVote(now time.Time, message *Message) {
-	accepted := message.Term > r.term && !r.leaderIsFresh(now) && r.isUpToDate(message)
+func (r *Replica) handlePreVoteRequest(now time.Time, message *Message) {
+	accepted := message.Term > r.term && !r.hasActiveLeader(now) && r.isUpToDate(message)
 	reply := Message{Kind: PreVoteReply, To: message.From, Accepted: accepted}
 	if accepted {
 		reply.Term = message.Term
@@ -78,15 +78,15 @@
 	r.send(reply)
 }
 
-func (r *Replica) countPreVote(now time.Time, message *Message) {
+func (r *Replica) handlePreVoteReply(now time.Time, message *Message) {
 	if r.role != PreCandidate || !message.Accepted || message.Term != r.term+1 {
 		return
 	}
 	r.votes[message.From] = true
-	r.finishBallot(now)
+	r.checkElection(now)
 }
 
-func (r *Replica) answerVote(now time.Time, message *Message) {
+func (r *Replica) handleVoteRequest(now time.Time, message *Message) {
 	if message.Term < r.term {
 		r.send(Message{Kind: VoteReply, To: message.From})
 		return
@@ -95,8 +95,8 @@
 		// The term was not raised because the leader is active: ignore the request (section 4.2.3).
 		return
 	}
-	unbound := r.votedFor.IsZero() || r.votedFor == message.From
-	accepted := unbound && r.isUpToDate(message)
+	canVote := r.votedFor.IsZero() || r.votedFor == message.From
+	accepted := canVote && r.isUpToDate(message)
 	if accepted {
 		r.votedFor = message.From
 		r.resetElectionDeadline(now)
@@ -104,10 +104,10 @@
 	r.send(Message{Kind: VoteReply, To: message.From, Accepted: accepted})
 }
 
-func (r *Replica) countVote(now time.Time, message *Message) {
+func (r *Replica) handleVoteReply(now time.Time, message *Message) {
 	if r.role != Candidate || !message.Accepted || message.Term != r.term {
 		return
 	}
 	r.votes[message.From] = true
-	r.finishBallot(now)
+	r.checkElection(now)
 }
--- a/internal/consensus/follower.go
+++ b/internal/consensus/follower.go
@@ -12,11 +12,11 @@
 		return false
 	}
 	r.becomeFollower(now, message.Term, message.From)
-	r.heardLeader = now
+	r.lastLeaderMessage = now
 	return true
 }
 
-func (r *Replica) answerAppend(now time.Time, message *Message) {
+func (r *Replica) handleAppendRequest(now time.Time, message *Message) {
 	if !r.followLeader(now, message) {
 		return
 	}
@@ -28,7 +28,7 @@
 		r.send(reply)
 		return
 	}
-	if term, held := r.log.termAt(message.LogIndex); !held || term != message.LogTerm {
+	if term, found := r.log.termAt(message.LogIndex); !found || term != message.LogTerm {
 		reply.LogIndex = min(r.log.lastIndex(), message.LogIndex-1)
 		r.send(reply)
 		return
@@ -44,11 +44,11 @@
 // shorter append cannot drop entries already acknowledged (section 3.5).
 func (r *Replica) mergeEntries(entries []Entry) {
 	for _, entry := range entries {
-		term, held := r.log.termAt(entry.Index)
-		if held && term == entry.Term {
+		term, found := r.log.termAt(entry.Index)
+		if found && term == entry.Term {
 			continue
 		}
-		if held {
+		if found {
 			if entry.Index <= r.commit {
 				panic("consensus: append conflicts with a committed entry")
 			}
@@ -58,7 +58,7 @@
 	}
 }
 
-func (r *Replica) answerSnapshot(now time.Time, message *Message) {
+func (r *Replica) handleSnapshotRequest(now time.Time, message *Message) {
 	if message.Snapshot == nil || !r.followLeader(now, message) {
 		return
 	}
--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -34,14 +34,14 @@
 	entry.Term = r.term
 	entry.Index = r.log.lastIndex() + 1
 	r.log.append(entry)
-	r.alignProgress()
+	r.syncProgress()
 	r.advanceCommit()
 	r.broadcast(now)
 	return entry.Index
 }
 
-// alignProgress adds and removes progress to match the latest voters other than this replica.
-func (r *Replica) alignProgress() {
+// syncProgress adds and removes progress to match the latest voters other than this replica.
+func (r *Replica) syncProgress() {
 	voters := r.Voters()
 	for voter := range r.progress {
 		if !slices.Contains(voters, voter) {
@@ -62,7 +62,7 @@
 		return 0, Output{}, ErrNotLeader
 	}
 	index := r.appendEntry(now, Entry{Kind: EntryData, Data: data})
-	return index, r.take(), nil
+	return index, r.takeOutput(), nil
 }
 
 // ProposeVoters adds or removes one voter. The majorities before and after such a change overlap
@@ -79,7 +79,7 @@
 		return Output{}, ErrVotersStep
 	}
 	r.appendEntry(now, Entry{Kind: EntryVoters, Voters: slices.Clone(voters)})
-	return r.take(), nil
+	return r.takeOutput(), nil
 }
 
 func votersDistance(before, after []identity.Identity) int {
@@ -99,7 +99,7 @@
 
 func (r *Replica) tickLeader(now time.Time) {
 	if !now.Before(r.quorumDeadline) {
-		if !r.roundIsConfirmed(r.quorumRound) {
+		if !r.isRoundConfirmed(r.quorumRound) {
 			// No quorum within an election timeout: another replica may be the leader by now (section
 			// 6.2).
 			r.becomeFollower(now, r.term, identity.Identity{})
@@ -127,19 +127,19 @@
 func (r *Replica) sendAppend(voter identity.Identity) {
 	state := r.progress[voter]
 	previous := state.next - 1
-	term, kept := r.log.termAt(previous)
-	if !kept || state.next <= r.log.snapshot.Index {
+	term, found := r.log.termAt(previous)
+	if !found || state.next <= r.log.snapshot.Index {
 		snapshot := r.log.snapshot
 		r.send(Message{Kind: SnapshotRequest, To: voter, Snapshot: &snapshot, Commit: r.commit, Round: r.round})
 		return
 	}
 	r.send(Message{
 		Kind: AppendRequest, To: voter, LogTerm: term, LogIndex: previous, Commit: r.commit,
-		Entries: r.log.from(state.next, r.config.EntriesPerMessage), Round: r.round,
+		Entries: r.log.entriesFrom(state.next, r.config.EntriesPerMessage), Round: r.round,
 	})
 }
 
-func (r *Replica) countAppend(now time.Time, message *Message) {
+func (r *Replica) handleAppendReply(now time.Time, message *Message) {
 	state := r.progress[message.From]
 	if r.role != Leader || message.Term != r.term || state == nil {
 		return
@@ -174,10 +174,10 @@
 		if term, _ := r.log.termAt(index); term != r.term {
 			return
 		}
-		held := r.hasQuorum(func(voter identity.Identity) bool {
+		isReplicated := r.hasQuorum(func(voter identity.Identity) bool {
 			return voter == r.self || r.progress[voter].match >= index
 		})
-		if held {
+		if isReplicated {
 			r.commitTo(index)
 			return
 		}
@@ -189,11 +189,11 @@
 		return
 	}
 	count := int(index - r.commit)
-	r.output.Committed = append(r.output.Committed, r.log.from(r.commit+1, count)...)
+	r.output.Committed = append(r.output.Committed, r.log.entriesFrom(r.commit+1, count)...)
 	r.commit = index
 }
 
-func (r *Replica) roundIsConfirmed(round uint64) bool {
+func (r *Replica) isRoundConfirmed(round uint64) bool {
 	return r.hasQuorum(func(voter identity.Identity) bool {
 		return voter == r.self || r.progress[voter].round >= round
 	})
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -30,8 +30,8 @@
 	return l.entries[index-l.snapshot.Index-1].Term, true
 }
 
-// from returns at most limit entries starting at index, which must not be compacted.
-func (l *replicatedLog) from(index uint64, limit int) []Entry {
+// entriesFrom returns at most limit entries starting at index, which must not be compacted.
+func (l *replicatedLog) entriesFrom(index uint64, limit int) []Entry {
 	tail := l.entries[index-l.snapshot.Index-1:]
 	return slices.Clone(tail[:min(limit, len(tail))])
 }
@@ -53,8 +53,8 @@
 // votersAt returns the latest voters at or before index. Voters are in effect as soon as they are
 // appended, committed or not (section 4.1).
 func (l *replicatedLog) votersAt(index uint64) []identity.Identity {
-	for position := len(l.entries) - 1; position >= 0; position-- {
-		entry := &l.entries[position]
+	for i := len(l.entries) - 1; i >= 0; i-- {
+		entry := &l.entries[i]
 		if entry.Kind == EntryVoters && entry.Index <= index {
 			return entry.Voters
 		}
@@ -64,9 +64,9 @@
 
 // lastVotersIndex returns the index of the latest voters entry, or the snapshot's index.
 func (l *replicatedLog) lastVotersIndex() uint64 {
-	for position := len(l.entries) - 1; position >= 0; position-- {
-		if l.entries[position].Kind == EntryVoters {
-			return l.entries[position].Index
+	for i := len(l.entries) - 1; i >= 0; i-- {
+		if l.entries[i].Kind == EntryVoters {
+			return l.entries[i].Index
 		}
 	}
 	return l.snapshot.Index
--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -64,8 +64,8 @@
 	leader           identity.Identity
 	votes            map[identity.Identity]bool
 	electionDeadline time.Time
-	// heardLeader is when a message of this term's leader was last received (section 4.2.3).
-	heardLeader time.Time
+	// lastLeaderMessage is when a message of this term's leader was last received (section 4.2.3).
+	lastLeaderMessage time.Time
 
 	progress      map[identity.Identity]*progress
 	round         uint64
@@ -88,7 +88,7 @@
 func (r *Replica) Found(now time.Time, epoch Epoch, index uint64, data []byte) Output {
 	r.reset(epoch, Snapshot{Term: 1, Index: index, Voters: []identity.Identity{r.self}, Data: data})
 	r.becomeCandidate(now)
-	return r.take()
+	return r.takeOutput()
 }
 
 func (r *Replica) reset(epoch Epoch, snapshot Snapshot) {
@@ -129,7 +129,7 @@
 // IsVoter reports whether the replica is among the latest voters.
 func (r *Replica) IsVoter() bool { return slices.Contains(r.Voters(), r.self) }
 
-func (r *Replica) take() Output {
+func (r *Replica) takeOutput() Output {
 	output := r.output
 	r.output = Output{}
 	return output
@@ -145,15 +145,15 @@
 }
 
 func (r *Replica) resetElectionDeadline(now time.Time) {
-	spread := time.Duration(r.random.Int64N(int64(r.config.ElectionTimeout)))
-	r.electionDeadline = now.Add(r.config.ElectionTimeout + spread)
+	jitter := time.Duration(r.random.Int64N(int64(r.config.ElectionTimeout)))
+	r.electionDeadline = now.Add(r.config.ElectionTimeout + jitter)
 }
 
 // Tick runs all timers. Call it at least once per HeartbeatInterval.
 func (r *Replica) Tick(now time.Time) Output {
 	if r.role == Leader {
 		r.tickLeader(now)
-		return r.take()
+		return r.takeOutput()
 	}
 	if r.electionDeadline.IsZero() {
 		r.resetElectionDeadline(now)
@@ -161,7 +161,7 @@
 	if !now.Before(r.electionDeadline) && r.IsVoter() {
 		r.becomePreCandidate(now)
 	}
-	return r.take()
+	return r.takeOutput()
 }
 
 // Step handles one message. It ignores messages to other identities and, except from a leader of a
@@ -183,7 +183,7 @@
 		r.becomeFollower(now, message.Term, identity.Identity{})
 	}
 	r.dispatch(now, message)
-	return r.take()
+	return r.takeOutput()
 }
 
 // mayRaiseTerm keeps a removed or partitioned replica from disrupting a group with an active leader
@@ -197,35 +197,35 @@
 		// A granted pre-vote carries the requested term, which has not begun.
 		return !message.Accepted
 	case VoteRequest:
-		return !r.leaderIsFresh(now)
+		return !r.hasActiveLeader(now)
 	default:
 		return true
 	}
 }
 
-func (r *Replica) leaderIsFresh(now time.Time) bool {
+func (r *Replica) hasActiveLeader(now time.Time) bool {
 	if r.role == Leader {
 		return true
 	}
-	return !r.leader.IsZero() && now.Sub(r.heardLeader) < r.config.ElectionTimeout
+	return !r.leader.IsZero() && now.Sub(r.lastLeaderMessage) < r.config.ElectionTimeout
 }
 
 func (r *Replica) dispatch(now time.Time, message *Message) {
 	switch message.Kind {
 	case PreVoteRequest:
-		r.answerPreVote(now, message)
+		r.handlePreVoteRequest(now, message)
 	case PreVoteReply:
-		r.countPreVote(now, message)
+		r.handlePreVoteReply(now, message)
 	case VoteRequest:
-		r.answerVote(now, message)
+		r.handleVoteRequest(now, message)
 	case VoteReply:
-		r.countVote(now, message)
+		r.handleVoteReply(now, message)
 	case AppendRequest:
-		r.answerAppend(now, message)
+		r.handleAppendRequest(now, message)
 	case AppendReply:
-		r.countAppend(now, message)
+		r.handleAppendReply(now, message)
 	case SnapshotRequest:
-		r.answerSnapshot(now, message)
+		r.handleSnapshotRequest(now, message)
 	}
 }
 
