--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -73,13 +73,13 @@
 	} {
 		next, outcome := state.Apply(test.change)
 		assert.ErrorContains(t, outcome.Refusal, test.text)
-		assert.Equal(t, next, state, "a refused change must change nothing")
+		assert.Equal(t, next, state, "a refused change must not modify the state")
 	}
 }
 
-// TestInvariants runs random changes and checks what must hold after each:
-// revisions never fall, numbers and live addresses are unique, states only grow,
-// and the CBOR form is faithful.
+// TestInvariants checks after each random change that the revision grows by at most one, target states
+// never decrease and non-retired targets have distinct addresses, and at the end that the state survives
+// an encoding round trip.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := &State{}
@@ -96,20 +96,20 @@
 				Target:            Target{Name: targetName, Address: netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), port), Zone: "z", Weight: 1},
 			})
 			if next.Revision < state.Revision || next.Revision > state.Revision+1 {
-				t.Fatalf("revision went from %d to %d", state.Revision, next.Revision)
+				t.Fatalf("revision changed from %d to %d", state.Revision, next.Revision)
 			}
 			state = next
 			addresses := map[netip.AddrPort]bool{}
 			for _, target := range state.Targets {
 				if target.State < states[target.Number] {
-					t.Fatalf("target %d went back from %d to %d", target.Number, states[target.Number], target.State)
+					t.Fatalf("state of target %d decreased from %d to %d", target.Number, states[target.Number], target.State)
 				}
 				states[target.Number] = target.State
 				if target.State == TargetRetired {
 					continue
 				}
 				if addresses[target.Address] {
-					t.Fatalf("address %v serves two targets", target.Address)
+					t.Fatalf("address %v is used by two targets", target.Address)
 				}
 				addresses[target.Address] = true
 			}
