--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -24,37 +24,37 @@
 	}
 }
 
-func accepted(t *testing.T, state *State, change *Change) (*State, Outcome) {
+func mustApply(t *testing.T, state *State, change *Change) (*State, Outcome) {
 	t.Helper()
 	next, outcome := state.Apply(change)
 	assert.Assert(t, outcome.Refusal == nil, "%v", outcome.Refusal)
 	return next, outcome
 }
 
-func TestTheSameRequestRunsOnce(t *testing.T) {
-	state, first := accepted(t, &State{}, newService("roster", "192.0.2.1:443"))
-	again, second := accepted(t, state, newService("roster", "192.0.2.1:443"))
+func TestRepeatedRequestIsAppliedOnce(t *testing.T) {
+	state, first := mustApply(t, &State{}, newService("roster", "192.0.2.1:443"))
+	again, second := mustApply(t, state, newService("roster", "192.0.2.1:443"))
 	assert.Assert(t, second.Repeated)
 	assert.Equal(t, first.Number, second.Number)
 	assert.Equal(t, again.Revision, state.Revision)
 }
 
-func TestNumbersAreNeverUsedAgainAndAddressesAreHeldDown(t *testing.T) {
-	state, _ := accepted(t, &State{}, newService("roster", "192.0.2.1:443"))
-	state, _ = accepted(t, state, newService("ledger", "192.0.2.2:443"))
-	state, first := accepted(t, state, newTarget("roster", "one", "10.0.0.1:443", 1000))
-	state, _ = accepted(t, state, &Change{
+func TestNumbersAreNotReusedAndAddressesAreHeldDown(t *testing.T) {
+	state, _ := mustApply(t, &State{}, newService("roster", "192.0.2.1:443"))
+	state, _ = mustApply(t, state, newService("ledger", "192.0.2.2:443"))
+	state, first := mustApply(t, state, newTarget("roster", "one", "10.0.0.1:443", 1000))
+	state, _ = mustApply(t, state, &Change{
 		RequestIdentifier: "retire", Operation: RetireTarget, Time: 1000,
 		Service: Service{Name: "roster"}, Target: Target{Name: "one"},
 	})
 	_, outcome := state.Apply(newTarget("ledger", "two", "10.0.0.1:443", 1001))
 	assert.ErrorContains(t, outcome.Refusal, "held down")
-	_, second := accepted(t, state, newTarget("ledger", "two", "10.0.0.1:443", 1301))
+	_, second := mustApply(t, state, newTarget("ledger", "two", "10.0.0.1:443", 1301))
 	assert.Assert(t, second.Number > first.Number)
 }
 
 func TestRefusalsNameFieldAndValue(t *testing.T) {
-	state, _ := accepted(t, &State{}, newService("roster", "192.0.2.1:443"))
+	state, _ := mustApply(t, &State{}, newService("roster", "192.0.2.1:443"))
 	heavy := newTarget("roster", "one", "10.0.0.1:443", 1)
 	heavy.Target.Weight = 1001
 	unnamed := newService("Roster", "192.0.2.9:443")
