--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -15,45 +15,43 @@
 	"github.com/passtray/passtray/internal/membership"
 )
 
-// Config holds the core's timings and bounds.
+// Config holds the control core's timings and bounds.
 type Config struct {
 	Membership membership.Config
 	Consensus  consensus.Config
-	// Voters is how many daemons vote on the configuration, 1, 3 or 5. Five
-	// survive two losses at once; three cost less.
+	// Voters is the number of Raft voters: 1, 3 or 5.
 	Voters int
-	// FormationDelay is how long a daemon looks for a group before it lets one
-	// be founded. Longer makes two groups less likely when machines start
-	// unevenly.
+	// FormationDelay is how long a daemon searches for an existing group before it grants a founder.
+	// Longer delays make two groups less likely when machines start at different times.
 	FormationDelay time.Duration
-	// FormationRetry is how often the would-be founder asks.
+	// FormationRetry is the period of a founder's grant requests.
 	FormationRetry time.Duration
-	// PullDelay is how long a daemon that is behind waits for gossip before it
-	// pulls; PullTimeout how long a pull may take before another peer is asked.
+	// PullDelay is how long a daemon that is behind waits for gossip before it pulls, PullTimeout the
+	// minimum time between two pulls unless the first is answered.
 	PullDelay   time.Duration
 	PullTimeout time.Duration
-	// RenewalInterval is how often the leader renews everybody's lease, and
-	// LeaseDuration how long one lasts. A lease must outlast several epidemic
-	// rounds, or daemons at the edge lose it without a fault.
+	// RenewalInterval is how often the leader issues a lease renewal, LeaseDuration how long a lease
+	// is valid. It must exceed several gossip rounds, or daemons reached late lose their leases
+	// without a failure.
 	RenewalInterval time.Duration
 	LeaseDuration   time.Duration
-	// ProposalRetry is how often an unanswered proposal is sent again, and
-	// ProposalTimeout when its outcome is given up as unknown.
+	// ProposalRetry is the retransmission interval of an unanswered proposal, ProposalTimeout the time
+	// after which its outcome is reported as unknown.
 	ProposalRetry   time.Duration
 	ProposalTimeout time.Duration
-	// StatusTimeout is how long RequestStatus waits for silent daemons.
+	// StatusTimeout is how long RequestStatus waits for responses.
 	StatusTimeout time.Duration
-	// CompactAfter is how many entries a voter keeps before it snapshots.
+	// CompactAfter is the log length above which a voter compacts its log.
 	CompactAfter int
-	// MembersSyncInterval is how often the whole member list is compared with
-	// one random peer, to repair what gossip lost.
+	// MembersSyncInterval is the period of anti-entropy: a comparison of the full member list with a
+	// random peer, which repairs gossip losses.
 	MembersSyncInterval time.Duration
-	// BacklogSyncInterval takes its place while more happens than gossip can
-	// carry, as when a region starts.
+	// BacklogSyncInterval replaces MembersSyncInterval while updates exceed what gossip can carry, as
+	// when a region starts.
 	BacklogSyncInterval time.Duration
 }
 
-// DefaultLANConfig suits a region of a few milliseconds.
+// DefaultLANConfig is for round-trip times of a few milliseconds.
 func DefaultLANConfig() Config {
 	return Config{
 		Membership:          membership.DefaultLANConfig(),
@@ -74,7 +72,7 @@
 	}
 }
 
-// Core is one daemon's part in the fleet. It is not safe for concurrent use.
+// Core is one daemon's control plane. It is not safe for concurrent use.
 type Core struct {
 	config  Config
 	self    identity.Identity
@@ -98,7 +96,7 @@
 	output Output
 }
 
-// NewCore makes the core of a daemon that has just started.
+// NewCore returns the core of a daemon that starts now. All randomness comes from random.
 func NewCore(config Config, self membership.Member, now time.Time, random *rand.Rand) *Core {
 	core := &Core{
 		config:   config,
@@ -115,19 +113,18 @@
 	return core
 }
 
-// Self returns this daemon's identity.
 func (c *Core) Self() identity.Identity { return c.self }
 
-// State returns the configuration in force.
+// State returns the active configuration.
 func (c *Core) State() *catalog.State { return c.store.State() }
 
-// Version returns how far the configuration in force has come.
+// Version returns the version of the active configuration.
 func (c *Core) Version() dissemination.Version { return c.store.Version() }
 
-// IsCaughtUp reports whether this daemon has held a lease since its start, and so
-// all that was committed then, or has a configuration for so long without one
-// that the fleet must be without a leader. Until then its configuration may be
-// any old one, a voter's even the first.
+// IsCaughtUp reports whether this daemon has held a lease since its start, and so has everything that
+// was committed when that lease was issued, or has been in a group for longer than LeaseDuration
+// without one, in which case the group probably has no leader. Before that its configuration may be
+// arbitrarily old.
 func (c *Core) IsCaughtUp(now time.Time) bool {
 	if !c.isFormed() {
 		return false
@@ -138,27 +135,26 @@
 	return !c.formedAt.IsZero() && now.Sub(c.formedAt) > c.config.LeaseDuration
 }
 
-// Live returns the daemons present, ordered by identity.
+// Live returns the alive and suspected daemons, ordered by identity.
 func (c *Core) Live() []membership.Member { return c.group.Live() }
 
-// Known returns every daemon remembered: those present, and those that left or
-// died lately.
+// Known returns every known daemon, including those that left or were declared dead recently.
 func (c *Core) Known() []membership.Member { return c.group.All() }
 
-// IsLeader reports whether this daemon leads the voters.
+// IsLeader reports whether this daemon is the Raft leader.
 func (c *Core) IsLeader() bool { return c.replica.Role() == consensus.Leader }
 
-// Replica gives read access to the consensus, for status and checks.
+// Replica returns the Raft replica for read access, for status and checks.
 func (c *Core) Replica() *consensus.Replica { return c.replica }
 
-// SetSeeds replaces the machine list: addresses where daemons may be found.
+// SetSeeds replaces the machine list: control addresses at which daemons may run.
 func (c *Core) SetSeeds(seeds []netip.AddrPort) {
 	c.seeds = slices.Clone(seeds)
 	c.group.SetSeeds(seeds)
 }
 
-// Leave says good-bye to the group. Voting goes on until the leader has put
-// another daemon in this one's place, so Tick and the handlers stay in use.
+// Leave announces that this daemon leaves. Keep calling Tick and the handlers: it votes until the
+// leader has replaced it as a voter.
 func (c *Core) Leave(now time.Time) Output {
 	c.takeMembership(now, c.group.Leave(now))
 	return c.take()
@@ -184,7 +180,7 @@
 	c.output.Datagrams = append(c.output.Datagrams, Datagram{To: to, Bytes: framed})
 }
 
-// Tick lets time pass. It is to be called about every 50 ms.
+// Tick runs all timers. Call it about every 50 ms.
 func (c *Core) Tick(now time.Time) Output {
 	if c.formedAt.IsZero() && c.isFormed() {
 		c.formedAt = now
@@ -201,8 +197,7 @@
 	return c.take()
 }
 
-// HandleDatagram takes one opened datagram. One that cannot be read changes
-// nothing.
+// HandleDatagram handles one decrypted datagram. It ignores invalid ones.
 func (c *Core) HandleDatagram(now time.Time, from netip.AddrPort, datagram []byte) Output {
 	if len(datagram) == 0 {
 		return Output{}
@@ -219,7 +214,7 @@
 	return c.take()
 }
 
-// HandleStream takes one message from an authenticated peer.
+// HandleStream handles one message from an authenticated peer.
 func (c *Core) HandleStream(now time.Time, message *PeerMessage) Output {
 	from := message.From.Address
 	switch {
@@ -270,7 +265,7 @@
 
 func (c *Core) tickMembersSync(now time.Time) {
 	if c.group.HasBacklog() && c.nextSync.After(now.Add(2*c.config.BacklogSyncInterval)) {
-		// Spread over an interval, or all would ask at once.
+		// Add jitter, or all daemons would send their requests at once.
 		spread := time.Duration(c.random.Int64N(int64(c.config.BacklogSyncInterval)))
 		c.nextSync = now.Add(c.config.BacklogSyncInterval + spread)
 	}
@@ -300,7 +295,7 @@
 	}
 }
 
-// takeConsensus carries the replica's output on.
+// takeConsensus sends the replica's messages and applies its snapshot and committed entries.
 func (c *Core) takeConsensus(now time.Time, output consensus.Output) {
 	for index := range output.Messages {
 		message := output.Messages[index]
@@ -321,7 +316,7 @@
 	c.noteLeadership()
 }
 
-// applyCommitted puts entries in force, passes them on and answers proposals.
+// applyCommitted applies committed entries, gossips them and answers their proposals.
 func (c *Core) applyCommitted(now time.Time, epoch consensus.Epoch, entries []consensus.Entry) {
 	applied, err := c.store.Apply(epoch, entries)
 	c.noteUnreadable(err)
--- a/internal/control/formation.go
+++ b/internal/control/formation.go
@@ -8,13 +8,11 @@
 	"github.com/passtray/passtray/internal/identity"
 )
 
-// formation is how a fleet that has no group yet gets exactly one. The live
-// daemon with the lowest address asks all others. Each daemon grants one founder
-// only, and only after it has itself looked for a group for a while. The founder
-// needs a majority of the machine list. Two founders would need two majorities,
-// and so one daemon that granted twice; a daemon that restarts forgets its
-// grant, but then looks for a group longer than the first founder needs to
-// become known.
+// formation elects the single founder of a group in a fleet that has none. The live daemon with the
+// lowest address requests grants from all others and needs those of a majority of the known machines.
+// A daemon grants only one founder, and only after it has searched for a group for FormationDelay.
+// Two founders would thus need a daemon that granted both. A restarted daemon has lost its grant, but
+// its search takes longer than the first founder's group needs to become known.
 type formation struct {
 	granted     identity.Identity
 	grants      map[identity.Identity]bool
@@ -29,7 +27,7 @@
 	return now.Sub(c.started) >= c.config.FormationDelay
 }
 
-// isNaturalFounder reports whether no live daemon has a lower address.
+// isNaturalFounder reports whether the candidate has the lowest identity of all live daemons.
 func (c *Core) isNaturalFounder(candidate identity.Identity) bool {
 	return c.group.Live()[0].Identity == candidate
 }
@@ -52,9 +50,8 @@
 	c.foundIfGranted(now)
 }
 
-// mayGrant reports whether a founder may have this daemon's grant. A grant to a
-// daemon that has died since is void: it can have founded nothing that a live
-// daemon would not know of by now.
+// mayGrant reports whether this daemon may grant a founder. A grant to a daemon that is no longer live
+// does not count: had it founded a group, a live daemon would know of the group by now.
 func (c *Core) mayGrant(now time.Time, founder identity.Identity) bool {
 	if c.isFormed() || !c.hasLookedLongEnough(now) || !c.isNaturalFounder(founder) {
 		return false
@@ -86,8 +83,7 @@
 	c.found(now, consensus.Epoch{Number: firstEpochNumber, Group: c.random.Uint64()}, EventGroupFounded)
 }
 
-// fleetSize is the number of machines that exist as far as is known: those
-// listed and those met.
+// fleetSize is the number of known machines: live daemons and seeds without one.
 func (c *Core) fleetSize() int {
 	size := len(c.group.Live())
 	for _, seed := range c.seeds {
@@ -102,8 +98,8 @@
 	return size
 }
 
-// found starts a group of this daemon alone, with the configuration in force on
-// it; tickVoters then adds the others one at a time.
+// found founds a group with this daemon as its only voter and its active configuration as the state.
+// tickVoters then adds the other voters one at a time.
 func (c *Core) found(now time.Time, epoch consensus.Epoch, kind EventKind) {
 	version := dissemination.Version{Epoch: epoch, Index: c.store.Version().Index + 1}
 	state := c.store.State().Encode()
@@ -116,10 +112,10 @@
 	c.takeConsensus(now, c.replica.Found(now, epoch, version.Index, state))
 }
 
-// Recover founds the group anew from the configuration in force here, under a
-// higher epoch, after a majority of its voters was lost for good. What was
-// accepted and had not reached this daemon is lost. It is an operator's
-// decision: were the old majority alive, this would be a second group.
+// Recover founds a new group with a higher epoch number from this daemon's active configuration, after
+// a majority of the voters was lost permanently. Changes that were committed but have not reached this
+// daemon are lost. It must be an operator's decision: if the old majority is alive, there are two
+// groups.
 func (c *Core) Recover(now time.Time) Output {
 	epoch := consensus.Epoch{Number: c.store.Version().Epoch.Number + 1, Group: c.random.Uint64()}
 	c.found(now, epoch, EventGroupRecovered)
--- a/internal/control/lease.go
+++ b/internal/control/lease.go
@@ -8,19 +8,18 @@
 	"github.com/passtray/passtray/internal/identity"
 )
 
-// lease tells a daemon whether its configuration may still be taken for the
-// newest (Gray and Cheriton, "Leases", 1989). The leader, while it holds its
-// quorum, makes a higher renewal every RenewalInterval; renewals travel on the digests.
-// A renewal counts for a daemon only if it has in force all that was committed
-// when the renewal was made.
+// lease bounds the staleness of a daemon's configuration (Gray and Cheriton, "Leases", 1989). While it
+// has a quorum, the leader issues a higher renewal number every RenewalInterval, which digests
+// carry to all daemons. A renewal extends a daemon's lease only once the daemon has applied everything
+// that was committed when the renewal was issued.
 type lease struct {
-	// epoch is the group the renewals belong to; another group counts anew.
+	// epoch is the group that issued the renewals; each group has its own numbering.
 	epoch        consensus.Epoch
 	renewal      uint64
 	renewalIndex uint64
 	leader       identity.Identity
 	renewed      time.Time
-	// waiting is a renewal whose index is not in force here yet.
+	// waiting is the highest renewal whose index is not applied here yet.
 	waiting     digest
 	nextRenewal time.Time
 	isOver      bool
@@ -48,7 +47,7 @@
 	return true
 }
 
-// caughtUp counts a renewal that waited for its index.
+// caughtUp applies the waiting renewal if its index has been reached.
 func (l *lease) caughtUp(now time.Time, version dissemination.Version) {
 	if l.waiting.Renewal > l.renewal && l.waiting.Version.Epoch == version.Epoch {
 		waiting := l.waiting
@@ -70,8 +69,8 @@
 	}
 }
 
-// issueRenewal renews the lease of all. The term in the upper bits lets a new
-// leader's renewals override an old one's.
+// issueRenewal issues a renewal of all daemons' leases. The term in its upper bits makes a new leader's
+// renewals higher than those of the old one.
 func (c *Core) issueRenewal(now time.Time) {
 	if epoch := c.store.Version().Epoch; c.lease.epoch != epoch {
 		c.lease = lease{epoch: epoch, isOver: c.lease.isOver}
@@ -85,15 +84,13 @@
 	c.refreshDigest()
 }
 
-// HoldsLease reports whether the configuration in force here was confirmed
-// within the lease. It is a question about now: after a pause it says no before
-// anything is done on the old state.
+// HoldsLease reports whether the active configuration was confirmed within LeaseDuration before now.
+// It needs no tick, so after a pause it returns false before stale state is used.
 func (c *Core) HoldsLease(now time.Time) bool {
 	return !c.lease.renewed.IsZero() && now.Sub(c.lease.renewed) < c.config.LeaseDuration
 }
 
-// LeaseEnds returns when the lease runs out unless renewed, zero if there never
-// was one.
+// LeaseEnds returns when the lease expires unless renewed, zero if there never was one.
 func (c *Core) LeaseEnds() time.Time {
 	if c.lease.renewed.IsZero() {
 		return time.Time{}
--- a/internal/control/message.go
+++ b/internal/control/message.go
@@ -1,6 +1,6 @@
-// Package control makes many daemons act as one: it joins membership, consensus
-// and dissemination into one core without I/O. A daemon drives it with sockets,
-// the simulator with virtual time.
+// Package control is a daemon's control plane: it combines membership (SWIM), consensus (Raft) and
+// the dissemination of the configuration. It does no I/O: a daemon runs it with sockets and real time,
+// the simulator with a virtual network and virtual time.
 package control
 
 import (
@@ -16,8 +16,8 @@
 	"github.com/passtray/passtray/internal/membership"
 )
 
-// PeerMessage is what daemons say to each other over authenticated streams.
-// Exactly one of the pointers is set.
+// PeerMessage is a message between daemons over an authenticated stream. Exactly one of the pointers is
+// set.
 type PeerMessage struct {
 	From           identity.Identity     `cbor:"1,keyasint"`
 	Consensus      *consensus.Message    `cbor:"2,keyasint,omitempty"`
@@ -31,46 +31,45 @@
 	Grant          *Grant                `cbor:"10,keyasint,omitempty"`
 }
 
-// Pull asks for what came after a version.
+// Pull requests the configuration after a version; an Update answers it if there is a newer one.
 type Pull struct {
 	Have dissemination.Version `cbor:"1,keyasint"`
 }
 
-// MembersRequest asks for the members that the asker lacks or holds differently.
+// MembersRequest requests the members that the requester lacks or has in another state.
 type MembersRequest struct {
-	// Self is the asker.
+	// Self is the requester.
 	Self membership.Member `cbor:"1,keyasint"`
-	// Fingerprints are those of the asker's members, packed.
+	// Fingerprints are those of the requester's members, from membership.Group.Fingerprints.
 	Fingerprints []byte `cbor:"2,keyasint"`
 }
 
-// Members answers it.
+// Members answers a MembersRequest unless there is no difference.
 type Members struct {
 	Known []membership.Member `cbor:"1,keyasint"`
 }
 
-// Proposal asks the leader to commit a change.
+// Proposal requests the leader to commit a change.
 type Proposal struct {
 	Token  uint64         `cbor:"1,keyasint"`
 	Change catalog.Change `cbor:"2,keyasint"`
 }
 
-// ProposalStatus says what became of a proposal.
+// ProposalStatus is the result of a proposal.
 type ProposalStatus uint8
 
-// The proposal statuses.
 const (
-	// ProposalDecided: Outcome holds the answer.
+	// ProposalDecided: the change was applied or refused, as in Outcome.
 	ProposalDecided ProposalStatus = iota + 1
-	// ProposalNotLeader: ask Leader, if known.
+	// ProposalNotLeader: retry at Leader, if it is known.
 	ProposalNotLeader
-	// ProposalNotReady: the group has not grown to its voters yet.
+	// ProposalNotReady: the group has too few voters as yet.
 	ProposalNotReady
-	// ProposalUnknown: it may or may not have been committed.
+	// ProposalUnknown: the change may or may not have been committed.
 	ProposalUnknown
 )
 
-// ProposalResult answers a proposal.
+// ProposalResult answers a Proposal.
 type ProposalResult struct {
 	Token   uint64            `cbor:"1,keyasint"`
 	Status  ProposalStatus    `cbor:"2,keyasint"`
@@ -79,10 +78,10 @@
 	Leader  identity.Identity `cbor:"5,keyasint"`
 }
 
-// GrantRequest asks a daemon without a group to let the asker found one.
+// GrantRequest requests a daemon's grant to found a group.
 type GrantRequest struct{}
 
-// Grant answers it.
+// Grant answers a GrantRequest.
 type Grant struct {
 	Granted bool `cbor:"1,keyasint"`
 }
@@ -96,12 +95,12 @@
 	datagramStatusReply
 )
 
-// statusQuery asks a daemon what it has in force.
+// statusQuery requests a daemon's StatusReport.
 type statusQuery struct {
 	Token uint64 `cbor:"1,keyasint"`
 }
 
-// StatusReport is one daemon's state as it reports it.
+// StatusReport is one daemon's own report of its configuration and role.
 type StatusReport struct {
 	Token    uint64                `cbor:"1,keyasint"`
 	Identity identity.Identity     `cbor:"2,keyasint"`
@@ -111,17 +110,17 @@
 	Leader   bool                  `cbor:"6,keyasint"`
 }
 
-// digest rides on every membership message.
+// digest is piggybacked on every membership message.
 type digest struct {
 	Version dissemination.Version `cbor:"1,keyasint"`
-	// Renewal grows while a leader holds its quorum; RenewalIndex is the index that
-	// was committed when the leader made it.
+	// Renewal is the number of the latest lease renewal; RenewalIndex is the leader's commit index
+	// when it was issued, Leader who issued it.
 	Renewal      uint64            `cbor:"2,keyasint,omitempty"`
 	RenewalIndex uint64            `cbor:"3,keyasint,omitempty"`
 	Leader       identity.Identity `cbor:"4,keyasint,omitempty"`
 }
 
-// entryBroadcast spreads one committed entry.
+// entryBroadcast is one committed entry, sent by gossip.
 type entryBroadcast struct {
 	Epoch consensus.Epoch `cbor:"1,keyasint"`
 	Entry consensus.Entry `cbor:"2,keyasint"`
@@ -130,62 +129,60 @@
 func encode(value any) []byte {
 	encoded, err := cbor.Marshal(value)
 	if err != nil {
-		panic(eris.Wrap(err, "a control message always has a CBOR form"))
+		panic(eris.Wrap(err, "encode control message"))
 	}
 	return encoded
 }
 
-// Datagram is bytes for one peer's control address.
+// Datagram is to be sent to a peer's control address.
 type Datagram struct {
 	To    netip.AddrPort
 	Bytes []byte
 }
 
-// StreamMessage is a message for one peer's control address.
+// StreamMessage is to be sent on the stream to a peer's control address.
 type StreamMessage struct {
 	To      netip.AddrPort
 	Message PeerMessage
 }
 
-// Output is what one call of the core has brought forth.
+// Output is the result of one call.
 type Output struct {
 	Datagrams []Datagram
 	Streams   []StreamMessage
-	// ConfigurationChanged and MembersChanged ask the caller to read State and
-	// Live again.
+	// ConfigurationChanged and MembersChanged report that State and Live may return other values.
 	ConfigurationChanged bool
 	MembersChanged       bool
 	// Results answer Submit.
 	Results []ProposalResult
 	// Statuses answer RequestStatus.
 	Statuses []FleetStatus
-	// Events are for the log.
+	// Events are to be logged.
 	Events []Event
 }
 
-// EventKind says what happened.
+// EventKind is an event's log message.
 type EventKind string
 
-// The kinds of events.
 const (
 	EventGroupFounded   EventKind = "group founded"
 	EventLeaderElected  EventKind = "became leader"
 	EventLeaderLost     EventKind = "stopped leading"
 	EventVotersChanged  EventKind = "voters changed"
-	EventConflict       EventKind = "another group was founded apart"
-	EventUnreadable     EventKind = "configuration update unreadable"
-	EventLeaseOver      EventKind = "lease over"
+	EventConflict       EventKind = "peer is in a conflicting group"
+	EventUnreadable     EventKind = "invalid configuration update"
+	EventLeaseOver      EventKind = "lease expired"
 	EventLeaseRenewed   EventKind = "lease renewed"
 	EventGroupRecovered EventKind = "group recovered by force"
 )
 
-// Event is something an operator may want to read in the log.
+// Event is to be logged, with Detail as a field.
 type Event struct {
 	Kind   EventKind
 	Detail string
 }
 
-// FleetStatus answers RequestStatus.
+// FleetStatus answers RequestStatus. Members without a report did not respond.
 type FleetStatus struct {
 	Token   uint64
 	Members []membership.Member
--- a/internal/control/proposals.go
+++ b/internal/control/proposals.go
@@ -11,23 +11,24 @@
 	"github.com/passtray/passtray/internal/identity"
 )
 
-// submission is a change one of this daemon's operators waits for.
+// submission is a change that was submitted to this daemon and has no result yet.
 type submission struct {
 	change   catalog.Change
 	deadline time.Time
 	nextSend time.Time
 }
 
-// inFlight is a change this daemon, as leader, has put into the log.
+// inFlight is a proposal that this daemon, as leader, has appended to the log.
 type inFlight struct {
 	from  identity.Identity
 	token uint64
 	term  uint64
 }
 
-// proposals brings changes to the leader and answers back. Sending a change
-// again is safe: its request identifier makes it run once.
+// proposals sends submitted changes to the leader and results back. Retransmissions are safe, since a
+// change is applied once per request identifier.
 type proposals struct {
+	// submitted is by token, inFlight and outcomes by log index.
 	submitted map[uint64]*submission
 	inFlight  map[uint64][]inFlight
 	outcomes  map[uint64]catalog.Outcome
@@ -39,15 +40,15 @@
 	p.outcomes = map[uint64]catalog.Outcome{}
 }
 
-// noteOutcome keeps the outcome of an entry somebody waits for.
+// noteOutcome stores the outcome of an entry with a proposal in flight.
 func (p *proposals) noteOutcome(applied *dissemination.Applied) {
 	if len(p.inFlight[applied.Entry.Index]) > 0 {
 		p.outcomes[applied.Entry.Index] = applied.Outcome
 	}
 }
 
-// Submit asks the fleet to commit a change. The answer comes in
-// Output.Results under the token, at the latest after ProposalTimeout.
+// Submit proposes a change. Its result is in Output.Results with the token, at the latest after
+// ProposalTimeout.
 func (c *Core) Submit(now time.Time, token uint64, change *catalog.Change) Output {
 	c.proposals.submitted[token] = &submission{change: *change, deadline: now.Add(c.config.ProposalTimeout)}
 	c.tickProposals(now)
@@ -74,8 +75,8 @@
 	}
 }
 
-// guessLeader is the replica's leader on a voter, else the maker of the newest
-// renewal, else any voter.
+// guessLeader returns the Raft leader if this daemon is a voter, else the issuer of the latest lease
+// renewal, else a random voter.
 func (c *Core) guessLeader() identity.Identity {
 	if leader := c.replica.Leader(); !leader.IsZero() && leader != c.self && c.IsVoter() {
 		return leader
@@ -98,7 +99,7 @@
 	c.output.Results = append(c.output.Results, result)
 }
 
-// reply answers a proposal to wherever it came from.
+// reply sends a proposal's result to the daemon it came from, possibly this one.
 func (c *Core) reply(now time.Time, to identity.Identity, result ProposalResult) {
 	result.Epoch = c.store.Version().Epoch
 	if to == c.self {
@@ -122,7 +123,7 @@
 		return
 	}
 	if _, outcome := c.store.State().Apply(&proposal.Change); outcome.Refusal != nil && outcome.Refusal.Code == catalog.RefusedInvalid {
-		// Wrong whatever the state: it need not travel through the log.
+		// An invalid change is refused without a log entry.
 		result.Status = ProposalDecided
 		result.Outcome = outcome
 		c.reply(now, from, result)
@@ -144,8 +145,8 @@
 	c.takeConsensus(now, output)
 }
 
-// answerCommitted answers the proposals that entries decide: with the outcome
-// if the entry is theirs, else that another leader's entry took the place.
+// answerCommitted answers the proposals in flight at the committed indexes: with the outcome if the
+// committed entry is theirs, else with ProposalNotLeader, as another leader's entry replaced it.
 func (c *Core) answerCommitted(entries []consensus.Entry) {
 	for _, entry := range entries {
 		waiting := c.proposals.inFlight[entry.Index]
--- a/internal/control/spread.go
+++ b/internal/control/spread.go
@@ -8,10 +8,10 @@
 	"github.com/passtray/passtray/internal/identity"
 )
 
-// spread brings committed entries to every daemon: each entry travels as
-// gossip, and whoever learns from a digest that it is behind and stays so
-// pulls from the peer that is ahead.
+// spread disseminates committed entries to all daemons: by gossip and, for a daemon that is still
+// behind a peer's digest after PullDelay, by a pull from that peer.
 type spread struct {
+	// aheadPeer sent the latest newer digest, aheadSince is when the first one arrived.
 	aheadPeer  identity.Identity
 	aheadSince time.Time
 	pullUntil  time.Time
@@ -73,12 +73,12 @@
 	if c.spread.aheadSince.IsZero() || now.Before(c.spread.pullUntil) {
 		return
 	}
-	// A daemon that has nothing at all does not wait for gossip.
+	// A daemon without a configuration does not wait for gossip.
 	if c.isFormed() && now.Sub(c.spread.aheadSince) < c.config.PullDelay {
 		return
 	}
 	peer := c.spread.aheadPeer
-	// The next digest tells whether there is still something missing.
+	// The next digest shows whether this daemon is still behind.
 	c.spread.aheadSince = time.Time{}
 	c.spread.pullUntil = now.Add(c.config.PullTimeout)
 	c.send(peer.Address, PeerMessage{Pull: &Pull{Have: c.store.Version()}})
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -14,8 +14,8 @@
 	reports  map[identity.Identity]StatusReport
 }
 
-// RequestStatus asks every live daemon what it has in force. The answer comes
-// in Output.Statuses under the token, at the latest after StatusTimeout.
+// RequestStatus queries the status of every live daemon. The result is in Output.Statuses with the
+// token, at the latest after StatusTimeout.
 func (c *Core) RequestStatus(now time.Time, token uint64) Output {
 	pending := &pendingStatus{
 		deadline: now.Add(c.config.StatusTimeout),
@@ -59,7 +59,7 @@
 	c.finishStatus(report.Token, pending)
 }
 
-// finishStatus answers as soon as every member has.
+// finishStatus emits the status if every member has responded.
 func (c *Core) finishStatus(token uint64, pending *pendingStatus) {
 	for _, member := range pending.members {
 		if _, answered := pending.reports[member.Identity]; !answered {
--- a/internal/control/voters.go
+++ b/internal/control/voters.go
@@ -10,10 +10,9 @@
 	"github.com/passtray/passtray/internal/membership"
 )
 
-// tickVoters is the leader's care for its voters: as many as configured, alive,
-// spread over zones. It makes one step at a time and the next only after that
-// is committed. A new voter is added before a dead one is removed, so that the
-// group never rests on fewer live voters than it must.
+// tickVoters makes the leader maintain the configured number of live voters, balanced over zones. It
+// adds or removes one voter at a time, each only after the previous change is committed. A replacement
+// is added before a dead voter is removed, so that the number of live voters does not drop in between.
 func (c *Core) tickVoters(now time.Time) {
 	if !c.IsLeader() {
 		return
@@ -25,14 +24,13 @@
 	}
 	output, err := c.replica.ProposeVoters(now, next)
 	if err != nil {
-		return // The last change is not committed yet; the next tick tries again.
+		return // The last change is not committed yet; retry with the next tick.
 	}
 	c.event(EventVotersChanged, fmt.Sprint(next))
 	c.takeConsensus(now, output)
 }
 
-// nextVoters returns the voters one step nearer to what they should be, nil if
-// they are that already.
+// nextVoters returns the voters after the next single change, nil if none is needed or possible.
 func (c *Core) nextVoters(voters []identity.Identity) []identity.Identity {
 	live := c.group.Live()
 	wanted := wantedVoters(c.config.Voters, len(live))
@@ -40,7 +38,7 @@
 	unbalanced := len(alive) == wanted && c.zonesAreUnbalanced(alive, live)
 	if len(alive) < wanted || unbalanced {
 		if len(voters) > wanted {
-			// One step ahead already: make room first.
+			// An extra voter was already added: remove one first.
 			return without(voters, c.worstVoter(voters))
 		}
 		if candidate, found := c.bestCandidate(voters, live); found {
@@ -54,7 +52,7 @@
 	return nil
 }
 
-// wantedVoters is the largest odd number of voters there are daemons for.
+// wantedVoters is the largest odd number of voters up to configured and live.
 func wantedVoters(configured, live int) int {
 	wanted := min(configured, live)
 	if wanted > 1 && wanted%2 == 0 {
@@ -98,7 +96,7 @@
 	return counts
 }
 
-// zonesAreUnbalanced reports whether moving one voter would spread them better.
+// zonesAreUnbalanced reports whether two zones differ by two or more live voters.
 func (c *Core) zonesAreUnbalanced(alive []identity.Identity, live []membership.Member) bool {
 	counts := countZones(alive, zonesOf(live))
 	least, most := len(alive), 0
@@ -108,7 +106,7 @@
 	return most-least >= 2
 }
 
-// bestCandidate is the longest-running daemon of a zone with the fewest voters.
+// bestCandidate returns the longest-running alive non-voter in the zone with the fewest voters.
 func (c *Core) bestCandidate(voters []identity.Identity, live []membership.Member) (identity.Identity, bool) {
 	zones := zonesOf(live)
 	counts := countZones(voters, zones)
@@ -126,8 +124,8 @@
 	return best, !best.IsZero()
 }
 
-// worstVoter is a dead one, else the newest in the zone with the most voters,
-// and the leader only if it is leaving.
+// worstVoter returns a dead or leaving voter, else the last-started one in the zone with the most
+// voters. It returns the leader only if that is leaving.
 func (c *Core) worstVoter(voters []identity.Identity) identity.Identity {
 	zones := zonesOf(c.group.Live())
 	counts := countZones(voters, zones)
@@ -147,13 +145,13 @@
 	return worst
 }
 
-// hasEnoughVoters reports whether a change accepted now would survive as many
-// losses as the operator asked for, or as the fleet's size allows.
+// hasEnoughVoters reports whether a change committed now would survive as many failures as configured,
+// or as the fleet's size permits.
 func (c *Core) hasEnoughVoters() bool {
 	return len(c.replica.Voters()) >= wantedVoters(c.config.Voters, len(c.group.Live()))
 }
 
-// IsVoter reports whether this daemon is among the voters.
+// IsVoter reports whether this daemon is a voter of its group.
 func (c *Core) IsVoter() bool {
 	return c.replica.Epoch() != (consensus.Epoch{}) && c.replica.IsVoter()
 }
