--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -85,7 +85,7 @@
 	store   *dissemination.Store
 
 	formation formation
-	spread    spread
+	puller    puller
 	lease     lease
 	proposals proposals
 	statuses  map[uint64]*pendingStatus
@@ -129,7 +129,7 @@
 	if !c.isFormed() {
 		return false
 	}
-	if !c.lease.renewed.IsZero() {
+	if !c.lease.renewedAt.IsZero() {
 		return true
 	}
 	return !c.formedAt.IsZero() && now.Sub(c.formedAt) > c.config.LeaseDuration
@@ -156,17 +156,17 @@
 // Leave announces that this daemon leaves. Keep calling Tick and the handlers: it votes until the
 // leader has replaced it as a voter.
 func (c *Core) Leave(now time.Time) Output {
-	c.takeMembership(now, c.group.Leave(now))
-	return c.take()
+	c.handleMembershipOutput(now, c.group.Leave(now))
+	return c.takeOutput()
 }
 
-func (c *Core) take() Output {
+func (c *Core) takeOutput() Output {
 	output := c.output
 	c.output = Output{}
 	return output
 }
 
-func (c *Core) event(kind EventKind, detail string) {
+func (c *Core) addEvent(kind EventKind, detail string) {
 	c.output.Events = append(c.output.Events, Event{Kind: kind, Detail: detail})
 }
 
@@ -186,15 +186,15 @@
 		c.formedAt = now
 	}
 	c.tickLease(now)
-	c.takeMembership(now, c.group.Tick(now))
-	c.takeConsensus(now, c.replica.Tick(now))
+	c.handleMembershipOutput(now, c.group.Tick(now))
+	c.handleConsensusOutput(now, c.replica.Tick(now))
 	c.tickFormation(now)
 	c.tickVoters(now)
-	c.tickSpread(now)
+	c.tickPull(now)
 	c.tickProposals(now)
 	c.tickStatuses(now)
 	c.tickMembersSync(now)
-	return c.take()
+	return c.takeOutput()
 }
 
 // HandleDatagram handles one decrypted datagram. It ignores invalid ones.
@@ -205,13 +205,13 @@
 	content := datagram[1:]
 	switch datagramKind(datagram[0]) {
 	case datagramMembership:
-		c.takeMembership(now, c.group.Step(now, from, content))
+		c.handleMembershipOutput(now, c.group.Step(now, from, content))
 	case datagramStatusQuery:
-		c.answerStatus(from, content)
+		c.handleStatusQuery(from, content)
 	case datagramStatusReply:
-		c.takeStatus(content)
+		c.handleStatusReport(content)
 	}
-	return c.take()
+	return c.takeOutput()
 }
 
 // HandleStream handles one message from an authenticated peer.
@@ -219,46 +219,46 @@
 	from := message.From.Address
 	switch {
 	case message.Consensus != nil:
-		c.takeConsensus(now, c.replica.Step(now, message.Consensus))
+		c.handleConsensusOutput(now, c.replica.Step(now, message.Consensus))
 	case message.Pull != nil:
 		if update, newer := c.store.Since(message.Pull.Have); newer {
 			c.send(from, PeerMessage{Update: &update})
 		}
 	case message.Update != nil:
-		c.takeUpdate(now, message.Update)
+		c.handleUpdate(now, message.Update)
 	case message.MembersRequest != nil:
-		c.takeMembership(now, c.group.Merge(now, []membership.Member{message.MembersRequest.Self}))
+		c.handleMembershipOutput(now, c.group.Merge(now, []membership.Member{message.MembersRequest.Self}))
 		if lacking := c.group.Lacking(message.MembersRequest.Fingerprints); len(lacking) > 0 {
 			c.send(from, PeerMessage{Members: &Members{Known: lacking}})
 		}
 	case message.Members != nil:
-		c.takeMembership(now, c.group.Merge(now, message.Members.Known))
+		c.handleMembershipOutput(now, c.group.Merge(now, message.Members.Known))
 	case message.Proposal != nil:
-		c.takeProposal(now, message.From, message.Proposal)
+		c.handleProposal(now, message.From, message.Proposal)
 	case message.ProposalResult != nil:
-		c.takeProposalResult(now, message.ProposalResult)
+		c.handleProposalResult(now, message.ProposalResult)
 	case message.GrantRequest != nil:
-		c.answerGrant(now, message.From)
+		c.handleGrantRequest(now, message.From)
 	case message.Grant != nil:
-		c.takeGrant(now, message.From, message.Grant)
+		c.handleGrant(now, message.From, message.Grant)
 	}
-	return c.take()
+	return c.takeOutput()
 }
 
-func (c *Core) takeMembership(now time.Time, output membership.Output) {
+func (c *Core) handleMembershipOutput(now time.Time, output membership.Output) {
 	for _, datagram := range output.Datagrams {
 		c.sendDatagram(datagram.To, datagramMembership, datagram.Bytes)
 	}
 	c.output.MembersChanged = c.output.MembersChanged || output.Changed
 	for _, remote := range output.Digests {
-		c.takeDigest(now, remote.From, remote.Digest)
+		c.handleDigest(now, remote.From, remote.Digest)
 	}
 	for _, payload := range output.Broadcasts {
-		c.takeBroadcast(now, payload)
+		c.handleBroadcast(now, payload)
 	}
 	for _, member := range output.Joined {
 		if len(c.group.Live()) <= 2 {
-			c.askMembers(member)
+			c.requestMembers(member)
 		}
 	}
 }
@@ -266,19 +266,19 @@
 func (c *Core) tickMembersSync(now time.Time) {
 	if c.group.HasBacklog() && c.nextSync.After(now.Add(2*c.config.BacklogSyncInterval)) {
 		// Add jitter, or all daemons would send their requests at once.
-		spread := time.Duration(c.random.Int64N(int64(c.config.BacklogSyncInterval)))
-		c.nextSync = now.Add(c.config.BacklogSyncInterval + spread)
+		jitter := time.Duration(c.random.Int64N(int64(c.config.BacklogSyncInterval)))
+		c.nextSync = now.Add(c.config.BacklogSyncInterval + jitter)
 	}
 	if now.Before(c.nextSync) {
 		return
 	}
 	c.nextSync = now.Add(c.config.MembersSyncInterval)
 	if peer, found := c.randomPeer(); found {
-		c.askMembers(peer)
+		c.requestMembers(peer)
 	}
 }
 
-func (c *Core) askMembers(peer identity.Identity) {
+func (c *Core) requestMembers(peer identity.Identity) {
 	c.send(peer.Address, PeerMessage{MembersRequest: &MembersRequest{Self: c.group.Self(), Fingerprints: c.group.Fingerprints()}})
 }
 
@@ -295,8 +295,8 @@
 	}
 }
 
-// takeConsensus sends the replica's messages and applies its snapshot and committed entries.
-func (c *Core) takeConsensus(now time.Time, output consensus.Output) {
+// handleConsensusOutput sends the replica's messages and applies its snapshot and committed entries.
+func (c *Core) handleConsensusOutput(now time.Time, output consensus.Output) {
 	for index := range output.Messages {
 		message := output.Messages[index]
 		c.send(message.To.Address, PeerMessage{Consensus: &message})
@@ -304,7 +304,7 @@
 	if output.Installed != nil {
 		version := dissemination.Version{Epoch: c.replica.Epoch(), Index: output.Installed.Index}
 		installed, err := c.store.Install(version, output.Installed.Voters, output.Installed.Data)
-		c.noteUnreadable(err)
+		c.reportInvalid(err)
 		c.output.ConfigurationChanged = c.output.ConfigurationChanged || installed
 	}
 	if len(output.Committed) > 0 {
@@ -313,39 +313,39 @@
 	if c.replica.LogLength() > c.config.CompactAfter && c.store.Version().Epoch == c.replica.Epoch() {
 		c.replica.Compact(c.store.Version().Index, c.store.State().Encode())
 	}
-	c.noteLeadership()
+	c.reportLeadership()
 }
 
 // applyCommitted applies committed entries, gossips them and answers their proposals.
 func (c *Core) applyCommitted(now time.Time, epoch consensus.Epoch, entries []consensus.Entry) {
 	applied, err := c.store.Apply(epoch, entries)
-	c.noteUnreadable(err)
+	c.reportInvalid(err)
 	for index := range applied {
 		c.group.Broadcast(encode(entryBroadcast{Epoch: epoch, Entry: applied[index].Entry}))
 		c.output.ConfigurationChanged = true
-		c.proposals.noteOutcome(&applied[index])
+		c.proposals.recordOutcome(&applied[index])
 	}
 	c.answerCommitted(entries)
 	if len(applied) > 0 {
 		c.refreshDigest()
-		c.lease.caughtUp(now, c.store.Version())
+		c.lease.applyPending(now, c.store.Version())
 	}
 }
 
-func (c *Core) noteUnreadable(err error) {
+func (c *Core) reportInvalid(err error) {
 	if err != nil {
-		c.event(EventUnreadable, err.Error())
+		c.addEvent(EventUnreadable, err.Error())
 	}
 }
 
-func (c *Core) noteLeadership() {
+func (c *Core) reportLeadership() {
 	if c.IsLeader() != c.wasLeader {
 		c.wasLeader = c.IsLeader()
 		kind := EventLeaderLost
 		if c.wasLeader {
 			kind = EventLeaderElected
 		}
-		c.event(kind, c.self.String())
+		c.addEvent(kind, c.self.String())
 	}
 }
 
--- a/internal/control/formation.go
+++ b/internal/control/formation.go
@@ -14,6 +14,8 @@
 // Two founders would thus need a daemon that granted both. A restarted daemon has lost its grant, but
 // its search takes longer than the first founder's group needs to become known.
 type formation struct {
+	// granted is the founder that this daemon has granted, if any; grants are those that it has
+	// received as a founder.
 	granted     identity.Identity
 	grants      map[identity.Identity]bool
 	nextRequest time.Time
@@ -23,20 +25,20 @@
 
 func (c *Core) isFormed() bool { return !c.store.Version().Epoch.IsZero() }
 
-func (c *Core) hasLookedLongEnough(now time.Time) bool {
+func (c *Core) hasFormationDelayPassed(now time.Time) bool {
 	return now.Sub(c.started) >= c.config.FormationDelay
 }
 
-// isNaturalFounder reports whether the candidate has the lowest identity of all live daemons.
-func (c *Core) isNaturalFounder(candidate identity.Identity) bool {
+// isPreferredFounder reports whether the candidate has the lowest identity of all live daemons.
+func (c *Core) isPreferredFounder(candidate identity.Identity) bool {
 	return c.group.Live()[0].Identity == candidate
 }
 
 func (c *Core) tickFormation(now time.Time) {
-	if c.isFormed() || !c.hasLookedLongEnough(now) || now.Before(c.formation.nextRequest) {
+	if c.isFormed() || !c.hasFormationDelayPassed(now) || now.Before(c.formation.nextRequest) {
 		return
 	}
-	if len(c.group.Live()) == 0 || !c.isNaturalFounder(c.self) || !c.mayGrant(now, c.self) {
+	if len(c.group.Live()) == 0 || !c.isPreferredFounder(c.self) || !c.mayGrant(now, c.self) {
 		return
 	}
 	c.formation.nextRequest = now.Add(c.config.FormationRetry)
@@ -53,14 +55,14 @@
 // mayGrant reports whether this daemon may grant a founder. A grant to a daemon that is no longer live
 // does not count: had it founded a group, a live daemon would know of the group by now.
 func (c *Core) mayGrant(now time.Time, founder identity.Identity) bool {
-	if c.isFormed() || !c.hasLookedLongEnough(now) || !c.isNaturalFounder(founder) {
+	if c.isFormed() || !c.hasFormationDelayPassed(now) || !c.isPreferredFounder(founder) {
 		return false
 	}
 	granted := c.formation.granted
 	return granted.IsZero() || granted == founder || !c.group.IsLive(granted)
 }
 
-func (c *Core) answerGrant(now time.Time, founder identity.Identity) {
+func (c *Core) handleGrantRequest(now time.Time, founder identity.Identity) {
 	granted := len(c.group.Live()) > 0 && c.mayGrant(now, founder)
 	if granted {
 		c.formation.granted = founder
@@ -68,7 +70,7 @@
 	c.send(founder.Address, PeerMessage{Grant: &Grant{Granted: granted}})
 }
 
-func (c *Core) takeGrant(now time.Time, from identity.Identity, grant *Grant) {
+func (c *Core) handleGrant(now time.Time, from identity.Identity, grant *Grant) {
 	if c.isFormed() || !grant.Granted || c.formation.granted != c.self {
 		return
 	}
@@ -104,12 +106,12 @@
 	version := dissemination.Version{Epoch: epoch, Index: c.store.Version().Index + 1}
 	state := c.store.State().Encode()
 	if _, err := c.store.Install(version, []identity.Identity{c.self}, state); err != nil {
-		c.noteUnreadable(err)
+		c.reportInvalid(err)
 		return
 	}
-	c.event(kind, c.self.String())
+	c.addEvent(kind, c.self.String())
 	c.output.ConfigurationChanged = true
-	c.takeConsensus(now, c.replica.Found(now, epoch, version.Index, state))
+	c.handleConsensusOutput(now, c.replica.Found(now, epoch, version.Index, state))
 }
 
 // Recover founds a new group with a higher epoch number from this daemon's active configuration, after
@@ -119,5 +121,5 @@
 func (c *Core) Recover(now time.Time) Output {
 	epoch := consensus.Epoch{Number: c.store.Version().Epoch.Number + 1, Group: c.random.Uint64()}
 	c.found(now, epoch, EventGroupRecovered)
-	return c.take()
+	return c.takeOutput()
 }
--- a/internal/control/lease.go
+++ b/internal/control/lease.go
@@ -18,40 +18,40 @@
 	renewal      uint64
 	renewalIndex uint64
 	leader       identity.Identity
-	renewed      time.Time
-	// waiting is the highest renewal whose index is not applied here yet.
-	waiting     digest
+	renewedAt    time.Time
+	// pending is the highest renewal whose index is not applied here yet.
+	pending     digest
 	nextRenewal time.Time
-	isOver      bool
+	isExpired   bool
 }
 
 const renewalCounterBits = 24
 
 func (l *lease) renew(now time.Time, remote *digest, version dissemination.Version) bool {
 	if l.epoch != version.Epoch {
-		*l = lease{epoch: version.Epoch, isOver: l.isOver}
+		*l = lease{epoch: version.Epoch, isExpired: l.isExpired}
 	}
 	if remote.Renewal <= l.renewal {
 		return false
 	}
 	l.leader = remote.Leader
 	if remote.RenewalIndex > version.Index {
-		if remote.Renewal > l.waiting.Renewal {
-			l.waiting = *remote
+		if remote.Renewal > l.pending.Renewal {
+			l.pending = *remote
 		}
 		return false
 	}
 	l.renewal = remote.Renewal
 	l.renewalIndex = remote.RenewalIndex
-	l.renewed = now
+	l.renewedAt = now
 	return true
 }
 
-// caughtUp applies the waiting renewal if its index has been reached.
-func (l *lease) caughtUp(now time.Time, version dissemination.Version) {
-	if l.waiting.Renewal > l.renewal && l.waiting.Version.Epoch == version.Epoch {
-		waiting := l.waiting
-		l.renew(now, &waiting, version)
+// applyPending applies the pending renewal if its index has been reached.
+func (l *lease) applyPending(now time.Time, version dissemination.Version) {
+	if l.pending.Renewal > l.renewal && l.pending.Version.Epoch == version.Epoch {
+		pending := l.pending
+		l.renew(now, &pending, version)
 	}
 }
 
@@ -59,13 +59,13 @@
 	if c.IsLeader() && !now.Before(c.lease.nextRenewal) {
 		c.issueRenewal(now)
 	}
-	if over := c.isFormed() && !c.HoldsLease(now); over != c.lease.isOver {
-		c.lease.isOver = over
+	if expired := c.isFormed() && !c.HoldsLease(now); expired != c.lease.isExpired {
+		c.lease.isExpired = expired
 		kind := EventLeaseRenewed
-		if over {
+		if expired {
 			kind = EventLeaseOver
 		}
-		c.event(kind, "")
+		c.addEvent(kind, "")
 	}
 }
 
@@ -73,27 +73,27 @@
 // renewals higher than those of the old one.
 func (c *Core) issueRenewal(now time.Time) {
 	if epoch := c.store.Version().Epoch; c.lease.epoch != epoch {
-		c.lease = lease{epoch: epoch, isOver: c.lease.isOver}
+		c.lease = lease{epoch: epoch, isExpired: c.lease.isExpired}
 	}
 	c.lease.nextRenewal = now.Add(c.config.RenewalInterval)
-	floor := c.replica.Term() << renewalCounterBits
-	c.lease.renewal = max(c.lease.renewal, floor) + 1
+	minRenewal := c.replica.Term() << renewalCounterBits
+	c.lease.renewal = max(c.lease.renewal, minRenewal) + 1
 	c.lease.renewalIndex = c.replica.Commit()
 	c.lease.leader = c.self
-	c.lease.renewed = now
+	c.lease.renewedAt = now
 	c.refreshDigest()
 }
 
 // HoldsLease reports whether the active configuration was confirmed within LeaseDuration before now.
 // It needs no tick, so after a pause it returns false before stale state is used.
 func (c *Core) HoldsLease(now time.Time) bool {
-	return !c.lease.renewed.IsZero() && now.Sub(c.lease.renewed) < c.config.LeaseDuration
+	return !c.lease.renewedAt.IsZero() && now.Sub(c.lease.renewedAt) < c.config.LeaseDuration
 }
 
 // LeaseEnds returns when the lease expires unless renewed, zero if there never was one.
 func (c *Core) LeaseEnds() time.Time {
-	if c.lease.renewed.IsZero() {
+	if c.lease.renewedAt.IsZero() {
 		return time.Time{}
 	}
-	return c.lease.renewed.Add(c.config.LeaseDuration)
+	return c.lease.renewedAt.Add(c.config.LeaseDuration)
 }
--- a/internal/control/proposals.go
+++ b/internal/control/proposals.go
@@ -40,8 +40,8 @@
 	p.outcomes = map[uint64]catalog.Outcome{}
 }
 
-// noteOutcome stores the outcome of an entry with a proposal in flight.
-func (p *proposals) noteOutcome(applied *dissemination.Applied) {
+// recordOutcome stores the outcome of an entry with a proposal in flight.
+func (p *proposals) recordOutcome(applied *dissemination.Applied) {
 	if len(p.inFlight[applied.Entry.Index]) > 0 {
 		p.outcomes[applied.Entry.Index] = applied.Outcome
 	}
@@ -52,14 +52,14 @@
 func (c *Core) Submit(now time.Time, token uint64, change *catalog.Change) Output {
 	c.proposals.submitted[token] = &submission{change: *change, deadline: now.Add(c.config.ProposalTimeout)}
 	c.tickProposals(now)
-	return c.take()
+	return c.takeOutput()
 }
 
 func (c *Core) tickProposals(now time.Time) {
 	for _, token := range slices.Sorted(maps.Keys(c.proposals.submitted)) {
 		pending := c.proposals.submitted[token]
 		if !now.Before(pending.deadline) {
-			c.finish(ProposalResult{Token: token, Status: ProposalUnknown})
+			c.finishProposal(ProposalResult{Token: token, Status: ProposalUnknown})
 			continue
 		}
 		if now.Before(pending.nextSend) {
@@ -68,7 +68,7 @@
 		pending.nextSend = now.Add(c.config.ProposalRetry)
 		proposal := &Proposal{Token: token, Change: pending.change}
 		if c.IsLeader() {
-			c.takeProposal(now, c.self, proposal)
+			c.handleProposal(now, c.self, proposal)
 		} else if leader := c.guessLeader(); !leader.IsZero() {
 			c.send(leader.Address, PeerMessage{Proposal: proposal})
 		}
@@ -91,7 +91,7 @@
 	return others[c.random.IntN(len(others))]
 }
 
-func (c *Core) finish(result ProposalResult) {
+func (c *Core) finishProposal(result ProposalResult) {
 	if c.proposals.submitted[result.Token] == nil {
 		return
 	}
@@ -103,13 +103,13 @@
 func (c *Core) reply(now time.Time, to identity.Identity, result ProposalResult) {
 	result.Epoch = c.store.Version().Epoch
 	if to == c.self {
-		c.takeProposalResult(now, &result)
+		c.handleProposalResult(now, &result)
 		return
 	}
 	c.send(to.Address, PeerMessage{ProposalResult: &result})
 }
 
-func (c *Core) takeProposal(now time.Time, from identity.Identity, proposal *Proposal) {
+func (c *Core) handleProposal(now time.Time, from identity.Identity, proposal *Proposal) {
 	result := ProposalResult{Token: proposal.Token}
 	if !c.IsLeader() {
 		result.Status = ProposalNotLeader
@@ -134,36 +134,36 @@
 
 func (c *Core) append(now time.Time, from identity.Identity, proposal *Proposal) {
 	_, last := c.replica.LastEntry()
-	waiting := inFlight{from: from, token: proposal.Token, term: c.replica.Term()}
-	c.proposals.inFlight[last+1] = append(c.proposals.inFlight[last+1], waiting)
+	pending := inFlight{from: from, token: proposal.Token, term: c.replica.Term()}
+	c.proposals.inFlight[last+1] = append(c.proposals.inFlight[last+1], pending)
 	_, output, err := c.replica.Propose(now, encode(proposal.Change))
 	if err != nil {
 		delete(c.proposals.inFlight, last+1)
 		c.reply(now, from, ProposalResult{Token: proposal.Token, Status: ProposalNotLeader})
 		return
 	}
-	c.takeConsensus(now, output)
+	c.handleConsensusOutput(now, output)
 }
 
 // answerCommitted answers the proposals in flight at the committed indexes: with the outcome if the
 // committed entry is theirs, else with ProposalNotLeader, as another leader's entry replaced it.
 func (c *Core) answerCommitted(entries []consensus.Entry) {
 	for _, entry := range entries {
-		waiting := c.proposals.inFlight[entry.Index]
-		if len(waiting) == 0 {
+		pending := c.proposals.inFlight[entry.Index]
+		if len(pending) == 0 {
 			continue
 		}
 		outcome, applied := c.proposals.outcomes[entry.Index]
 		delete(c.proposals.inFlight, entry.Index)
 		delete(c.proposals.outcomes, entry.Index)
-		for _, proposal := range waiting {
+		for _, proposal := range pending {
 			result := ProposalResult{Token: proposal.token, Status: ProposalNotLeader, Epoch: c.store.Version().Epoch}
 			if applied && proposal.term == entry.Term {
 				result.Status = ProposalDecided
 				result.Outcome = outcome
 			}
 			if proposal.from == c.self {
-				c.settle(&result)
+				c.finishIfDecided(&result)
 				continue
 			}
 			c.send(proposal.from.Address, PeerMessage{ProposalResult: &result})
@@ -171,13 +171,13 @@
 	}
 }
 
-func (c *Core) settle(result *ProposalResult) {
+func (c *Core) finishIfDecided(result *ProposalResult) {
 	if result.Status == ProposalDecided {
-		c.finish(*result)
+		c.finishProposal(*result)
 	}
 }
 
-func (c *Core) takeProposalResult(now time.Time, result *ProposalResult) {
+func (c *Core) handleProposalResult(now time.Time, result *ProposalResult) {
 	pending := c.proposals.submitted[result.Token]
 	if pending == nil {
 		return
@@ -187,5 +187,5 @@
 		c.send(result.Leader.Address, PeerMessage{Proposal: &Proposal{Token: result.Token, Change: pending.change}})
 		return
 	}
-	c.settle(result)
+	c.finishIfDecided(result)
 }
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -30,7 +30,7 @@
 		}
 	}
 	c.finishStatus(token, pending)
-	return c.take()
+	return c.takeOutput()
 }
 
 func (c *Core) statusReport(token uint64) StatusReport {
@@ -40,15 +40,15 @@
 	}
 }
 
-func (c *Core) answerStatus(from netip.AddrPort, content []byte) {
-	if query, readable := decode[statusQuery](content); readable {
+func (c *Core) handleStatusQuery(from netip.AddrPort, content []byte) {
+	if query, ok := decode[statusQuery](content); ok {
 		c.sendDatagram(from, datagramStatusReply, encode(c.statusReport(query.Token)))
 	}
 }
 
-func (c *Core) takeStatus(content []byte) {
-	report, readable := decode[StatusReport](content)
-	if !readable {
+func (c *Core) handleStatusReport(content []byte) {
+	report, ok := decode[StatusReport](content)
+	if !ok {
 		return
 	}
 	pending := c.statuses[report.Token]
--- a/internal/control/voters.go
+++ b/internal/control/voters.go
@@ -26,8 +26,8 @@
 	if err != nil {
 		return // The last change is not committed yet; retry with the next tick.
 	}
-	c.event(EventVotersChanged, fmt.Sprint(next))
-	c.takeConsensus(now, output)
+	c.addEvent(EventVotersChanged, fmt.Sprint(next))
+	c.handleConsensusOutput(now, output)
 }
 
 // nextVoters returns the voters after the next single change, nil if none is needed or possible.
@@ -41,7 +41,7 @@
 			// An extra voter was already added: remove one first.
 			return without(voters, c.worstVoter(voters))
 		}
-		if candidate, found := c.bestCandidate(voters, live); found {
+		if candidate, found := c.bestVoterCandidate(voters, live); found {
 			return append(slices.Clone(voters), candidate)
 		}
 		return nil
@@ -106,8 +106,8 @@
 	return most-least >= 2
 }
 
-// bestCandidate returns the longest-running alive non-voter in the zone with the fewest voters.
-func (c *Core) bestCandidate(voters []identity.Identity, live []membership.Member) (identity.Identity, bool) {
+// bestVoterCandidate returns the longest-running alive non-voter in the zone with the fewest voters.
+func (c *Core) bestVoterCandidate(voters []identity.Identity, live []membership.Member) (identity.Identity, bool) {
 	zones := zonesOf(live)
 	counts := countZones(voters, zones)
 	var best identity.Identity
