--- a/internal/peering/transport.go
+++ b/internal/peering/transport.go
@@ -1,6 +1,6 @@
-// Package peering carries control messages between daemons: CBOR over mutually
-// authenticated TLS for streams, sealed datagrams for gossip. Both may lose
-// messages; the control core expects that.
+// Package peering is the transport of control messages between daemons: CBOR over mutual TLS for
+// streams, and UDP datagrams encrypted with the fleet key for gossip. Both are lossy, which the control
+// core tolerates.
 package peering
 
 import (
@@ -23,24 +23,26 @@
 )
 
 const (
-	// queueLength bounds the messages that wait for one peer; more are dropped.
+	// queueLength bounds the messages queued per peer; more are dropped.
 	queueLength  = 256
 	dialTimeout  = 2 * time.Second
 	writeTimeout = 5 * time.Second
-	// idleTimeout closes a connection nobody uses.
+	// idleTimeout closes unused connections.
 	idleTimeout = time.Minute
-	// maximumDatagram bounds a control datagram in bytes.
+	// maximumDatagram is the receive buffer of datagrams in bytes.
 	maximumDatagram = 2048
 	protocolName    = "passtray-peer/1"
 )
 
-// Handler takes what arrives. It is called from several goroutines.
+// Handler handles received messages. It is called concurrently.
 type Handler interface {
 	HandleDatagram(from netip.AddrPort, datagram []byte)
 	HandleStream(message *control.PeerMessage)
 }
 
-// Traffic counts bytes of control traffic, payload and framing.
+// Traffic holds counters of control traffic. Datagram bytes include the encryption overhead; stream
+// bytes do not include that of TLS. Refused counts datagrams that cannot be decrypted and streams that
+// fail authentication.
 type Traffic struct {
 	DatagramsSent     atomic.Uint64
 	DatagramBytesSent atomic.Uint64
@@ -48,7 +50,6 @@
 	Refused           atomic.Uint64
 }
 
-// Config makes a transport.
 type Config struct {
 	// Address is the control address, for both UDP and TCP.
 	Address     netip.AddrPort
@@ -56,8 +57,8 @@
 	Sealer      *seal.Sealer
 	Handler     Handler
 	Logger      logr.Logger
-	// Reachable, if set, says whether a peer may be sent to; a lab cuts daemons
-	// from each other with it.
+	// Reachable, if set, reports whether messages to a peer are sent; the lab simulates partitions with
+	// it.
 	Reachable func(peer netip.AddrPort) bool
 }
 
@@ -76,7 +77,7 @@
 	peers   map[netip.AddrPort]chan control.PeerMessage
 }
 
-// Listen opens the transport.
+// Listen opens the sockets. The transport receives once Start is called.
 func Listen(config Config) (*Transport, error) {
 	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(config.Address))
 	if err != nil {
@@ -97,20 +98,18 @@
 	return transport, nil
 }
 
-// Start begins to receive.
 func (t *Transport) Start() {
 	t.waiting.Add(2)
 	go t.readDatagrams()
 	go t.acceptStreams()
 }
 
-// Traffic returns the counters.
 func (t *Transport) Traffic() *Traffic { return &t.traffic }
 
-// SetSealer replaces the fleet keys.
+// SetSealer replaces the fleet keys for datagrams.
 func (t *Transport) SetSealer(sealer *seal.Sealer) { t.sealer.Store(sealer) }
 
-// Close ends the transport and waits for its goroutines.
+// Close closes the sockets and connections and waits for the goroutines.
 func (t *Transport) Close() {
 	t.cancel()
 	_ = t.socket.Close()
@@ -122,7 +121,7 @@
 	return t.config.Reachable == nil || t.config.Reachable(peer)
 }
 
-// SendDatagram seals and sends one datagram.
+// SendDatagram encrypts and sends one datagram.
 func (t *Transport) SendDatagram(to netip.AddrPort, datagram []byte) {
 	if !t.mayReach(to) {
 		return
@@ -130,7 +129,7 @@
 	sealed := t.sealer.Load().Seal(datagram)
 	t.traffic.DatagramsSent.Add(1)
 	t.traffic.DatagramBytesSent.Add(uint64(len(sealed)))
-	// An error is a lost datagram; the protocols above repeat themselves.
+	// Treat an error as a lost datagram; the protocols above retransmit.
 	_, _ = t.socket.WriteToUDPAddrPort(sealed, to)
 }
 
@@ -154,7 +153,7 @@
 	}
 }
 
-// SendStream queues one message for a peer.
+// SendStream queues one message to a peer, or drops it if the queue is full.
 func (t *Transport) SendStream(to netip.AddrPort, message control.PeerMessage) {
 	if !t.mayReach(to) || t.ctx.Err() != nil {
 		return
@@ -171,12 +170,12 @@
 	select {
 	case queue <- message:
 	default:
-		// The peer does not keep up; newer messages will replace this one.
+		// The peer does not keep up. The protocols above retransmit.
 	}
 }
 
-// runPeer sends one peer's messages until it has been idle or a connection
-// fails; the next message starts anew.
+// runPeer connects to a peer and sends its queued messages until the connection is idle or fails. The
+// next message to the peer starts a new one.
 func (t *Transport) runPeer(to netip.AddrPort, queue chan control.PeerMessage) {
 	defer t.waiting.Done()
 	defer func() {
@@ -186,7 +185,7 @@
 	}()
 	connection, err := t.dial(to)
 	if err != nil {
-		t.config.Logger.V(1).Info("peer cannot be reached", "peer", to.String(), "reason", err.Error())
+		t.config.Logger.V(1).Info("failed to connect to peer", "peer", to.String(), "reason", err.Error())
 		return
 	}
 	defer func() { _ = connection.Close() }()
@@ -271,8 +270,7 @@
 	}
 }
 
-// certifies reports whether the peer's certificate holds the address it speaks
-// for.
+// certifies reports whether the peer's certificate has an address among its IP addresses.
 func certifies(connection *tls.Conn, address netip.Addr) bool {
 	certificate := connection.ConnectionState().PeerCertificates[0]
 	return slices.ContainsFunc(certificate.IPAddresses, func(ip net.IP) bool {
--- a/internal/peering/transport_test.go
+++ b/internal/peering/transport_test.go
@@ -32,7 +32,7 @@
 	address   netip.AddrPort
 }
 
-// makeFleet makes the keys of one fleet.
+// makeFleet creates the keys and certificates of a fleet and returns their directory.
 func makeFleet(t *testing.T) string {
 	t.Helper()
 	directory := filepath.Join(t.TempDir(), "keys")
@@ -72,8 +72,7 @@
 	return started
 }
 
-// nextHost numbers the members of this test process, each of which gets a
-// loopback address of its own.
+// nextHost numbers the members of this test process; each has its own loopback address.
 var nextHost atomic.Uint32
 
 const maximumHosts = 250
@@ -98,8 +97,8 @@
 	assert.Equal(t, (<-two.recorder.streams).From.Address, one.address)
 }
 
-// TestAStrangerGetsNothing sends with another fleet's keys, with an operator's
-// certificate, for an address the certificate does not hold, and in the clear.
+// TestAStrangerGetsNothing sends with another fleet's keys, with an operator's certificate, from an
+// address that is not in the certificate, and without a certificate.
 func TestAStrangerGetsNothing(t *testing.T) {
 	keys := makeFleet(t)
 	listener := startMember(t, keys, "daemon")
@@ -113,17 +112,17 @@
 	liar.transport.SendStream(listener.address, control.PeerMessage{From: identity.Identity{Address: netip.MustParseAddrPort("10.9.9.9:7000")}})
 	connection, err := tls.Dial("tcp", listener.address.String(), &tls.Config{InsecureSkipVerify: true, NextProtos: []string{protocolName}})
 	if err == nil {
-		// With TLS 1.3 a refused client learns it at its first read.
+		// In TLS 1.3 a client sees the rejection of its certificate with its first read.
 		_, err = connection.Read(make([]byte, 1))
 	}
-	assert.Assert(t, err != nil, "a client without a certificate was let in")
+	assert.Assert(t, err != nil, "a client without a certificate was accepted")
 
-	// The listener refuses four: a sealed datagram and a stream of the stranger,
-	// the operator's or the bare client's streams, and the liar's.
+	// Wait until the listener has refused at least four of the five attempts: a datagram and a stream
+	// with another fleet's keys, and the streams with a wrong role, a wrong address and no certificate.
 	for listener.transport.Traffic().Refused.Load() < 4 {
 		time.Sleep(time.Millisecond)
 	}
 	friend.send(listener.address, friend.address)
-	assert.Equal(t, (<-listener.recorder.streams).From.Address, friend.address, "the first message let in must be the friend's")
+	assert.Equal(t, (<-listener.recorder.streams).From.Address, friend.address, "the first message accepted must be from the authorized member")
 	assert.Equal(t, <-listener.recorder.datagrams, "gossip")
 }
