--- a/internal/peering/transport.go
+++ b/internal/peering/transport.go
@@ -70,11 +70,11 @@
 	listener net.Listener
 	traffic  Traffic
 
-	ctx     context.Context
-	cancel  context.CancelFunc
-	waiting sync.WaitGroup
-	mutex   sync.Mutex
-	peers   map[netip.AddrPort]chan control.PeerMessage
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+	mutex      sync.Mutex
+	peers      map[netip.AddrPort]chan control.PeerMessage
 }
 
 // Listen opens the sockets. The transport receives once Start is called.
@@ -99,7 +99,7 @@
 }
 
 func (t *Transport) Start() {
-	t.waiting.Add(2)
+	t.goroutines.Add(2)
 	go t.readDatagrams()
 	go t.acceptStreams()
 }
@@ -114,16 +114,16 @@
 	t.cancel()
 	_ = t.socket.Close()
 	_ = t.listener.Close()
-	t.waiting.Wait()
+	t.goroutines.Wait()
 }
 
-func (t *Transport) mayReach(peer netip.AddrPort) bool {
+func (t *Transport) isReachable(peer netip.AddrPort) bool {
 	return t.config.Reachable == nil || t.config.Reachable(peer)
 }
 
 // SendDatagram encrypts and sends one datagram.
 func (t *Transport) SendDatagram(to netip.AddrPort, datagram []byte) {
-	if !t.mayReach(to) {
+	if !t.isReachable(to) {
 		return
 	}
 	sealed := t.sealer.Load().Seal(datagram)
@@ -134,7 +134,7 @@
 }
 
 func (t *Transport) readDatagrams() {
-	defer t.waiting.Done()
+	defer t.goroutines.Done()
 	buffer := make([]byte, maximumDatagram)
 	for {
 		length, from, err := t.socket.ReadFromUDPAddrPort(buffer)
@@ -155,16 +155,16 @@
 
 // SendStream queues one message to a peer, or drops it if the queue is full.
 func (t *Transport) SendStream(to netip.AddrPort, message control.PeerMessage) {
-	if !t.mayReach(to) || t.ctx.Err() != nil {
+	if !t.isReachable(to) || t.ctx.Err() != nil {
 		return
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	queue, running := t.peers[to]
-	if !running {
+	queue, found := t.peers[to]
+	if !found {
 		queue = make(chan control.PeerMessage, queueLength)
 		t.peers[to] = queue
-		t.waiting.Add(1)
+		t.goroutines.Add(1)
 		go t.runPeer(to, queue)
 	}
 	select {
@@ -177,7 +177,7 @@
 // runPeer connects to a peer and sends its queued messages until the connection is idle or fails. The
 // next message to the peer starts a new one.
 func (t *Transport) runPeer(to netip.AddrPort, queue chan control.PeerMessage) {
-	defer t.waiting.Done()
+	defer t.goroutines.Done()
 	defer func() {
 		t.mutex.Lock()
 		delete(t.peers, to)
@@ -195,7 +195,7 @@
 	for {
 		select {
 		case message := <-queue:
-			if !t.mayReach(to) {
+			if !t.isReachable(to) {
 				return
 			}
 			_ = connection.SetWriteDeadline(time.Now().Add(writeTimeout))
@@ -229,7 +229,7 @@
 }
 
 func (t *Transport) acceptStreams() {
-	defer t.waiting.Done()
+	defer t.goroutines.Done()
 	for {
 		connection, err := t.listener.Accept()
 		if err != nil {
@@ -239,13 +239,13 @@
 			time.Sleep(time.Millisecond)
 			continue
 		}
-		t.waiting.Add(1)
+		t.goroutines.Add(1)
 		go t.readStream(connection.(*tls.Conn))
 	}
 }
 
 func (t *Transport) readStream(connection *tls.Conn) {
-	defer t.waiting.Done()
+	defer t.goroutines.Done()
 	stop := context.AfterFunc(t.ctx, func() { _ = connection.Close() })
 	defer stop()
 	defer func() { _ = connection.Close() }()
@@ -262,7 +262,7 @@
 		if err := decoder.Decode(&message); err != nil {
 			return
 		}
-		if !certifies(connection, message.From.Address.Addr()) {
+		if !certificateHasAddress(connection, message.From.Address.Addr()) {
 			t.traffic.Refused.Add(1)
 			return
 		}
@@ -270,12 +270,12 @@
 	}
 }
 
-// certifies reports whether the peer's certificate has an address among its IP addresses.
-func certifies(connection *tls.Conn, address netip.Addr) bool {
+// certificateHasAddress reports whether the peer's certificate has an address among its IP addresses.
+func certificateHasAddress(connection *tls.Conn, address netip.Addr) bool {
 	certificate := connection.ConnectionState().PeerCertificates[0]
 	return slices.ContainsFunc(certificate.IPAddresses, func(ip net.IP) bool {
-		held, valid := netip.AddrFromSlice(ip)
-		return valid && held.Unmap() == address.Unmap()
+		certified, valid := netip.AddrFromSlice(ip)
+		return valid && certified.Unmap() == address.Unmap()
 	})
 }
 
--- a/internal/peering/transport_test.go
+++ b/internal/peering/transport_test.go
@@ -89,7 +89,7 @@
 	m.transport.SendDatagram(to, []byte("gossip"))
 }
 
-func TestMembersOfOneFleetReachEachOther(t *testing.T) {
+func TestMembersOfSameFleetExchangeMessages(t *testing.T) {
 	keys := makeFleet(t)
 	one, two := startMember(t, keys, "daemon"), startMember(t, keys, "daemon")
 	one.send(two.address, one.address)
@@ -97,19 +97,19 @@
 	assert.Equal(t, (<-two.recorder.streams).From.Address, one.address)
 }
 
-// TestAStrangerGetsNothing sends with another fleet's keys, with an operator's certificate, from an
+// TestUnauthorizedPeersAreRefused sends with another fleet's keys, with an operator's certificate, from an
 // address that is not in the certificate, and without a certificate.
-func TestAStrangerGetsNothing(t *testing.T) {
+func TestUnauthorizedPeersAreRefused(t *testing.T) {
 	keys := makeFleet(t)
 	listener := startMember(t, keys, "daemon")
-	stranger := startMember(t, makeFleet(t), "daemon")
+	otherFleet := startMember(t, makeFleet(t), "daemon")
 	operator := startMember(t, keys, "operator")
-	liar := startMember(t, keys, "daemon")
-	friend := startMember(t, keys, "daemon")
+	wrongAddress := startMember(t, keys, "daemon")
+	authorized := startMember(t, keys, "daemon")
 
-	stranger.send(listener.address, stranger.address)
+	otherFleet.send(listener.address, otherFleet.address)
 	operator.transport.SendStream(listener.address, control.PeerMessage{From: identity.Identity{Address: operator.address}})
-	liar.transport.SendStream(listener.address, control.PeerMessage{From: identity.Identity{Address: netip.MustParseAddrPort("10.9.9.9:7000")}})
+	wrongAddress.transport.SendStream(listener.address, control.PeerMessage{From: identity.Identity{Address: netip.MustParseAddrPort("10.9.9.9:7000")}})
 	connection, err := tls.Dial("tcp", listener.address.String(), &tls.Config{InsecureSkipVerify: true, NextProtos: []string{protocolName}})
 	if err == nil {
 		// In TLS 1.3 a client sees the rejection of its certificate with its first read.
@@ -122,7 +122,7 @@
 	for listener.transport.Traffic().Refused.Load() < 4 {
 		time.Sleep(time.Millisecond)
 	}
-	friend.send(listener.address, friend.address)
-	assert.Equal(t, (<-listener.recorder.streams).From.Address, friend.address, "the first message accepted must be from the authorized member")
+	authorized.send(listener.address, authorized.address)
+	assert.Equal(t, (<-listener.recorder.streams).From.Address, authorized.address, "the first message accepted must be from the authorized member")
 	assert.Equal(t, <-listener.recorder.datagrams, "gossip")
 }
