--- a/internal/seal/seal.go
+++ b/internal/seal/seal.go
@@ -1,7 +1,7 @@
-// Package seal protects control datagrams with AES-GCM under a key shared by
-// the fleet's daemons, with rotation: all keys held open, the active one seals.
-// A replayed datagram opens again; what is carried must be harmless twice, as
-// membership messages are by their incarnation numbers.
+// Package seal encrypts and authenticates control datagrams with AES-GCM and a key that the fleet's
+// daemons share. For key rotation, any key of the key file decrypts and the active one encrypts. There
+// is no replay protection: the content must be idempotent, as membership updates are through their
+// incarnation numbers.
 package seal
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/passtray/passtray/internal/connectionid"
 )
 
-// Overhead is how many bytes sealing adds.
+// Overhead is the number of bytes that sealing adds.
 const Overhead = 1 + nonceSize + tagSize
 
 const (
@@ -28,10 +28,10 @@
 	ciphers [connectionid.MaximumKeys]cipher.AEAD
 }
 
-// ErrRefused is the answer to a datagram that no key opens.
-var ErrRefused = eris.New("datagram is not sealed with a key of this fleet")
+// ErrRefused is returned for a datagram that cannot be decrypted.
+var ErrRefused = eris.New("datagram is not encrypted with a key of this fleet")
 
-// New makes a sealer.
+// New returns a sealer that encrypts with the key identified by active.
 func New(active uint8, keys []connectionid.Key) (*Sealer, error) {
 	sealer := &Sealer{active: active}
 	for _, key := range keys {
@@ -49,12 +49,12 @@
 		sealer.ciphers[key.Identifier] = aead
 	}
 	if active >= connectionid.MaximumKeys || sealer.ciphers[active] == nil {
-		return nil, eris.Errorf("active key %d: is not among the keys", active)
+		return nil, eris.Errorf("active key %d: not in the key list", active)
 	}
 	return sealer, nil
 }
 
-// Load reads a sealer from a key file of the keyring's form.
+// Load reads a sealer from a key file, which has the format of a keyring.
 func Load(path string) (*Sealer, error) {
 	active, keys, err := connectionid.LoadKeys(path)
 	if err != nil {
@@ -67,17 +67,17 @@
 	return sealer, nil
 }
 
-// Seal returns the sealed form: key identifier, nonce, ciphertext and tag.
+// Seal encrypts a datagram to key identifier, nonce, ciphertext and tag.
 func (s *Sealer) Seal(plain []byte) []byte {
 	sealed := make([]byte, 1+nonceSize, len(plain)+Overhead)
 	sealed[0] = s.active
 	if _, err := rand.Read(sealed[1:]); err != nil {
-		panic(eris.Wrap(err, "the system's random source failed"))
+		panic(eris.Wrap(err, "read random nonce"))
 	}
 	return s.ciphers[s.active].Seal(sealed, sealed[1:1+nonceSize], plain, sealed[:1])
 }
 
-// Open returns the plain form of a sealed datagram, or ErrRefused.
+// Open decrypts a sealed datagram, or returns ErrRefused.
 func (s *Sealer) Open(sealed []byte) ([]byte, error) {
 	if len(sealed) < Overhead || sealed[0] >= connectionid.MaximumKeys {
 		return nil, ErrRefused
