--- a/internal/pki/make.go
+++ b/internal/pki/make.go
@@ -19,7 +19,7 @@
 	"github.com/passtray/passtray/internal/connectionid"
 )
 
-// Names of the files that Initialize writes.
+// Files written by Initialize, besides the certificate pairs written by Issue.
 const (
 	AuthorityFile    = "authority.pem"
 	AuthorityKeyFile = "authority-key.pem"
@@ -34,15 +34,15 @@
 	serialBits          = 120
 )
 
-// Initialize makes a development authority, one daemon and one operator
-// certificate, a keyring and a fleet key in a directory. addresses are the IP
-// addresses of the daemons. Existing files are never replaced.
+// Initialize creates a development certificate authority, one daemon and one operator certificate, a
+// keyring and a fleet key in a directory. The daemon certificate is valid for all addresses. It fails
+// if the directory has an authority.
 func Initialize(directory string, addresses []netip.Addr, now time.Time) error {
 	if err := os.MkdirAll(directory, 0o700); err != nil {
-		return eris.Wrap(err, "directory")
+		return eris.Wrap(err, "create directory")
 	}
 	if _, err := os.Stat(filepath.Join(directory, AuthorityFile)); err == nil {
-		return eris.Errorf("directory %s: holds an authority already; choose another or remove it", directory)
+		return eris.Errorf("directory %s: already has a certificate authority; choose another directory or remove it", directory)
 	}
 	if err := makeAuthority(directory, now); err != nil {
 		return err
@@ -66,19 +66,19 @@
 	return nil
 }
 
-// RotationStep is one of the three steps that replace a key without a break.
+// RotationStep is one of the three steps of a key rotation without downtime.
 type RotationStep string
 
-// The steps: first every holder learns the new key, then new IDs use it, and
-// when no old ID is in use any more the old key goes.
+// RotationAdd distributes a new key, RotationActivate uses it for everything new, and RotationRemove
+// removes the old keys once nothing uses them. Each step must reach all processes before the next.
 const (
 	RotationAdd      RotationStep = "add"
 	RotationActivate RotationStep = "activate"
 	RotationRemove   RotationStep = "remove"
 )
 
-// Rotate does one step on a key file. Add appends a key, Activate makes the
-// newest added one active, Remove drops all others.
+// Rotate performs one rotation step on a key file. RotationAdd appends a random key, RotationActivate
+// activates the last key of the file, and RotationRemove removes all but the active key.
 func Rotate(path string, step RotationStep) error {
 	active, keys, err := connectionid.LoadKeys(path)
 	if err != nil {
@@ -87,7 +87,7 @@
 	switch step {
 	case RotationAdd:
 		if len(keys) >= connectionid.MaximumKeys {
-			return eris.Errorf("key file %s: holds %d keys already; remove the old ones first", path, len(keys))
+			return eris.Errorf("key file %s: already has the maximum of %d keys; remove the old ones first", path, len(keys))
 		}
 		secret, err := newSecret()
 		if err != nil {
@@ -124,13 +124,13 @@
 func newSecret() ([]byte, error) {
 	secret := make([]byte, connectionid.KeySize)
 	_, err := rand.Read(secret)
-	return secret, eris.Wrap(err, "secret")
+	return secret, eris.Wrap(err, "generate key secret")
 }
 
 func makeAuthority(directory string, now time.Time) error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return eris.Wrap(err, "authority key")
+		return eris.Wrap(err, "generate authority key")
 	}
 	template, err := newTemplate("passtray development authority", now, authorityLifetime)
 	if err != nil {
@@ -141,12 +141,12 @@
 	template.KeyUsage = x509.KeyUsageCertSign
 	encoded, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
-		return eris.Wrap(err, "authority certificate")
+		return eris.Wrap(err, "create authority certificate")
 	}
 	return writePair(directory, AuthorityFile, AuthorityKeyFile, encoded, key)
 }
 
-// Issue makes NAME.pem and NAME-key.pem signed by the directory's authority.
+// Issue writes NAME.pem, a certificate signed by the directory's authority, and its key NAME-key.pem.
 func Issue(directory, name string, role Role, addresses []netip.Addr, now time.Time) error {
 	authority, authorityKey, err := readAuthority(directory)
 	if err != nil {
@@ -154,7 +154,7 @@
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return eris.Wrap(err, "certificate key")
+		return eris.Wrap(err, "generate certificate key")
 	}
 	template, err := newTemplate(name, now, certificateLifetime)
 	if err != nil {
@@ -168,7 +168,7 @@
 	}
 	encoded, err := x509.CreateCertificate(rand.Reader, template, authority, &key.PublicKey, authorityKey)
 	if err != nil {
-		return eris.Wrap(err, "certificate")
+		return eris.Wrap(err, "create certificate")
 	}
 	return writePair(directory, name+".pem", name+"-key.pem", encoded, key)
 }
@@ -176,7 +176,7 @@
 func newTemplate(name string, now time.Time, lifetime time.Duration) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return nil, eris.Wrap(err, "serial number")
+		return nil, eris.Wrap(err, "generate serial number")
 	}
 	return &x509.Certificate{
 		SerialNumber: serial,
@@ -193,24 +193,24 @@
 	}
 	authority, err := x509.ParseCertificate(certificate)
 	if err != nil {
-		return nil, nil, eris.Wrap(err, "authority certificate")
+		return nil, nil, eris.Wrap(err, "parse authority certificate")
 	}
 	encodedKey, err := readPEM(filepath.Join(directory, AuthorityKeyFile))
 	if err != nil {
 		return nil, nil, err
 	}
 	key, err := x509.ParseECPrivateKey(encodedKey)
-	return authority, key, eris.Wrap(err, "authority key")
+	return authority, key, eris.Wrap(err, "parse authority key")
 }
 
 func readPEM(path string) ([]byte, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return nil, eris.Wrap(err, "key material")
+		return nil, eris.Wrap(err, "read PEM file")
 	}
 	block, _ := pem.Decode(content)
 	if block == nil {
-		return nil, eris.Errorf("%s: holds no PEM block", path)
+		return nil, eris.Errorf("%s: no PEM block found", path)
 	}
 	return block.Bytes, nil
 }
@@ -218,12 +218,12 @@
 func writePair(directory, certificateName, keyName string, certificate []byte, key *ecdsa.PrivateKey) error {
 	encodedKey, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
-		return eris.Wrap(err, "key")
+		return eris.Wrap(err, "encode key")
 	}
 	certificatePEM := pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: certificate})
 	if err := os.WriteFile(filepath.Join(directory, certificateName), certificatePEM, 0o644); err != nil {
-		return eris.Wrap(err, "certificate")
+		return eris.Wrap(err, "write certificate")
 	}
 	keyPEM := pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: encodedKey})
-	return eris.Wrap(os.WriteFile(filepath.Join(directory, keyName), keyPEM, 0o600), "key")
+	return eris.Wrap(os.WriteFile(filepath.Join(directory, keyName), keyPEM, 0o600), "write key")
 }
--- a/internal/pki/store.go
+++ b/internal/pki/store.go
@@ -1,5 +1,5 @@
-// Package pki holds a process's certificate and its fleet's authority, makes
-// TLS configurations from them, and reloads them without a restart.
+// Package pki provides TLS configurations from a process's certificate and the fleet's certificate
+// authority, reloads them without a restart, and creates development certificates and keys.
 package pki
 
 import (
@@ -12,17 +12,15 @@
 	"github.com/rotisserie/eris"
 )
 
-// Role is what a certificate lets its holder be. It stands in the subject's
-// organizational unit.
+// Role is the role that a certificate authorizes. It is an organizational unit of the subject.
 type Role string
 
-// The roles.
 const (
 	RoleDaemon   Role = "daemon"
 	RoleOperator Role = "operator"
 )
 
-// Files names the PEM files of one process.
+// Files are the paths of a process's PEM files.
 type Files struct {
 	Authority   string
 	Certificate string
@@ -34,13 +32,12 @@
 	certificate tls.Certificate
 }
 
-// Store holds what was loaded last. It is safe for concurrent use.
+// Store holds the certificates that were last loaded successfully. It is safe for concurrent use.
 type Store struct {
 	files   Files
 	current atomic.Pointer[material]
 }
 
-// Load reads the files.
 func Load(files Files) (*Store, error) {
 	store := &Store{files: files}
 	if err := store.Reload(); err != nil {
@@ -49,7 +46,7 @@
 	return store, nil
 }
 
-// Reload reads the files again; on an error what was loaded before stays.
+// Reload reads the files again. On an error the store keeps the previous certificates.
 func (s *Store) Reload() error {
 	authority, err := os.ReadFile(s.files.Authority)
 	if err != nil {
@@ -57,7 +54,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(authority) {
-		return eris.Errorf("tls.authority: %s holds no certificate", s.files.Authority)
+		return eris.Errorf("tls.authority: %s: no certificate found", s.files.Authority)
 	}
 	certificate, err := tls.LoadX509KeyPair(s.files.Certificate, s.files.Key)
 	if err != nil {
@@ -67,8 +64,8 @@
 	return nil
 }
 
-// Server returns a configuration that asks every client for a certificate of
-// one of the roles. Connections made after a reload use what was reloaded.
+// Server returns a server configuration that requires a client certificate with one of the roles. New
+// connections use the certificates of the latest reload.
 func (s *Store) Server(protocols []string, roles ...Role) *tls.Config {
 	build := func() *tls.Config {
 		held := s.current.Load()
@@ -86,8 +83,8 @@
 	return config
 }
 
-// Client returns a configuration for one connection to a server of a role,
-// which must have serverName, an IP address in text, among its names.
+// Client returns the configuration for one connection to a server whose certificate must have the role
+// and serverName, an IP address as text.
 func (s *Store) Client(serverName string, role Role) *tls.Config {
 	held := s.current.Load()
 	return &tls.Config{
@@ -108,6 +105,6 @@
 				}
 			}
 		}
-		return eris.Errorf("certificate is for none of the roles %v", roles)
+		return eris.Errorf("certificate has none of the roles %v", roles)
 	}
 }
