--- a/internal/pki/make.go
+++ b/internal/pki/make.go
@@ -30,7 +30,7 @@
 const (
 	authorityLifetime   = 10 * 365 * 24 * time.Hour
 	certificateLifetime = 365 * 24 * time.Hour
-	clockTolerance      = time.Hour
+	clockSkewTolerance  = time.Hour
 	serialBits          = 120
 )
 
@@ -93,7 +93,7 @@
 		if err != nil {
 			return err
 		}
-		keys = append(keys, connectionid.Key{Identifier: freeIdentifier(keys), Secret: secret})
+		keys = append(keys, connectionid.Key{Identifier: unusedIdentifier(keys), Secret: secret})
 	case RotationActivate:
 		active = keys[len(keys)-1].Identifier
 	case RotationRemove:
@@ -109,7 +109,7 @@
 	return connectionid.SaveKeyring(path, active, keys)
 }
 
-func freeIdentifier(keys []connectionid.Key) uint8 {
+func unusedIdentifier(keys []connectionid.Key) uint8 {
 	used := map[uint8]bool{}
 	for _, key := range keys {
 		used[key.Identifier] = true
@@ -143,7 +143,7 @@
 	if err != nil {
 		return eris.Wrap(err, "create authority certificate")
 	}
-	return writePair(directory, AuthorityFile, AuthorityKeyFile, encoded, key)
+	return writeCertificateAndKey(directory, AuthorityFile, AuthorityKeyFile, encoded, key)
 }
 
 // Issue writes NAME.pem, a certificate signed by the directory's authority, and its key NAME-key.pem.
@@ -170,7 +170,7 @@
 	if err != nil {
 		return eris.Wrap(err, "create certificate")
 	}
-	return writePair(directory, name+".pem", name+"-key.pem", encoded, key)
+	return writeCertificateAndKey(directory, name+".pem", name+"-key.pem", encoded, key)
 }
 
 func newTemplate(name string, now time.Time, lifetime time.Duration) (*x509.Certificate, error) {
@@ -181,7 +181,7 @@
 	return &x509.Certificate{
 		SerialNumber: serial,
 		Subject:      pkix.Name{CommonName: name},
-		NotBefore:    now.Add(-clockTolerance),
+		NotBefore:    now.Add(-clockSkewTolerance),
 		NotAfter:     now.Add(lifetime),
 	}, nil
 }
@@ -215,7 +215,7 @@
 	return block.Bytes, nil
 }
 
-func writePair(directory, certificateName, keyName string, certificate []byte, key *ecdsa.PrivateKey) error {
+func writeCertificateAndKey(directory, certificateName, keyName string, certificate []byte, key *ecdsa.PrivateKey) error {
 	encodedKey, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
 		return eris.Wrap(err, "encode key")
--- a/internal/pki/store.go
+++ b/internal/pki/store.go
@@ -27,7 +27,7 @@
 	Key         string
 }
 
-type material struct {
+type certificates struct {
 	authority   *x509.CertPool
 	certificate tls.Certificate
 }
@@ -35,7 +35,7 @@
 // Store holds the certificates that were last loaded successfully. It is safe for concurrent use.
 type Store struct {
 	files   Files
-	current atomic.Pointer[material]
+	current atomic.Pointer[certificates]
 }
 
 func Load(files Files) (*Store, error) {
@@ -60,7 +60,7 @@
 	if err != nil {
 		return eris.Wrapf(err, "tls.certificate %s with tls.key %s", s.files.Certificate, s.files.Key)
 	}
-	s.current.Store(&material{authority: pool, certificate: certificate})
+	s.current.Store(&certificates{authority: pool, certificate: certificate})
 	return nil
 }
 
@@ -68,12 +68,12 @@
 // connections use the certificates of the latest reload.
 func (s *Store) Server(protocols []string, roles ...Role) *tls.Config {
 	build := func() *tls.Config {
-		held := s.current.Load()
+		loaded := s.current.Load()
 		return &tls.Config{
 			MinVersion:            tls.VersionTLS13,
-			Certificates:          []tls.Certificate{held.certificate},
+			Certificates:          []tls.Certificate{loaded.certificate},
 			ClientAuth:            tls.RequireAndVerifyClientCert,
-			ClientCAs:             held.authority,
+			ClientCAs:             loaded.authority,
 			NextProtos:            protocols,
 			VerifyPeerCertificate: verifyRole(roles),
 		}
@@ -86,11 +86,11 @@
 // Client returns the configuration for one connection to a server whose certificate must have the role
 // and serverName, an IP address as text.
 func (s *Store) Client(serverName string, role Role) *tls.Config {
-	held := s.current.Load()
+	loaded := s.current.Load()
 	return &tls.Config{
 		MinVersion:            tls.VersionTLS13,
-		Certificates:          []tls.Certificate{held.certificate},
-		RootCAs:               held.authority,
+		Certificates:          []tls.Certificate{loaded.certificate},
+		RootCAs:               loaded.authority,
 		ServerName:            serverName,
 		VerifyPeerCertificate: verifyRole([]Role{role}),
 	}
