--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -51,7 +51,7 @@
 	Bytes []byte
 }
 
-// DirectMessage is an application payload that a member sent with Tell.
+// DirectMessage is an application payload that a member sent directly, without gossip.
 type DirectMessage struct {
 	From    identity.Identity
 	Payload []byte
@@ -73,7 +73,7 @@
 	Broadcasts [][]byte
 	// Near are the payloads received for members of the sender's zone.
 	Near [][]byte
-	// Direct are the payloads received that were sent with Tell.
+	// Direct are the payloads received that were sent directly, without gossip.
 	Direct []DirectMessage
 	// Joined are senders that were unknown before; the full member list can be requested from them.
 	Joined []identity.Identity
