--- a/internal/node/baseline.go
+++ b/internal/node/baseline.go
@@ -6,7 +6,7 @@
 	"github.com/passtray/passtray/internal/steering"
 )
 
-// decide is the snapshot's decision, or a baseline's in its place.
+// decide applies the configured steering mode: the snapshot's decision, or that of a lab baseline.
 func (d *dataPlane) decide(snapshot *steering.Snapshot, packet *steering.Packet, isOwner bool, memory *workerContext) steering.Decision {
 	switch d.mode {
 	case ModeModulo, ModeRendezvous, ModeRandom:
@@ -19,8 +19,8 @@
 	return decision
 }
 
-// decideByHash routes every packet by its address pair alone, as a balancer
-// without routable IDs does, or at random, as a broken one does.
+// decideByHash selects the target by a hash of the address pair, as a load balancer without routable
+// connection IDs does, or at random in ModeRandom.
 func (d *dataPlane) decideByHash(snapshot *steering.Snapshot, packet *steering.Packet, memory *workerContext) steering.Decision {
 	service := snapshot.Service(packet.Service)
 	if service == nil {
@@ -40,7 +40,8 @@
 	return steering.Decision{Action: steering.Forward, Service: service, Target: service.Targets[index], IsFirstFlight: true}
 }
 
-// decideAtRandom also crosses services now and then, which nothing may do.
+// decideAtRandom selects a random target, in one of ten cases of another service. Sending a packet to another
+// service violates an invariant that the lab's checkers must detect.
 func (d *dataPlane) decideAtRandom(snapshot *steering.Snapshot, service *steering.Service, memory *workerContext) steering.Decision {
 	if memory.random.IntN(10) == 0 {
 		for _, other := range snapshot.Services() {
--- a/internal/node/data.go
+++ b/internal/node/data.go
@@ -14,15 +14,14 @@
 )
 
 const (
-	// probeInterval is how often a target's report is asked for by the daemons
-	// that watch it, and watchersPerTarget how many those are.
+	// probeInterval is how often each of a target's watchers requests its load report.
 	probeInterval     = 3 * time.Second
 	watchersPerTarget = 3
-	// resendInterval is how often unacknowledged handovers are looked at.
+	// resendInterval is how often handovers are checked for a missing acknowledgement.
 	resendInterval = 25 * time.Millisecond
 )
 
-// openData opens the data sockets and starts their workers.
+// openData opens the data plane's sockets and starts their workers.
 func (n *Node) openData() error {
 	data := n.settings.Data
 	n.plane = &dataPlane{
@@ -83,8 +82,7 @@
 	return []netip.Prefix{netip.PrefixFrom(data.Fabric.Addr(), bits).Masked()}
 }
 
-// listen opens as many sockets as there are workers for an address, none for an
-// unset one.
+// listen opens one socket per worker on an address. It opens none if the address is unset.
 func (n *Node) listen(address netip.AddrPort) ([]forwarding.Socket, error) {
 	if !address.IsValid() {
 		return nil, nil
@@ -122,8 +120,8 @@
 	}
 }
 
-// probeTargets asks targets for their reports, so that the state of a quiet one is
-// known too. Each target is watched by few daemons, the first by rendezvous.
+// probeTargets requests load reports, so that the state of targets without traffic is known as well. Each target
+// is probed by at most watchersPerTarget daemons, selected by a hash of its name.
 func (n *Node) probeTargets(now time.Time) {
 	if now.Before(n.nextProbe) || n.Draining.Load() {
 		return
@@ -137,7 +135,7 @@
 	}
 }
 
-// resendHandovers sends what silent owners did not acknowledge to the next one.
+// resendHandovers steers packets again whose owner did not acknowledge them in time; they go to the next owner.
 func (n *Node) resendHandovers(backend forwarding.Socket) {
 	defer n.Waiting.Done()
 	worker := forwarding.NewWorker(backend, backendHandler{n.plane}, &n.plane.counters.Counters)
@@ -161,9 +159,8 @@
 	}
 }
 
-// writeOne sends a single datagram outside the workers.
+// writeOne sends a single datagram from outside the workers. Errors are ignored, as the loss of a datagram is.
 func writeOne(socket forwarding.Socket, to netip.AddrPort, datagram []byte) {
 	message := ipv4.Message{Buffers: [][]byte{datagram}, Addr: net.UDPAddrFromAddrPort(to)}
-	// An error is a lost datagram.
 	_, _ = socket.WriteBatch([]ipv4.Message{message}, 0)
 }
--- a/internal/node/dataplane_backend.go
+++ b/internal/node/dataplane_backend.go
@@ -9,10 +9,10 @@
 	"github.com/passtray/passtray/internal/steering"
 )
 
-// backendHandler takes what targets and other daemons send.
+// backendHandler handles datagrams from targets and other daemons.
 type backendHandler struct{ *dataPlane }
 
-// Handle takes a target's reply, or a packet another daemon hands over.
+// Handle implements forwarding.Handler. Packets between daemons are accepted only from current or recent members.
 func (h backendHandler) Handle(worker *forwarding.Worker, inbound *forwarding.Inbound) {
 	memory := worker.Context.(*workerContext)
 	offset, err := encapsulation.Parse(inbound.Datagram(), &memory.header)
@@ -30,7 +30,7 @@
 			return
 		}
 		if !h.caughtUp.Load() {
-			// Without an acknowledgement the flow finds another owner.
+			// Without an acknowledgement the sender tries the next owner.
 			h.drop(steering.ReasonNotCaughtUp)
 			return
 		}
@@ -57,7 +57,7 @@
 	}
 }
 
-// acknowledge tells another daemon that its handover came.
+// acknowledge confirms a handover to the daemon that sent it.
 func (h backendHandler) acknowledge(worker *forwarding.Worker, peer netip.AddrPort) {
 	memory := worker.Context.(*workerContext)
 	memory.reply = encapsulation.Header{
@@ -66,8 +66,8 @@
 	worker.Send(h.backend, peer, encapsulation.Append(nil, &memory.reply))
 }
 
-// fromTarget takes in the target's report and passes the payload on. The
-// sender must be the target it says it is.
+// fromTarget records the load report in a target's reply and forwards the payload to the caller. The source address
+// must be that of the target named in the header.
 func (h backendHandler) fromTarget(worker *forwarding.Worker, inbound *forwarding.Inbound, offset int) {
 	memory := worker.Context.(*workerContext)
 	header := &memory.header
@@ -83,7 +83,7 @@
 	now := time.Now()
 	target.Signal.Observe(now, &header.Report)
 	if offset == len(inbound.Buffer) {
-		return // A probe's answer: the report was all.
+		return // response to a probe: a report without a payload
 	}
 	if target.Service.Address != header.Service {
 		h.drop(steering.ReasonForeignService)
@@ -99,7 +99,7 @@
 	h.toCaller(worker, inbound, offset)
 }
 
-// relay passes a reply to the daemon whose address the caller knows.
+// relay forwards a reply to the ingress daemon, whose address the caller sent to.
 func (h backendHandler) relay(worker *forwarding.Worker, inbound *forwarding.Inbound, offset int) {
 	memory := worker.Context.(*workerContext)
 	ingress := memory.header.Ingress
@@ -113,8 +113,7 @@
 	h.send(worker, inbound, offset, &memory.header, ingress)
 }
 
-// toCaller sends a payload to its caller: from the socket the caller used, or
-// through the fabric.
+// toCaller sends a payload to its caller, from the direct socket the caller used or through the fabric.
 func (d *dataPlane) toCaller(worker *forwarding.Worker, inbound *forwarding.Inbound, offset int) {
 	memory := worker.Context.(*workerContext)
 	header := &memory.header
@@ -136,8 +135,8 @@
 	worker.Send(d.egress, d.fabricEgress, datagram)
 }
 
-// sendRefusal carries a refusal made here to its caller. It runs outside the
-// workers, so it writes by itself.
+// sendRefusal sends a locally generated refusal to its caller. It runs outside the workers and therefore writes
+// without batching.
 func (d *dataPlane) sendRefusal(service, caller, ingress netip.AddrPort, datagram []byte) {
 	if ingress == d.self {
 		if socket := d.direct[service]; socket != nil {
@@ -158,7 +157,7 @@
 	writeOne(socket, to, append(encapsulation.Append(nil, &header), datagram...))
 }
 
-// probe asks a target for its report with a datagram without a payload.
+// probe requests a target's load report by a datagram without a payload.
 func (d *dataPlane) probe(snapshot *steering.Snapshot, target *steering.Target) {
 	d.counters.probes.Add(1)
 	header := encapsulation.Header{
--- a/internal/node/dataplane_udp.go
+++ b/internal/node/dataplane_udp.go
@@ -10,23 +10,22 @@
 	"github.com/passtray/passtray/internal/steering"
 )
 
-// replicateInterval is how often an exception is told to the next owner.
+// replicateInterval is the minimum interval between two replications of one pin to the next owner.
 const replicateInterval = 5 * time.Second
 
-// hashed is the index of the target that the rendezvous hash gives, -1 if there
-// is none.
+// hashed returns the index of the target selected by rendezvous hashing, or -1 if there is none.
 func (p *picker) hashed() int { return ownership.Rendezvous(p.key.Hash, p.service.Nodes) }
 
-// isException reports whether a pin is another than the hash would give now, so
-// that an owner without the pin would break the flow.
+// isException reports whether the pinned target differs from the one selected by the hash, so that an owner without
+// the pin would move the flow.
 func (p *picker) isException(pin *ownership.Pin) bool {
 	index := p.hashed()
 	return index >= 0 && uint32(p.service.Targets[index].Number) != pin.Target
 }
 
-// sendDatagramFlow is the owner's part for a plain UDP flow. Every packet of the
-// flow comes here, so its pin is what holds it together. Only exceptions are
-// replicated: all other flows the next owner finds by the hash.
+// sendDatagramFlow is pickAndSend for plain UDP. Every packet of the flow passes its owner, whose pin alone keeps the
+// flow on its target. Only pins that differ from the hash are replicated: for all others, the next owner computes the
+// same target.
 func (d *dataPlane) sendDatagramFlow(worker *forwarding.Worker, inbound *forwarding.Inbound, offset int, pick *picker, isOwner bool) {
 	if !isOwner && d.mayBeKnownElsewhere(pick) {
 		if previous := pick.snapshot.NextOwner(pick.key); previous != nil {
@@ -54,7 +53,7 @@
 		return
 	}
 	if isOwner {
-		// The sender owns the flow and asked, or took this daemon for the owner.
+		// Either the sender owns the flow and requests its pin, or it regards this daemon as the owner.
 		d.replicate(worker, pick, inbound.Source, &pin)
 	}
 	if tell {
@@ -65,8 +64,8 @@
 	d.sendToTarget(worker, inbound, offset, pick.snapshot, target, true)
 }
 
-// mayBeKnownElsewhere reports whether this daemon owns the flow without knowing
-// it and joined so lately that the owner before may still have its pin.
+// mayBeKnownElsewhere reports whether this daemon has no pin for the flow and started so recently that the previous
+// owner may still have one.
 func (d *dataPlane) mayBeKnownElsewhere(pick *picker) bool {
 	if pick.now.Sub(d.started) > d.udpIdle {
 		return false
@@ -79,7 +78,7 @@
 	return !known
 }
 
-// replicate tells the flow's owner the pin, if it is the owner that asked.
+// replicate sends the pin to the requester if that is the flow's owner.
 func (d *dataPlane) replicate(worker *forwarding.Worker, pick *picker, asker netip.AddrPort, pin *ownership.Pin) {
 	owner := pick.snapshot.Owner(pick.key)
 	if owner != nil && !owner.IsSelf && owner.Address == asker {
@@ -97,7 +96,7 @@
 	worker.Send(d.backend, to, encapsulation.Append(nil, &header))
 }
 
-// takePin stores a pin that another daemon has told, unless this daemon has one.
+// takePin stores a pin received from another daemon. A local pin takes precedence.
 func (d *dataPlane) takePin(header *encapsulation.Header) {
 	now := time.Now()
 	key := ownership.KeyOfCaller(header.ServiceNumber, header.Caller)
--- a/internal/node/forwarding_bench_test.go
+++ b/internal/node/forwarding_bench_test.go
@@ -22,10 +22,10 @@
 
 const (
 	benchPayload = 1200
-	benchWindow  = 256 // datagrams on their way at once, below what a socket buffer holds
+	benchWindow  = 256 // datagrams in flight, fewer than a socket buffer holds
 )
 
-// bareRelay sends every datagram on unread: the same batching without us.
+// bareRelay forwards every datagram without parsing it: the baseline with the same batching.
 type bareRelay struct {
 	socket forwarding.Socket
 	to     netip.AddrPort
@@ -45,8 +45,8 @@
 	return socket
 }
 
-// BenchmarkForwarding compares the routed path with a bare relay: fabric header
-// in, decision, target header out, one worker each.
+// BenchmarkForwarding compares the routed path (parse the fabric header, decide, write the target header) with a bare
+// relay, with one worker each.
 func BenchmarkForwarding(b *testing.B) {
 	b.Run("relay", func(b *testing.B) {
 		sink := listenLoopback(b)
@@ -90,8 +90,7 @@
 	return plane
 }
 
-// runForwarding pushes b.N datagrams through a worker, never more than a window
-// at once, so that nothing is lost and the slower side sets the pace.
+// runForwarding sends b.N datagrams through a worker with at most benchWindow in flight, so that none is lost.
 func runForwarding(b *testing.B, sink forwarding.Socket, handler forwarding.Handler, keyring *connectionid.Keyring) {
 	front := listenLoopback(b)
 	source := listenLoopback(b)
--- a/internal/node/operations.go
+++ b/internal/node/operations.go
@@ -10,7 +10,7 @@
 	"github.com/passtray/passtray/internal/dissemination"
 )
 
-// Submit asks the fleet to commit a change and waits for the answer.
+// Submit proposes a change to the fleet and waits for the outcome. It sets the change's time.
 func (n *Node) Submit(ctx context.Context, change catalog.Change) (control.ProposalResult, error) {
 	answer := make(chan control.ProposalResult, 1)
 	change.Time = time.Now().Unix()
@@ -25,7 +25,7 @@
 	return await(ctx, n.Context(), answer)
 }
 
-// Status asks every live daemon what it has in force.
+// Status requests the active configuration version of every live daemon.
 func (n *Node) Status(ctx context.Context) (control.FleetStatus, error) {
 	answer := make(chan control.FleetStatus, 1)
 	accepted := n.Enqueue(func(now time.Time) {
@@ -39,7 +39,7 @@
 	return await(ctx, n.Context(), answer)
 }
 
-// Recover founds the group anew from this daemon's configuration.
+// Recover forces a new consensus group that starts from this daemon's configuration, and returns the new version.
 func (n *Node) Recover(ctx context.Context) (dissemination.Version, error) {
 	answer := make(chan dissemination.Version, 1)
 	accepted := n.Enqueue(func(now time.Time) {
@@ -64,7 +64,7 @@
 	}
 }
 
-// Configuration returns what is in force here.
+// Configuration returns this daemon's active configuration; it is empty before the first.
 func (n *Node) Configuration() (*catalog.State, dissemination.Version) {
 	held := n.view.Load()
 	if held == nil {
@@ -73,10 +73,10 @@
 	return held.state, held.version
 }
 
-// Changed returns a channel that is closed when the configuration changes next.
+// Changed returns a channel that is closed at the next change of the configuration.
 func (n *Node) Changed() <-chan struct{} { return n.watchers.next() }
 
-// watchers wakes everybody who waits for a change.
+// watchers broadcasts changes of the configuration.
 type watchers struct {
 	mutex sync.Mutex
 	gate  chan struct{}
