--- a/internal/node/baseline.go
+++ b/internal/node/baseline.go
@@ -7,12 +7,12 @@
 )
 
 // decide applies the configured steering mode: the snapshot's decision, or that of a lab baseline.
-func (d *dataPlane) decide(snapshot *steering.Snapshot, packet *steering.Packet, isOwner bool, memory *workerContext) steering.Decision {
+func (d *dataPlane) decide(snapshot *steering.Snapshot, packet *steering.Packet, isOwner bool, wctx *workerContext) steering.Decision {
 	switch d.mode {
 	case ModeModulo, ModeRendezvous, ModeRandom:
-		return d.decideByHash(snapshot, packet, memory)
+		return d.decideByHash(snapshot, packet, wctx)
 	}
-	decision := snapshot.Decide(packet, isOwner, &memory.scratch)
+	decision := snapshot.Decide(packet, isOwner, &wctx.scratch)
 	if d.mode == ModeNoOwner && decision.Action == steering.HandOver {
 		decision.Action = steering.Decide
 	}
@@ -21,7 +21,7 @@
 
 // decideByHash selects the target by a hash of the address pair, as a load balancer without routable
 // connection IDs does, or at random in ModeRandom.
-func (d *dataPlane) decideByHash(snapshot *steering.Snapshot, packet *steering.Packet, memory *workerContext) steering.Decision {
+func (d *dataPlane) decideByHash(snapshot *steering.Snapshot, packet *steering.Packet, wctx *workerContext) steering.Decision {
 	service := snapshot.Service(packet.Service)
 	if service == nil {
 		return steering.Decision{Reason: steering.ReasonUnknownService}
@@ -35,15 +35,15 @@
 	case ModeRendezvous:
 		index = ownership.Rendezvous(key.Hash, service.Nodes)
 	case ModeRandom:
-		return d.decideAtRandom(snapshot, service, memory)
+		return d.decideAtRandom(snapshot, service, wctx)
 	}
 	return steering.Decision{Action: steering.Forward, Service: service, Target: service.Targets[index], IsFirstFlight: true}
 }
 
 // decideAtRandom selects a random target, in one of ten cases of another service. Sending a packet to another
 // service violates an invariant that the lab's checkers must detect.
-func (d *dataPlane) decideAtRandom(snapshot *steering.Snapshot, service *steering.Service, memory *workerContext) steering.Decision {
-	if memory.random.IntN(10) == 0 {
+func (d *dataPlane) decideAtRandom(snapshot *steering.Snapshot, service *steering.Service, wctx *workerContext) steering.Decision {
+	if wctx.random.IntN(10) == 0 {
 		for _, other := range snapshot.Services() {
 			if other != service && other.Protocol == catalog.ProtocolQUIC && len(other.Targets) > 0 {
 				service = other
@@ -51,6 +51,6 @@
 			}
 		}
 	}
-	target := service.Targets[memory.random.IntN(len(service.Targets))]
+	target := service.Targets[wctx.random.IntN(len(service.Targets))]
 	return steering.Decision{Action: steering.Forward, Service: service, Target: target, IsFirstFlight: true}
 }
--- a/internal/node/data.go
+++ b/internal/node/data.go
@@ -139,8 +139,8 @@
 func (n *Node) resendHandovers(backend forwarding.Socket) {
 	defer n.Waiting.Done()
 	worker := forwarding.NewWorker(backend, backendHandler{n.plane}, &n.plane.counters.Counters)
-	memory := newWorkerContext()
-	worker.Context = memory
+	wctx := newWorkerContext()
+	worker.Context = wctx
 	ticker := time.NewTicker(resendInterval)
 	defer ticker.Stop()
 	for {
@@ -151,7 +151,7 @@
 			for _, handover := range n.peers.TakeSilent(now) {
 				n.plane.counters.resent.Add(1)
 				inbound := &forwarding.Inbound{Buffer: append(make([]byte, forwarding.Headroom), handover.Payload...)}
-				memory.header = encapsulation.Header{Caller: handover.Caller, Service: handover.Service, Ingress: handover.Ingress}
+				wctx.header = encapsulation.Header{Caller: handover.Caller, Service: handover.Service, Ingress: handover.Ingress}
 				n.plane.steer(worker, inbound, forwarding.Headroom, false)
 				worker.Flush()
 			}
--- a/internal/node/dataplane_backend.go
+++ b/internal/node/dataplane_backend.go
@@ -14,16 +14,16 @@
 
 // Handle implements forwarding.Handler. Packets between daemons are accepted only from current or recent members.
 func (h backendHandler) Handle(worker *forwarding.Worker, inbound *forwarding.Inbound) {
-	memory := worker.Context.(*workerContext)
-	offset, err := encapsulation.Parse(inbound.Datagram(), &memory.header)
+	wctx := worker.Context.(*workerContext)
+	offset, err := encapsulation.Parse(inbound.Datagram(), &wctx.header)
 	if err != nil {
 		h.drop(steering.ReasonMalformed)
 		return
 	}
 	offset += forwarding.Headroom
-	switch memory.header.Kind {
+	switch wctx.header.Kind {
 	case encapsulation.KindFromTarget:
-		h.fromTarget(worker, inbound, offset)
+		h.handleReply(worker, inbound, offset)
 	case encapsulation.KindToOwner:
 		if !h.snapshot.Load().IsPeer(inbound.Source) {
 			h.drop(steering.ReasonForeignSource)
@@ -45,13 +45,13 @@
 			h.drop(steering.ReasonForeignSource)
 			return
 		}
-		h.takePin(&memory.header)
+		h.storePin(&wctx.header)
 	case encapsulation.KindToIngress:
 		if !h.snapshot.Load().IsPeer(inbound.Source) {
 			h.drop(steering.ReasonForeignSource)
 			return
 		}
-		h.toCaller(worker, inbound, offset)
+		h.sendToCaller(worker, inbound, offset)
 	default:
 		h.drop(steering.ReasonNotOurs)
 	}
@@ -59,18 +59,18 @@
 
 // acknowledge confirms a handover to the daemon that sent it.
 func (h backendHandler) acknowledge(worker *forwarding.Worker, peer netip.AddrPort) {
-	memory := worker.Context.(*workerContext)
-	memory.reply = encapsulation.Header{
-		Kind: encapsulation.KindOwnerAcknowledgement, Caller: memory.header.Caller, Service: memory.header.Service,
+	wctx := worker.Context.(*workerContext)
+	wctx.reply = encapsulation.Header{
+		Kind: encapsulation.KindOwnerAcknowledgement, Caller: wctx.header.Caller, Service: wctx.header.Service,
 	}
-	worker.Send(h.backend, peer, encapsulation.Append(nil, &memory.reply))
+	worker.Send(h.backend, peer, encapsulation.Append(nil, &wctx.reply))
 }
 
-// fromTarget records the load report in a target's reply and forwards the payload to the caller. The source address
+// handleReply records the load report in a target's reply and forwards the payload to the caller. The source address
 // must be that of the target named in the header.
-func (h backendHandler) fromTarget(worker *forwarding.Worker, inbound *forwarding.Inbound, offset int) {
-	memory := worker.Context.(*workerContext)
-	header := &memory.header
+func (h backendHandler) handleReply(worker *forwarding.Worker, inbound *forwarding.Inbound, offset int) {
+	wctx := worker.Context.(*workerContext)
+	header := &wctx.header
 	target := h.snapshot.Load().Target(header.TargetNumber)
 	if target == nil {
 		h.drop(steering.ReasonTargetGone)
@@ -96,27 +96,27 @@
 		h.relay(worker, inbound, offset)
 		return
 	}
-	h.toCaller(worker, inbound, offset)
+	h.sendToCaller(worker, inbound, offset)
 }
 
 // relay forwards a reply to the ingress daemon, whose address the caller sent to.
 func (h backendHandler) relay(worker *forwarding.Worker, inbound *forwarding.Inbound, offset int) {
-	memory := worker.Context.(*workerContext)
-	ingress := memory.header.Ingress
+	wctx := worker.Context.(*workerContext)
+	ingress := wctx.header.Ingress
 	if !h.snapshot.Load().IsPeer(ingress) {
 		h.drop(steering.ReasonForeignSource)
 		return
 	}
 	h.counters.relayed.Add(1)
-	memory.header.Kind = encapsulation.KindToIngress
-	memory.header.Names = nil
-	h.send(worker, inbound, offset, &memory.header, ingress)
+	wctx.header.Kind = encapsulation.KindToIngress
+	wctx.header.Names = nil
+	h.send(worker, inbound, offset, &wctx.header, ingress)
 }
 
-// toCaller sends a payload to its caller, from the direct socket the caller used or through the fabric.
-func (d *dataPlane) toCaller(worker *forwarding.Worker, inbound *forwarding.Inbound, offset int) {
-	memory := worker.Context.(*workerContext)
-	header := &memory.header
+// sendToCaller sends a payload to its caller, from the direct socket the caller used or through the fabric.
+func (d *dataPlane) sendToCaller(worker *forwarding.Worker, inbound *forwarding.Inbound, offset int) {
+	wctx := worker.Context.(*workerContext)
+	header := &wctx.header
 	d.counters.returned.Add(1)
 	if socket := d.direct[header.Service]; socket != nil && header.Ingress.IsValid() {
 		worker.Send(socket, header.Caller, inbound.Buffer[offset:])
@@ -126,8 +126,8 @@
 		d.drop(steering.ReasonUnknownService)
 		return
 	}
-	memory.reply = encapsulation.Header{Kind: encapsulation.KindFabric, Caller: header.Caller, Service: header.Service}
-	datagram, fits := forwarding.Rewrite(inbound, offset, &memory.reply, memory.encode[:])
+	wctx.reply = encapsulation.Header{Kind: encapsulation.KindFabric, Caller: header.Caller, Service: header.Service}
+	datagram, fits := forwarding.Rewrite(inbound, offset, &wctx.reply, wctx.encodeBuf[:])
 	if !fits {
 		d.drop(steering.ReasonOversized)
 		return
