--- a/internal/forwarding/rewrite.go
+++ b/internal/forwarding/rewrite.go
@@ -4,10 +4,9 @@
 	"github.com/passtray/passtray/internal/encapsulation"
 )
 
-// Rewrite puts a header before the payload that starts at offset in the inbound
-// buffer, in place, and returns the whole datagram. scratch is working memory of
-// at least encapsulation.MaximumSize bytes. It reports false if the header does
-// not fit, which Headroom rules out for a datagram that was read.
+// Rewrite encodes a header in front of the payload that starts at offset, in place, and returns the resulting
+// datagram. scratch must hold at least encapsulation.MaximumSize bytes. Rewrite returns false if the header does not
+// fit, which cannot happen for a payload behind the buffer's Headroom.
 func Rewrite(inbound *Inbound, offset int, header *encapsulation.Header, scratch []byte) ([]byte, bool) {
 	encoded := encapsulation.Append(scratch[:0], header)
 	start := offset - len(encoded)
--- a/internal/forwarding/socket.go
+++ b/internal/forwarding/socket.go
@@ -1,6 +1,5 @@
-// Package forwarding moves datagrams between sockets in batches: it reads,
-// lets a handler rewrite each datagram in place, and writes. It knows nothing
-// of what the datagrams mean.
+// Package forwarding implements batched UDP forwarding: workers read datagrams in batches, a handler parses and
+// rewrites each one in place, and the results are written in batches.
 package forwarding
 
 import (
@@ -23,11 +22,10 @@
 	Close() error
 }
 
-// socketBufferBytes is asked of the kernel for each direction; it grants what
-// its limits allow.
+// socketBufferBytes is the size requested for each kernel socket buffer. The kernel caps it at its own limits.
 const socketBufferBytes = 4 << 20
 
-// packetSocket joins a UDP socket with its batch calls.
+// packetSocket is a UDP socket with the batch calls of its address family.
 type packetSocket struct {
 	*net.UDPConn
 	batch interface {
@@ -44,8 +42,8 @@
 	return s.batch.WriteBatch(messages, flags)
 }
 
-// Listen opens a UDP socket. With shared set, several sockets may listen on one
-// address and the kernel divides the flows among them (SO_REUSEPORT).
+// Listen opens a UDP socket. If shared is set, several sockets may listen on the address, and the kernel distributes
+// flows among them (SO_REUSEPORT).
 func Listen(address netip.AddrPort, shared bool) (Socket, error) {
 	config := net.ListenConfig{}
 	if shared {
@@ -56,7 +54,7 @@
 		return nil, eris.Wrapf(err, "listen on %s", address)
 	}
 	udp := connection.(*net.UDPConn)
-	// Smaller buffers than asked for only cost packets under bursts.
+	// A smaller buffer than requested is not an error; it only loses more packets during bursts.
 	_ = udp.SetReadBuffer(socketBufferBytes)
 	_ = udp.SetWriteBuffer(socketBufferBytes)
 	socket := &packetSocket{UDPConn: udp}
@@ -79,7 +77,7 @@
 	return failure
 }
 
-// AddressOf returns a socket address as a value.
+// AddressOf converts a UDP address to a netip.AddrPort with an unmapped IP. Other addresses yield the zero value.
 func AddressOf(address net.Addr) netip.AddrPort {
 	udp, isUDP := address.(*net.UDPAddr)
 	if !isUDP {
--- a/internal/forwarding/worker.go
+++ b/internal/forwarding/worker.go
@@ -12,59 +12,57 @@
 )
 
 const (
-	// BatchSize is how many datagrams are read or written in one call.
+	// BatchSize is the maximum number of datagrams per system call.
 	BatchSize = 64
-	// Headroom is the space before each datagram read, for a longer header.
+	// Headroom is the free space, in bytes, before each datagram read, for a longer header.
 	Headroom = 384
-	// MaximumDatagram is the longest datagram accepted, in bytes. Anything
-	// longer than an Ethernet frame with our header is not ours.
+	// MaximumDatagram is the size of the read buffer in bytes; datagrams that fill it are dropped. It exceeds an
+	// Ethernet frame with an encapsulation header.
 	MaximumDatagram = 2048
 
 	retryAfterError = time.Millisecond
 )
 
-// Inbound is one datagram read.
+// Inbound is a received datagram.
 type Inbound struct {
-	// Source is who sent it.
+	// Source is the sender's address.
 	Source netip.AddrPort
-	// Buffer holds Headroom bytes and then the datagram; it is valid only
-	// during the call.
+	// Buffer holds Headroom free bytes followed by the datagram. It is reused after the worker's next Flush.
 	Buffer []byte
 }
 
-// Datagram returns the bytes read.
+// Datagram returns the datagram without the headroom.
 func (i *Inbound) Datagram() []byte { return i.Buffer[Headroom:] }
 
-// Handler decides on one datagram, and sends what comes of it with the worker's
-// Send.
+// Handler processes one datagram and sends any results with Worker.Send.
 type Handler interface {
 	Handle(worker *Worker, inbound *Inbound)
 }
 
-// Counters count what workers moved.
+// Counters count datagrams and are shared by all workers of a daemon.
 type Counters struct {
 	Received  atomic.Uint64
 	Sent      atomic.Uint64
 	SendError atomic.Uint64
 	Oversized atomic.Uint64
-	// LastReceived is when a batch last came, in Unix nanoseconds.
+	// LastReceived is the arrival time of the last batch, in Unix nanoseconds.
 	LastReceived atomic.Int64
 }
 
-// Worker reads one socket and owns the buffers of one goroutine.
+// Worker reads one socket and owns the buffers for it. It must be used by a single goroutine.
 type Worker struct {
 	socket   Socket
 	handler  Handler
 	counters *Counters
 	incoming []ipv4.Message
-	// buffers are those of incoming, each with its headroom in front.
+	// buffers hold the datagrams of incoming, each with its headroom in front.
 	buffers  [][]byte
 	outgoing []*outgoingBatch
-	// Context is the handler's own memory for this goroutine.
+	// Context is the handler's per-worker state.
 	Context any
 }
 
-// outgoingBatch gathers datagrams for one socket.
+// outgoingBatch queues datagrams for one socket. Addresses are stored in place, so that sending does not allocate.
 type outgoingBatch struct {
 	socket    Socket
 	messages  []ipv4.Message
@@ -73,7 +71,7 @@
 	count     int
 }
 
-// NewWorker makes a worker for a socket.
+// NewWorker returns a worker that reads socket once Run is called.
 func NewWorker(socket Socket, handler Handler, counters *Counters) *Worker {
 	worker := &Worker{socket: socket, handler: handler, counters: counters}
 	worker.incoming = make([]ipv4.Message, BatchSize)
@@ -85,8 +83,8 @@
 	return worker
 }
 
-// Send queues a datagram; it goes out before the next read. The bytes must stay
-// valid until then, as the inbound buffer does.
+// Send queues a datagram, which is written before the next read. The bytes must not change until then; the inbound
+// buffer may be used.
 func (w *Worker) Send(socket Socket, to netip.AddrPort, datagram []byte) {
 	batch := w.batchFor(socket)
 	if batch.count == BatchSize {
@@ -132,8 +130,8 @@
 	for len(pending) > 0 {
 		sent, err := batch.socket.WriteBatch(pending, 0)
 		if err != nil {
-			// The kernel refused the first datagram, such as one to a port
-			// nobody listens on: it is lost as on any network.
+			// The error concerns the first datagram, for example a port that nobody listens on. It is dropped, and
+			// the rest of the batch is sent.
 			w.counters.SendError.Add(1)
 			sent = 1
 		} else {
@@ -143,7 +141,7 @@
 	}
 }
 
-// Flush sends all that is queued.
+// Flush writes all queued datagrams.
 func (w *Worker) Flush() {
 	for _, batch := range w.outgoing {
 		if batch.count > 0 {
@@ -152,7 +150,7 @@
 	}
 }
 
-// Run reads until the socket is closed.
+// Run processes datagrams until the socket is closed.
 func (w *Worker) Run() {
 	var inbound Inbound
 	for {
@@ -184,13 +182,13 @@
 	w.handler.Handle(w, inbound)
 }
 
-// Group runs workers.
+// Group runs workers and stops them together.
 type Group struct {
 	waiting sync.WaitGroup
 	sockets []Socket
 }
 
-// Start runs a worker in a goroutine of its own until Close.
+// Start runs a worker in a new goroutine until Close.
 func (g *Group) Start(worker *Worker) {
 	g.sockets = append(g.sockets, worker.socket)
 	g.waiting.Add(1)
@@ -200,7 +198,7 @@
 	}()
 }
 
-// Close closes the workers' sockets and waits for them.
+// Close closes the workers' sockets and waits for the workers to return.
 func (g *Group) Close() {
 	for _, socket := range g.sockets {
 		_ = socket.Close()
