--- a/internal/forwarding/socket.go
+++ b/internal/forwarding/socket.go
@@ -67,14 +67,14 @@
 }
 
 func setReusePort(_, _ string, raw syscall.RawConn) error {
-	var failure error
+	var sockoptErr error
 	err := raw.Control(func(descriptor uintptr) {
-		failure = unix.SetsockoptInt(int(descriptor), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+		sockoptErr = unix.SetsockoptInt(int(descriptor), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 	})
 	if err != nil {
 		return err
 	}
-	return failure
+	return sockoptErr
 }
 
 // AddressOf converts a UDP address to a netip.AddrPort with an unmapped IP. Other addresses yield the zero value.
@@ -83,6 +83,6 @@
 	if !isUDP {
 		return netip.AddrPort{}
 	}
-	read := udp.AddrPort()
-	return netip.AddrPortFrom(read.Addr().Unmap(), read.Port())
+	addrPort := udp.AddrPort()
+	return netip.AddrPortFrom(addrPort.Addr().Unmap(), addrPort.Port())
 }
--- a/internal/forwarding/worker.go
+++ b/internal/forwarding/worker.go
@@ -27,7 +27,7 @@
 type Inbound struct {
 	// Source is the sender's address.
 	Source netip.AddrPort
-	// Buffer holds Headroom free bytes followed by the datagram. It is reused after the worker's next Flush.
+	// Buffer holds Headroom free bytes followed by the datagram. It is reused by the worker's next read.
 	Buffer []byte
 }
 
@@ -67,7 +67,7 @@
 	socket    Socket
 	messages  []ipv4.Message
 	addresses []net.UDPAddr
-	storage   [][net.IPv6len]byte
+	ips       [][net.IPv6len]byte
 	count     int
 }
 
@@ -95,11 +95,11 @@
 	batch.messages[index].Buffers[0] = datagram
 	address := &batch.addresses[index]
 	if ip := to.Addr(); ip.Is4() {
-		four := ip.As4()
-		address.IP = append(batch.storage[index][:0], four[:]...)
+		ip4 := ip.As4()
+		address.IP = append(batch.ips[index][:0], ip4[:]...)
 	} else {
-		batch.storage[index] = ip.As16()
-		address.IP = batch.storage[index][:]
+		batch.ips[index] = ip.As16()
+		address.IP = batch.ips[index][:]
 	}
 	address.Port = int(to.Port())
 }
@@ -114,7 +114,7 @@
 		socket:    socket,
 		messages:  make([]ipv4.Message, BatchSize),
 		addresses: make([]net.UDPAddr, BatchSize),
-		storage:   make([][net.IPv6len]byte, BatchSize),
+		ips:       make([][net.IPv6len]byte, BatchSize),
 	}
 	for index := range batch.messages {
 		batch.messages[index].Buffers = make([][]byte, 1)
@@ -184,16 +184,16 @@
 
 // Group runs workers and stops them together.
 type Group struct {
-	waiting sync.WaitGroup
+	running sync.WaitGroup
 	sockets []Socket
 }
 
 // Start runs a worker in a new goroutine until Close.
 func (g *Group) Start(worker *Worker) {
 	g.sockets = append(g.sockets, worker.socket)
-	g.waiting.Add(1)
+	g.running.Add(1)
 	go func() {
-		defer g.waiting.Done()
+		defer g.running.Done()
 		worker.Run()
 	}()
 }
@@ -203,5 +203,5 @@
 	for _, socket := range g.sockets {
 		_ = socket.Close()
 	}
-	g.waiting.Wait()
+	g.running.Wait()
 }
