--- a/internal/settings/describe.go
+++ b/internal/settings/describe.go
@@ -8,10 +8,10 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// fieldName makes the checker speak of fields as the file does.
+// fieldName makes the validator report fields by their names in the settings file.
 func fieldName(field reflect.StructField) string { return field.Tag.Get("koanf") }
 
-// describe says what is wrong with one field, and what is allowed.
+// describe returns a message with the field's path, its value and the values allowed.
 func describe(fault validator.FieldError) string {
 	_, path, _ := strings.Cut(fault.Namespace(), ".")
 	value := fmt.Sprintf("%v", fault.Value())
@@ -21,7 +21,7 @@
 	case "address":
 		return fmt.Sprintf("%s: %q must be an IP address and a port, such as 192.0.2.1:7000", path, value)
 	case "required_with_fabric":
-		return path + ": must be given where data.fabric is"
+		return path + ": must be given if data.fabric is set"
 	case "ip_url":
 		return fmt.Sprintf("%s: %q must be an http or https URL whose host is an IP address", path, value)
 	case "oneof":
