--- a/internal/resource/processor.go
+++ b/internal/resource/processor.go
@@ -1,4 +1,4 @@
-// Package resource reads what this process has used of its machine.
+// Package resource measures the process's use of machine resources.
 package resource
 
 import (
@@ -7,8 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// ProcessorTime returns the processor time that this whole process has used, 0
-// if the system does not say.
+// ProcessorTime returns the user and system CPU time used by the process, 0 if it cannot be read.
 func ProcessorTime() time.Duration {
 	var usage unix.Rusage
 	if unix.Getrusage(unix.RUSAGE_SELF, &usage) != nil {
--- a/internal/signals/signals.go
+++ b/internal/signals/signals.go
@@ -1,6 +1,5 @@
-// Package signals takes a daemon's signals from the first moment of its process on. It imports little,
-// so that it is initialised before most of the program: until then a signal ends the process, and a
-// machine's settings may change while its daemon starts.
+// Package signals registers a daemon's signal handlers during package initialization, so that a SIGHUP received while
+// the daemon starts does not end the process. It imports few packages in order to be initialized early.
 package signals
 
 import (
@@ -9,16 +8,15 @@
 	"syscall"
 )
 
-// Signals are what a daemon is told by its platform or its operators. Those of one kind that come in
-// quick succession count as one, and none hides another kind.
+// Signals are the channels of a daemon's signals. Each kind has a channel of its own, so that none can displace another;
+// pending signals of the same kind are coalesced.
 type Signals struct {
-	// Hangup says that the settings may have changed.
+	// Hangup receives SIGHUP: reload the settings.
 	Hangup <-chan os.Signal
-	// Stop asks for a stop in order. More of it change nothing: an open flow must not be cut
-	// because a supervisor asks again.
+	// Stop receives SIGTERM: shut down gracefully. Repeated signals must not shorten the drain, since a supervisor
+	// may send several.
 	Stop <-chan os.Signal
-	// Interrupt is a person's at a terminal: a first one asks for a stop in order, a second one
-	// for one at once.
+	// Interrupt receives SIGINT: the first shuts down gracefully, the second immediately.
 	Interrupt <-chan os.Signal
 }
 
@@ -28,12 +26,12 @@
 	return Signals{Hangup: notify(syscall.SIGHUP), Stop: notify(syscall.SIGTERM), Interrupt: notify(syscall.SIGINT)}
 }
 
-// notify returns a channel that holds one signal until it is taken.
+// notify returns a channel that buffers one signal.
 func notify(kind os.Signal) <-chan os.Signal {
 	channel := make(chan os.Signal, 1)
 	signal.Notify(channel, kind)
 	return channel
 }
 
-// Received returns the process's signals.
+// Received returns the channels of the process's signals. All callers share them.
 func Received() Signals { return received }
--- a/internal/signals/signals_test.go
+++ b/internal/signals/signals_test.go
@@ -9,19 +9,18 @@
 	"gotest.tools/v3/assert"
 )
 
-// Signals were taken from one channel with room for four: while a daemon read its settings again,
-// four more requests to do so filled it, and the request to stop that followed was lost.
+// Any number of pending SIGHUPs must not displace a SIGTERM, as in a channel shared by both.
 func TestHangupsDoNotHideAStop(t *testing.T) {
 	for range 20 {
 		assert.NilError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
-		time.Sleep(time.Millisecond) // equal signals that wait in the kernel are one
+		time.Sleep(time.Millisecond) // the kernel coalesces pending signals of the same kind
 	}
 	assert.NilError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
 	for name, channel := range map[string]<-chan os.Signal{"hangup": Received().Hangup, "stop": Received().Stop} {
 		select {
 		case <-channel:
 		case <-time.After(10 * time.Second):
-			t.Errorf("no %s came", name)
+			t.Errorf("%s signal was lost", name)
 		}
 	}
 }
--- a/internal/webserver/webserver.go
+++ b/internal/webserver/webserver.go
@@ -1,5 +1,4 @@
-// Package webserver answers HTTP in the background, at an address that is free again once the server
-// is closed.
+// Package webserver runs an HTTP server in the background. Once the server is closed, its address can be reused.
 package webserver
 
 import (
@@ -9,15 +8,14 @@
 	"time"
 )
 
-// Server answers HTTP on one listener.
+// Server is a running HTTP server with one listener.
 type Server struct {
 	http *http.Server
-	// ended is closed once the listener is.
+	// ended is closed after the listener has been closed.
 	ended chan struct{}
 }
 
-// Serve answers what comes to a listener, which it owns from now on. A caller has headerTimeout to send
-// the header of a request.
+// Serve starts a server on listener and takes ownership of it. Clients have headerTimeout to send a request's header.
 func Serve(listener net.Listener, handler http.Handler, headerTimeout time.Duration) *Server {
 	server := &Server{
 		http:  &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout},
@@ -25,18 +23,18 @@
 	}
 	go func() {
 		defer close(server.ended)
-		_ = server.http.Serve(listener) // it always fails in the end, mostly because the server was closed
+		_ = server.http.Serve(listener) // always returns an error, usually http.ErrServerClosed
 	}()
 	return server
 }
 
-// Close ends the server and the calls under way.
+// Close stops the server immediately and closes the connections of requests in progress.
 func (s *Server) Close() {
-	_ = s.http.Close() // what does not close is the listener, which Serve closes as well
+	_ = s.http.Close() // an error concerns the listener only, which Serve closes as well
 	s.awaitEnd()
 }
 
-// Shutdown ends the server. Calls under way may go on for a while.
+// Shutdown stops the server gracefully. Requests in progress may take up to the given time.
 func (s *Server) Shutdown(within time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
@@ -47,7 +45,6 @@
 	s.awaitEnd()
 }
 
-// awaitEnd waits until the listener is closed. A server that is closed before its goroutine ran does not
-// know the listener yet; that goroutine then closes it, and until it does nobody else can listen at the
-// address.
+// awaitEnd waits until the listener is closed. If the server is closed before its goroutine has registered the listener,
+// only that goroutine closes it, and until then the address is in use.
 func (s *Server) awaitEnd() { <-s.ended }
--- a/internal/webserver/webserver_test.go
+++ b/internal/webserver/webserver_test.go
@@ -16,8 +16,8 @@
 	return listener
 }
 
-// A server that was closed before its goroutine ran left its listener open for a while: the next one could
-// not listen ("bind: address already in use").
+// A server closed before its goroutine ran must not leave the listener open, which would make the next listen fail with
+// "address already in use".
 func TestAnAddressIsFreeOnceItsServerIsClosed(t *testing.T) {
 	for name, end := range map[string]func(*Server){
 		"close":    (*Server).Close,
@@ -34,7 +34,7 @@
 	}
 }
 
-// slowServer has a call under way, which ends once release is closed; answered tells its error.
+// slowServer has a request in progress that completes when release is closed; answered receives the client's error.
 type slowServer struct {
 	*Server
 	release  chan struct{}
