--- a/internal/signals/signals.go
+++ b/internal/signals/signals.go
@@ -20,7 +20,7 @@
 	Interrupt <-chan os.Signal
 }
 
-var received = register()
+var channels = register()
 
 func register() Signals {
 	return Signals{Hangup: notify(syscall.SIGHUP), Stop: notify(syscall.SIGTERM), Interrupt: notify(syscall.SIGINT)}
@@ -34,4 +34,4 @@
 }
 
 // Received returns the channels of the process's signals. All callers share them.
-func Received() Signals { return received }
+func Received() Signals { return channels }
--- a/internal/webserver/webserver_test.go
+++ b/internal/webserver/webserver_test.go
@@ -18,7 +18,7 @@
 
 // A server closed before its goroutine ran must not leave the listener open, which would make the next listen fail with
 // "address already in use".
-func TestAnAddressIsFreeOnceItsServerIsClosed(t *testing.T) {
+func TestAddressIsReusableAfterClose(t *testing.T) {
 	for name, end := range map[string]func(*Server){
 		"close":    (*Server).Close,
 		"shutdown": func(server *Server) { server.Shutdown(time.Second) },
@@ -34,17 +34,17 @@
 	}
 }
 
-// slowServer has a request in progress that completes when release is closed; answered receives the client's error.
+// slowServer has a request in progress that completes when release is closed; clientErr receives the client's error.
 type slowServer struct {
 	*Server
-	release  chan struct{}
-	answered chan error
+	release   chan struct{}
+	clientErr chan error
 }
 
 func newSlowServer(t *testing.T) slowServer {
 	t.Helper()
 	called := make(chan struct{})
-	slow := slowServer{release: make(chan struct{}), answered: make(chan error, 1)}
+	slow := slowServer{release: make(chan struct{}), clientErr: make(chan error, 1)}
 	listener := listen(t, "127.0.0.1:0")
 	slow.Server = Serve(listener, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		close(called)
@@ -57,22 +57,22 @@
 		if err == nil {
 			err = response.Body.Close()
 		}
-		slow.answered <- err
+		slow.clientErr <- err
 	}()
 	<-called
 	return slow
 }
 
-func TestACallUnderWayIsAnsweredWithinItsTime(t *testing.T) {
+func TestShutdownWaitsForRequestsInProgress(t *testing.T) {
 	slow := newSlowServer(t)
 	time.AfterFunc(10*time.Millisecond, func() { close(slow.release) })
 	slow.Shutdown(time.Minute)
-	assert.NilError(t, <-slow.answered)
+	assert.NilError(t, <-slow.clientErr)
 }
 
-func TestACallThatTakesTooLongIsEnded(t *testing.T) {
+func TestShutdownCancelsRequestsAfterTheTimeout(t *testing.T) {
 	slow := newSlowServer(t)
 	defer close(slow.release)
 	slow.Shutdown(time.Millisecond)
-	assert.Assert(t, <-slow.answered != nil)
+	assert.Assert(t, <-slow.clientErr != nil)
 }
