--- a/internal/operator/changes.go
+++ b/internal/operator/changes.go
@@ -12,7 +12,8 @@
 	"github.com/passtray/passtray/internal/control"
 )
 
-// submit sends a change through the fleet and makes the answer the call's.
+// submit commits a change and converts the outcome to a response or a gRPC status. If the outcome is unknown, the caller
+// may repeat the call with the same request_id without applying the change twice.
 func (s *service) submit(ctx context.Context, options *passtrayv1.ChangeOptions, change catalog.Change) (*passtrayv1.ChangeResponse, error) {
 	change.RequestIdentifier = options.GetRequestId()
 	change.ExpectedRevision = options.GetExpectedRevision()
@@ -46,8 +47,7 @@
 	}
 }
 
-// parseAddress reads an address field. Names are refused: addresses are what
-// packets carry.
+// parseAddress parses an address field. Host names are rejected, since packets are matched by IP address.
 func parseAddress(field, text string) (netip.AddrPort, error) {
 	address, err := netip.ParseAddrPort(text)
 	if err != nil {
@@ -64,7 +64,7 @@
 	}
 }
 
-// CreateService serves the call of that name.
+// CreateService implements passtrayv1.OperatorServer.
 func (s *service) CreateService(ctx context.Context, request *passtrayv1.CreateServiceRequest) (*passtrayv1.ChangeResponse, error) {
 	declared := request.GetService()
 	address, err := parseAddress("service.address", declared.GetAddress())
@@ -80,7 +80,7 @@
 	})
 }
 
-// UpdateService serves the call of that name.
+// UpdateService implements passtrayv1.OperatorServer.
 func (s *service) UpdateService(ctx context.Context, request *passtrayv1.UpdateServiceRequest) (*passtrayv1.ChangeResponse, error) {
 	return s.submit(ctx, request.GetOptions(), catalog.Change{
 		Operation: catalog.UpdateService,
@@ -90,14 +90,14 @@
 	})
 }
 
-// RetireService serves the call of that name.
+// RetireService implements passtrayv1.OperatorServer.
 func (s *service) RetireService(ctx context.Context, request *passtrayv1.RetireServiceRequest) (*passtrayv1.ChangeResponse, error) {
 	return s.submit(ctx, request.GetOptions(), catalog.Change{
 		Operation: catalog.RetireService, Service: catalog.Service{Name: request.GetName()},
 	})
 }
 
-// AddTarget serves the call of that name.
+// AddTarget implements passtrayv1.OperatorServer.
 func (s *service) AddTarget(ctx context.Context, request *passtrayv1.AddTargetRequest) (*passtrayv1.ChangeResponse, error) {
 	declared := request.GetTarget()
 	address, err := parseAddress("target.address", declared.GetAddress())
@@ -120,17 +120,17 @@
 	}
 }
 
-// SetTargetWeight serves the call of that name.
+// SetTargetWeight implements passtrayv1.OperatorServer.
 func (s *service) SetTargetWeight(ctx context.Context, request *passtrayv1.SetTargetWeightRequest) (*passtrayv1.ChangeResponse, error) {
 	return s.submit(ctx, request.GetOptions(), targetChange(catalog.SetTargetWeight, request.GetService(), request.GetName(), request.GetWeight()))
 }
 
-// DrainTarget serves the call of that name.
+// DrainTarget implements passtrayv1.OperatorServer.
 func (s *service) DrainTarget(ctx context.Context, request *passtrayv1.DrainTargetRequest) (*passtrayv1.ChangeResponse, error) {
 	return s.submit(ctx, request.GetOptions(), targetChange(catalog.DrainTarget, request.GetService(), request.GetName(), 0))
 }
 
-// RetireTarget serves the call of that name.
+// RetireTarget implements passtrayv1.OperatorServer.
 func (s *service) RetireTarget(ctx context.Context, request *passtrayv1.RetireTargetRequest) (*passtrayv1.ChangeResponse, error) {
 	return s.submit(ctx, request.GetOptions(), targetChange(catalog.RetireTarget, request.GetService(), request.GetName(), 0))
 }
--- a/internal/operator/reads.go
+++ b/internal/operator/reads.go
@@ -39,12 +39,12 @@
 	return configuration
 }
 
-// GetConfiguration serves the call of that name.
+// GetConfiguration implements passtrayv1.OperatorServer.
 func (s *service) GetConfiguration(context.Context, *passtrayv1.GetConfigurationRequest) (*passtrayv1.Configuration, error) {
 	return configurationOf(s.fleet.Configuration()), nil
 }
 
-// Watch serves the call of that name.
+// Watch implements passtrayv1.OperatorServer. It sends the latest configuration and may skip intermediate ones.
 func (s *service) Watch(_ *passtrayv1.WatchRequest, stream grpc.ServerStreamingServer[passtrayv1.Configuration]) error {
 	sent, any := uint64(0), false
 	for {
@@ -64,7 +64,7 @@
 	}
 }
 
-// GetStatus serves the call of that name.
+// GetStatus implements passtrayv1.OperatorServer.
 func (s *service) GetStatus(ctx context.Context, _ *passtrayv1.GetStatusRequest) (*passtrayv1.Status, error) {
 	state, version := s.fleet.Configuration()
 	return s.statusAt(ctx, uint64(version.Epoch.Number), state.Revision)
@@ -98,7 +98,7 @@
 	return answer
 }
 
-// WaitInForce serves the call of that name.
+// WaitInForce implements passtrayv1.OperatorServer. It polls the fleet's status.
 func (s *service) WaitInForce(ctx context.Context, request *passtrayv1.WaitInForceRequest) (*passtrayv1.Status, error) {
 	state, version := s.fleet.Configuration()
 	revision := request.GetRevision()
@@ -122,7 +122,7 @@
 	}
 }
 
-// Recover serves the call of that name.
+// Recover implements passtrayv1.OperatorServer. The expected epoch makes a repeated call fail, so that it recovers once.
 func (s *service) Recover(ctx context.Context, request *passtrayv1.RecoverRequest) (*passtrayv1.RecoverResponse, error) {
 	state, version := s.fleet.Configuration()
 	if request.GetExpectedEpoch() != uint64(version.Epoch.Number) {
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -1,5 +1,5 @@
-// Package operator serves the operators' interface: it checks calls, turns them
-// into changes and answers when they are committed.
+// Package operator implements the operator API, a gRPC service over mutual TLS. It converts calls to configuration
+// changes and responds once they are committed.
 package operator
 
 import (
@@ -19,7 +19,7 @@
 	"github.com/passtray/passtray/internal/pki"
 )
 
-// Fleet is what the interface needs of the daemon.
+// Fleet provides the daemon's operations that the API exposes.
 type Fleet interface {
 	Submit(ctx context.Context, change catalog.Change) (control.ProposalResult, error)
 	Status(ctx context.Context) (control.FleetStatus, error)
@@ -34,15 +34,15 @@
 	waitInterval   = 100 * time.Millisecond
 )
 
-// Server serves the interface.
+// Server is a running API server.
 type Server struct {
 	grpc *grpc.Server
-	// ended is closed once the listener is: a server that is closed before its goroutine ran does
-	// not know its listener, and the address would not be free yet.
+	// ended is closed after the listener has been closed. If the server is stopped before its goroutine has registered
+	// the listener, only that goroutine closes it, and until then the address is in use.
 	ended chan struct{}
 }
 
-// Serve starts the interface. Callers need a certificate of the operator role.
+// Serve starts the API server. Clients need a certificate with the operator role.
 func Serve(address netip.AddrPort, store *pki.Store, fleet Fleet) (*Server, error) {
 	listener, err := net.Listen("tcp", address.String())
 	if err != nil {
@@ -56,12 +56,12 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		_ = server.Serve(listener) // it fails only if it was stopped before, and closes the listener then
+		_ = server.Serve(listener) // fails only if already stopped, and then closes the listener
 	}()
 	return &Server{grpc: server, ended: ended}, nil
 }
 
-// Close ends the interface; calls under way get a moment.
+// Close stops the server gracefully, and after stopTimeout cancels the calls in progress.
 func (s *Server) Close() {
 	stopped := make(chan struct{})
 	go func() {
@@ -76,7 +76,7 @@
 	<-s.ended
 }
 
-// service is the generated interface's implementation.
+// service implements passtrayv1.OperatorServer.
 type service struct {
 	passtrayv1.UnimplementedOperatorServer
 	fleet Fleet
