--- a/internal/operator/changes.go
+++ b/internal/operator/changes.go
@@ -66,16 +66,16 @@
 
 // CreateService implements passtrayv1.OperatorServer.
 func (s *service) CreateService(ctx context.Context, request *passtrayv1.CreateServiceRequest) (*passtrayv1.ChangeResponse, error) {
-	declared := request.GetService()
-	address, err := parseAddress("service.address", declared.GetAddress())
+	spec := request.GetService()
+	address, err := parseAddress("service.address", spec.GetAddress())
 	if err != nil {
 		return nil, err
 	}
 	return s.submit(ctx, request.GetOptions(), catalog.Change{
 		Operation: catalog.CreateService,
 		Service: catalog.Service{
-			Name: declared.GetName(), Address: address, Protocol: catalog.Protocol(declared.GetProtocol()),
-			Priority: catalog.Priority(declared.GetPriority()), Limits: limitsOf(declared.GetLimits()),
+			Name: spec.GetName(), Address: address, Protocol: catalog.Protocol(spec.GetProtocol()),
+			Priority: catalog.Priority(spec.GetPriority()), Limits: limitsOf(spec.GetLimits()),
 		},
 	})
 }
@@ -99,16 +99,16 @@
 
 // AddTarget implements passtrayv1.OperatorServer.
 func (s *service) AddTarget(ctx context.Context, request *passtrayv1.AddTargetRequest) (*passtrayv1.ChangeResponse, error) {
-	declared := request.GetTarget()
-	address, err := parseAddress("target.address", declared.GetAddress())
+	spec := request.GetTarget()
+	address, err := parseAddress("target.address", spec.GetAddress())
 	if err != nil {
 		return nil, err
 	}
 	return s.submit(ctx, request.GetOptions(), catalog.Change{
 		Operation: catalog.AddTarget,
-		Service:   catalog.Service{Name: declared.GetService()},
+		Service:   catalog.Service{Name: spec.GetService()},
 		Target: catalog.Target{
-			Name: declared.GetName(), Address: address, Zone: declared.GetZone(), Weight: declared.GetWeight(),
+			Name: spec.GetName(), Address: address, Zone: spec.GetZone(), Weight: spec.GetWeight(),
 		},
 	})
 }
--- a/internal/operator/reads.go
+++ b/internal/operator/reads.go
@@ -46,15 +46,15 @@
 
 // Watch implements passtrayv1.OperatorServer. It sends the latest configuration and may skip intermediate ones.
 func (s *service) Watch(_ *passtrayv1.WatchRequest, stream grpc.ServerStreamingServer[passtrayv1.Configuration]) error {
-	sent, any := uint64(0), false
+	sent, hasSent := uint64(0), false
 	for {
 		changed := s.fleet.Changed()
 		state, version := s.fleet.Configuration()
-		if !any || state.Revision != sent {
+		if !hasSent || state.Revision != sent {
 			if err := stream.Send(configurationOf(state, version)); err != nil {
 				return err
 			}
-			sent, any = state.Revision, true
+			sent, hasSent = state.Revision, true
 		}
 		select {
 		case <-changed:
@@ -83,19 +83,19 @@
 	for _, report := range fleet.Reports {
 		reports[report.Identity] = report
 	}
-	answer := &passtrayv1.Status{Epoch: epoch, Revision: revision}
+	fleetStatus := &passtrayv1.Status{Epoch: epoch, Revision: revision}
 	for _, member := range fleet.Members {
 		report, answered := reports[member.Identity]
 		reportEpoch := uint64(report.Version.Epoch.Number)
 		if answered && (reportEpoch > epoch || (reportEpoch == epoch && report.Revision >= revision)) {
-			answer.InForce++
+			fleetStatus.InForce++
 		}
-		answer.Daemons = append(answer.Daemons, &passtrayv1.DaemonStatus{
+		fleetStatus.Daemons = append(fleetStatus.Daemons, &passtrayv1.DaemonStatus{
 			Address: member.Identity.Address.String(), Zone: member.Zone, Answered: answered,
 			Epoch: reportEpoch, Revision: report.Revision, Voter: report.Voter, Leader: report.Leader,
 		})
 	}
-	return answer
+	return fleetStatus
 }
 
 // WaitInForce implements passtrayv1.OperatorServer. It polls the fleet's status.
@@ -106,18 +106,18 @@
 		revision = state.Revision
 	}
 	for {
-		answer, err := s.statusAt(ctx, uint64(version.Epoch.Number), revision)
+		fleetStatus, err := s.statusAt(ctx, uint64(version.Epoch.Number), revision)
 		if err != nil {
 			return nil, err
 		}
-		if int(answer.GetInForce()) == len(answer.GetDaemons()) {
-			return answer, nil
+		if int(fleetStatus.GetInForce()) == len(fleetStatus.GetDaemons()) {
+			return fleetStatus, nil
 		}
 		select {
-		case <-time.After(waitInterval):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
 			return nil, status.Errorf(codes.DeadlineExceeded, "revision %d is in force on %d of %d daemons",
-				revision, answer.GetInForce(), len(answer.GetDaemons()))
+				revision, fleetStatus.GetInForce(), len(fleetStatus.GetDaemons()))
 		}
 	}
 }
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -29,17 +29,17 @@
 }
 
 const (
-	maximumMessage = 16 << 20
-	stopTimeout    = time.Second
-	waitInterval   = 100 * time.Millisecond
+	maxMessageBytes = 16 << 20
+	stopTimeout     = time.Second
+	pollInterval    = 100 * time.Millisecond
 )
 
 // Server is a running API server.
 type Server struct {
 	grpc *grpc.Server
-	// ended is closed after the listener has been closed. If the server is stopped before its goroutine has registered
+	// closed is closed after the listener has been closed. If the server is stopped before its goroutine has registered
 	// the listener, only that goroutine closes it, and until then the address is in use.
-	ended chan struct{}
+	closed chan struct{}
 }
 
 // Serve starts the API server. Clients need a certificate with the operator role.
@@ -50,15 +50,15 @@
 	}
 	server := grpc.NewServer(
 		grpc.Creds(credentials.NewTLS(store.Server([]string{"h2"}, pki.RoleOperator))),
-		grpc.MaxRecvMsgSize(maximumMessage),
+		grpc.MaxRecvMsgSize(maxMessageBytes),
 	)
 	passtrayv1.RegisterOperatorServer(server, &service{fleet: fleet})
-	ended := make(chan struct{})
+	closed := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(closed)
 		_ = server.Serve(listener) // fails only if already stopped, and then closes the listener
 	}()
-	return &Server{grpc: server, ended: ended}, nil
+	return &Server{grpc: server, closed: closed}, nil
 }
 
 // Close stops the server gracefully, and after stopTimeout cancels the calls in progress.
@@ -73,7 +73,7 @@
 	case <-time.After(stopTimeout):
 		s.grpc.Stop()
 	}
-	<-s.ended
+	<-s.closed
 }
 
 // service implements passtrayv1.OperatorServer.
