--- a/internal/ctl/apply.go
+++ b/internal/ctl/apply.go
@@ -13,12 +13,12 @@
 	passtrayv1 "github.com/passtray/passtray/api/passtray/v1"
 )
 
-// Declaration is the file that apply reads.
+// Declaration is the content of the file for apply: the desired services and targets.
 type Declaration struct {
 	Services []DeclaredService `yaml:"services"`
 }
 
-// DeclaredService is one service of the file.
+// DeclaredService is a desired service with its targets.
 type DeclaredService struct {
 	Name     string           `yaml:"name"`
 	Address  string           `yaml:"address"`
@@ -28,13 +28,13 @@
 	Targets  []DeclaredTarget `yaml:"targets"`
 }
 
-// DeclaredLimits are a service's limits.
+// DeclaredLimits are the limits of a desired service.
 type DeclaredLimits struct {
 	NewFlowsPerSecond    uint32 `yaml:"new_flows_per_second"`
 	ConnectionsPerTarget uint32 `yaml:"connections_per_target"`
 }
 
-// DeclaredTarget is one target of the file.
+// DeclaredTarget is a desired target.
 type DeclaredTarget struct {
 	Name    string  `yaml:"name"`
 	Address string  `yaml:"address"`
@@ -44,8 +44,7 @@
 
 const defaultWeight = 100
 
-// ReadDeclaration reads a file. An unknown field is an error that names file,
-// line and field.
+// ReadDeclaration reads and validates a declaration. An error for an unknown field names the file, line and field.
 func ReadDeclaration(path string) (*Declaration, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -97,18 +96,18 @@
 type applyCommand struct {
 	program *program
 	File    string `short:"f" long:"file" required:"true" description:"declaration (YAML)"`
-	Wait    bool   `long:"wait" description:"return only when all is in force on every live daemon"`
-	DryRun  bool   `long:"dry-run" description:"print what would be done and change nothing"`
+	Wait    bool   `long:"wait" description:"wait until all changes are active on every live daemon"`
+	DryRun  bool   `long:"dry-run" description:"print the changes without making them"`
 }
 
-// plannedChange is one call that apply makes.
+// plannedChange is a call of apply to the operator API.
 type plannedChange struct {
 	what string
 	run  func(context.Context, passtrayv1.OperatorClient, *passtrayv1.ChangeOptions) (*passtrayv1.ChangeResponse, error)
 }
 
-// Execute serves go-flags. It creates and changes what differs; what the file
-// does not name is left alone.
+// Execute implements flags.Commander. It creates and updates the services and targets that differ from the file. Those
+// missing from the file are left unchanged.
 func (c *applyCommand) Execute([]string) error {
 	declaration, err := ReadDeclaration(c.File)
 	if err != nil {
@@ -183,7 +182,7 @@
 			continue
 		}
 		if held.GetAddress() != wanted.GetAddress() || held.GetProtocol() != wanted.GetProtocol() {
-			return nil, usageError("service %q: address and protocol cannot be changed (in force: %s %s)",
+			return nil, usageError("service %q: address and protocol cannot be changed (currently %s %s)",
 				wanted.GetName(), held.GetAddress(), short(held.GetProtocol()))
 		}
 		wantedConnections := wanted.GetLimits().GetConnectionsPerTarget()
@@ -211,13 +210,13 @@
 			continue
 		}
 		if held.GetAddress() != wanted.GetAddress() || held.GetZone() != wanted.GetZone() {
-			return nil, usageError("target %q: address and zone cannot be changed (in force: %s %s); retire it and add another",
+			return nil, usageError("target %q: address and zone cannot be changed (currently %s %s); retire it and add another",
 				name, held.GetAddress(), held.GetZone())
 		}
 		if held.GetWeight() == wanted.GetWeight() {
 			return nil, nil
 		}
-		return []plannedChange{{"weigh target " + name, func(ctx context.Context, client passtrayv1.OperatorClient, options *passtrayv1.ChangeOptions) (*passtrayv1.ChangeResponse, error) {
+		return []plannedChange{{"set weight of target " + name, func(ctx context.Context, client passtrayv1.OperatorClient, options *passtrayv1.ChangeOptions) (*passtrayv1.ChangeResponse, error) {
 			return client.SetTargetWeight(ctx, &passtrayv1.SetTargetWeightRequest{
 				Options: options, Service: wanted.GetService(), Name: wanted.GetName(), Weight: wanted.GetWeight(),
 			})
--- a/internal/ctl/changes.go
+++ b/internal/ctl/changes.go
@@ -7,8 +7,8 @@
 )
 
 type limitFlags struct {
-	Flows       uint32 `long:"new-flows-per-second" description:"limit over the whole region; 0 is none"`
-	Connections uint32 `long:"connections-per-target" description:"open connections a target may hold; 0 is 2,000"`
+	Flows       uint32 `long:"new-flows-per-second" description:"limit over the whole region; 0 means no limit"`
+	Connections uint32 `long:"connections-per-target" description:"maximum number of open connections per target; 0 means 2,000"`
 }
 
 func (f *limitFlags) limits() *passtrayv1.Limits {
@@ -19,7 +19,7 @@
 	program *program
 	ChangeFlags
 	limitFlags
-	Address  string `long:"address" required:"true" description:"IP:port that callers use"`
+	Address  string `long:"address" required:"true" description:"IP:port that callers connect to"`
 	Protocol string `long:"protocol" default:"quic" description:"quic or udp"`
 	Priority string `long:"priority" required:"true" description:"critical, standard or bulk"`
 	Name     struct {
@@ -27,7 +27,7 @@
 	} `positional-args:"true" required:"true"`
 }
 
-// Execute serves go-flags.
+// Execute implements flags.Commander.
 func (c *serviceCreateCommand) Execute([]string) error {
 	protocol, err := long("--protocol", c.Protocol, "PROTOCOL_", passtrayv1.Protocol_value)
 	if err != nil {
@@ -50,13 +50,13 @@
 	program *program
 	ChangeFlags
 	limitFlags
-	Priority string `long:"priority" description:"critical, standard or bulk; kept if not given"`
+	Priority string `long:"priority" description:"critical, standard or bulk; unchanged if omitted"`
 	Name     struct {
 		Name string `positional-arg-name:"NAME"`
 	} `positional-args:"true" required:"true"`
 }
 
-// Execute serves go-flags.
+// Execute implements flags.Commander.
 func (c *serviceUpdateCommand) Execute([]string) error {
 	request := &passtrayv1.UpdateServiceRequest{Name: c.Name.Name}
 	if c.Priority != "" {
@@ -83,7 +83,7 @@
 	} `positional-args:"true" required:"true"`
 }
 
-// Execute serves go-flags.
+// Execute implements flags.Commander.
 func (c *serviceRetireCommand) Execute([]string) error {
 	return c.program.change(&c.ChangeFlags, func(ctx context.Context, client passtrayv1.OperatorClient, options *passtrayv1.ChangeOptions) (*passtrayv1.ChangeResponse, error) {
 		return client.RetireService(ctx, &passtrayv1.RetireServiceRequest{Options: options, Name: c.Name.Name})
@@ -102,11 +102,11 @@
 	ChangeFlags
 	targetNames
 	Address string `long:"address" required:"true" description:"IP:port the target listens on"`
-	Zone    string `long:"zone" required:"true" description:"where it stands"`
-	Weight  uint32 `long:"weight" default:"100" description:"its share of new flows, 0 to 1000"`
+	Zone    string `long:"zone" required:"true" description:"the target's zone"`
+	Weight  uint32 `long:"weight" default:"100" description:"relative share of new flows, 0 to 1000"`
 }
 
-// Execute serves go-flags.
+// Execute implements flags.Commander.
 func (c *targetAddCommand) Execute([]string) error {
 	target := &passtrayv1.Target{
 		Service: c.Names.Service, Name: c.Names.Target, Address: c.Address, Zone: c.Zone, Weight: c.Weight,
@@ -120,10 +120,10 @@
 	program *program
 	ChangeFlags
 	targetNames
-	Weight uint32 `long:"weight" required:"true" description:"its share of new flows, 0 to 1000"`
+	Weight uint32 `long:"weight" required:"true" description:"relative share of new flows, 0 to 1000"`
 }
 
-// Execute serves go-flags.
+// Execute implements flags.Commander.
 func (c *targetWeightCommand) Execute([]string) error {
 	return c.program.change(&c.ChangeFlags, func(ctx context.Context, client passtrayv1.OperatorClient, options *passtrayv1.ChangeOptions) (*passtrayv1.ChangeResponse, error) {
 		return client.SetTargetWeight(ctx, &passtrayv1.SetTargetWeightRequest{
@@ -138,7 +138,7 @@
 	targetNames
 }
 
-// Execute serves go-flags.
+// Execute implements flags.Commander.
 func (c *targetDrainCommand) Execute([]string) error {
 	return c.program.change(&c.ChangeFlags, func(ctx context.Context, client passtrayv1.OperatorClient, options *passtrayv1.ChangeOptions) (*passtrayv1.ChangeResponse, error) {
 		return client.DrainTarget(ctx, &passtrayv1.DrainTargetRequest{Options: options, Service: c.Names.Service, Name: c.Names.Target})
@@ -151,7 +151,7 @@
 	targetNames
 }
 
-// Execute serves go-flags.
+// Execute implements flags.Commander.
 func (c *targetRetireCommand) Execute([]string) error {
 	return c.program.change(&c.ChangeFlags, func(ctx context.Context, client passtrayv1.OperatorClient, options *passtrayv1.ChangeOptions) (*passtrayv1.ChangeResponse, error) {
 		return client.RetireTarget(ctx, &passtrayv1.RetireTargetRequest{Options: options, Service: c.Names.Service, Name: c.Names.Target})
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -67,7 +67,7 @@
 			{Service: "roster", Name: "two", Address: "10.0.0.2:443", Zone: "salt-b", Weight: 100},
 		},
 	}
-	assert.DeepEqual(t, plans(t, declaration, current), []string{"weigh target roster/two"})
+	assert.DeepEqual(t, plans(t, declaration, current), []string{"set weight of target roster/two"})
 	current.Targets[0].Address = "10.0.0.9:443"
 	_, err = planChanges(declaration, current)
 	assert.ErrorContains(t, err, `target "roster/one": address and zone cannot be changed`)
