--- a/internal/ctl/apply.go
+++ b/internal/ctl/apply.go
@@ -69,11 +69,11 @@
 	if s.Protocol == "" {
 		s.Protocol = "quic"
 	}
-	protocol, err := long("protocol", s.Protocol, "PROTOCOL_", passtrayv1.Protocol_value)
+	protocol, err := parseEnum("protocol", s.Protocol, "PROTOCOL_", passtrayv1.Protocol_value)
 	if err != nil {
 		return nil, err
 	}
-	priority, err := long("priority", s.Priority, "PRIORITY_", passtrayv1.Priority_value)
+	priority, err := parseEnum("priority", s.Priority, "PRIORITY_", passtrayv1.Priority_value)
 	if err != nil {
 		return nil, err
 	}
@@ -102,8 +102,8 @@
 
 // plannedChange is a call of apply to the operator API.
 type plannedChange struct {
-	what string
-	run  func(context.Context, passtrayv1.OperatorClient, *passtrayv1.ChangeOptions) (*passtrayv1.ChangeResponse, error)
+	description string
+	run         func(context.Context, passtrayv1.OperatorClient, *passtrayv1.ChangeOptions) (*passtrayv1.ChangeResponse, error)
 }
 
 // Execute implements flags.Commander. It creates and updates the services and targets that differ from the file. Those
@@ -131,18 +131,18 @@
 func (c *applyCommand) run(changes []plannedChange) error {
 	revision := uint64(0)
 	for _, change := range changes {
-		_, _ = fmt.Fprintln(c.program.errOut, change.what)
+		_, _ = fmt.Fprintln(c.program.errOut, change.description)
 		if c.DryRun {
 			continue
 		}
 		options := (&ChangeFlags{}).options()
 		err := c.program.call(func(ctx context.Context, client passtrayv1.OperatorClient) error {
-			answer, err := change.run(ctx, client, options)
-			revision = max(revision, answer.GetRevision())
+			response, err := change.run(ctx, client, options)
+			revision = max(revision, response.GetRevision())
 			return err
 		})
 		if err != nil {
-			return eris.Wrap(err, change.what)
+			return eris.Wrap(err, change.description)
 		}
 	}
 	_, _ = fmt.Fprintf(c.program.errOut, "%d change(s), revision %d\n", len(changes), revision)
@@ -156,17 +156,17 @@
 	var changes []plannedChange
 	for index := range declaration.Services {
 		declared := &declaration.Services[index]
-		wanted, err := declared.message()
+		desired, err := declared.message()
 		if err != nil {
 			return nil, err
 		}
-		serviceChanges, err := planService(wanted, current)
+		serviceChanges, err := planService(desired, current)
 		if err != nil {
 			return nil, err
 		}
 		changes = append(changes, serviceChanges...)
-		for position := range declared.Targets {
-			targetChanges, err := planTarget(declared.Targets[position].message(declared.Name), current)
+		for targetIndex := range declared.Targets {
+			targetChanges, err := planTarget(declared.Targets[targetIndex].message(declared.Name), current)
 			if err != nil {
 				return nil, err
 			}
@@ -176,53 +176,53 @@
 	return changes, nil
 }
 
-func planService(wanted *passtrayv1.Service, current *passtrayv1.Configuration) ([]plannedChange, error) {
-	for _, held := range current.GetServices() {
-		if held.GetName() != wanted.GetName() || held.GetRetired() {
+func planService(desired *passtrayv1.Service, current *passtrayv1.Configuration) ([]plannedChange, error) {
+	for _, existing := range current.GetServices() {
+		if existing.GetName() != desired.GetName() || existing.GetRetired() {
 			continue
 		}
-		if held.GetAddress() != wanted.GetAddress() || held.GetProtocol() != wanted.GetProtocol() {
+		if existing.GetAddress() != desired.GetAddress() || existing.GetProtocol() != desired.GetProtocol() {
 			return nil, usageError("service %q: address and protocol cannot be changed (currently %s %s)",
-				wanted.GetName(), held.GetAddress(), short(held.GetProtocol()))
+				desired.GetName(), existing.GetAddress(), enumShortName(existing.GetProtocol()))
 		}
-		wantedConnections := wanted.GetLimits().GetConnectionsPerTarget()
-		sameLimits := held.GetLimits().GetNewFlowsPerSecond() == wanted.GetLimits().GetNewFlowsPerSecond() &&
-			(wantedConnections == 0 || held.GetLimits().GetConnectionsPerTarget() == wantedConnections)
-		if sameLimits && held.GetPriority() == wanted.GetPriority() {
+		desiredConnections := desired.GetLimits().GetConnectionsPerTarget()
+		sameLimits := existing.GetLimits().GetNewFlowsPerSecond() == desired.GetLimits().GetNewFlowsPerSecond() &&
+			(desiredConnections == 0 || existing.GetLimits().GetConnectionsPerTarget() == desiredConnections)
+		if sameLimits && existing.GetPriority() == desired.GetPriority() {
 			return nil, nil
 		}
-		return []plannedChange{{"update service " + wanted.GetName(), func(ctx context.Context, client passtrayv1.OperatorClient, options *passtrayv1.ChangeOptions) (*passtrayv1.ChangeResponse, error) {
+		return []plannedChange{{"update service " + desired.GetName(), func(ctx context.Context, client passtrayv1.OperatorClient, options *passtrayv1.ChangeOptions) (*passtrayv1.ChangeResponse, error) {
 			return client.UpdateService(ctx, &passtrayv1.UpdateServiceRequest{
-				Options: options, Name: wanted.GetName(), Priority: wanted.GetPriority(), Limits: wanted.GetLimits(),
+				Options: options, Name: desired.GetName(), Priority: desired.GetPriority(), Limits: desired.GetLimits(),
 			})
 		}}}, nil
 	}
-	return []plannedChange{{"create service " + wanted.GetName(), func(ctx context.Context, client passtrayv1.OperatorClient, options *passtrayv1.ChangeOptions) (*passtrayv1.ChangeResponse, error) {
-		return client.CreateService(ctx, &passtrayv1.CreateServiceRequest{Options: options, Service: wanted})
+	return []plannedChange{{"create service " + desired.GetName(), func(ctx context.Context, client passtrayv1.OperatorClient, options *passtrayv1.ChangeOptions) (*passtrayv1.ChangeResponse, error) {
+		return client.CreateService(ctx, &passtrayv1.CreateServiceRequest{Options: options, Service: desired})
 	}}}, nil
 }
 
-func planTarget(wanted *passtrayv1.Target, current *passtrayv1.Configuration) ([]plannedChange, error) {
-	name := wanted.GetService() + "/" + wanted.GetName()
-	for _, held := range current.GetTargets() {
-		sameName := held.GetService() == wanted.GetService() && held.GetName() == wanted.GetName()
-		if !sameName || held.GetState() == passtrayv1.TargetState_TARGET_STATE_RETIRED {
+func planTarget(desired *passtrayv1.Target, current *passtrayv1.Configuration) ([]plannedChange, error) {
+	name := desired.GetService() + "/" + desired.GetName()
+	for _, existing := range current.GetTargets() {
+		sameName := existing.GetService() == desired.GetService() && existing.GetName() == desired.GetName()
+		if !sameName || existing.GetState() == passtrayv1.TargetState_TARGET_STATE_RETIRED {
 			continue
 		}
-		if held.GetAddress() != wanted.GetAddress() || held.GetZone() != wanted.GetZone() {
+		if existing.GetAddress() != desired.GetAddress() || existing.GetZone() != desired.GetZone() {
 			return nil, usageError("target %q: address and zone cannot be changed (currently %s %s); retire it and add another",
-				name, held.GetAddress(), held.GetZone())
+				name, existing.GetAddress(), existing.GetZone())
 		}
-		if held.GetWeight() == wanted.GetWeight() {
+		if existing.GetWeight() == desired.GetWeight() {
 			return nil, nil
 		}
 		return []plannedChange{{"set weight of target " + name, func(ctx context.Context, client passtrayv1.OperatorClient, options *passtrayv1.ChangeOptions) (*passtrayv1.ChangeResponse, error) {
 			return client.SetTargetWeight(ctx, &passtrayv1.SetTargetWeightRequest{
-				Options: options, Service: wanted.GetService(), Name: wanted.GetName(), Weight: wanted.GetWeight(),
+				Options: options, Service: desired.GetService(), Name: desired.GetName(), Weight: desired.GetWeight(),
 			})
 		}}}, nil
 	}
 	return []plannedChange{{"add target " + name, func(ctx context.Context, client passtrayv1.OperatorClient, options *passtrayv1.ChangeOptions) (*passtrayv1.ChangeResponse, error) {
-		return client.AddTarget(ctx, &passtrayv1.AddTargetRequest{Options: options, Target: wanted})
+		return client.AddTarget(ctx, &passtrayv1.AddTargetRequest{Options: options, Target: desired})
 	}}}, nil
 }
--- a/internal/ctl/changes.go
+++ b/internal/ctl/changes.go
@@ -29,11 +29,11 @@
 
 // Execute implements flags.Commander.
 func (c *serviceCreateCommand) Execute([]string) error {
-	protocol, err := long("--protocol", c.Protocol, "PROTOCOL_", passtrayv1.Protocol_value)
+	protocol, err := parseEnum("--protocol", c.Protocol, "PROTOCOL_", passtrayv1.Protocol_value)
 	if err != nil {
 		return err
 	}
-	priority, err := long("--priority", c.Priority, "PRIORITY_", passtrayv1.Priority_value)
+	priority, err := parseEnum("--priority", c.Priority, "PRIORITY_", passtrayv1.Priority_value)
 	if err != nil {
 		return err
 	}
@@ -60,7 +60,7 @@
 func (c *serviceUpdateCommand) Execute([]string) error {
 	request := &passtrayv1.UpdateServiceRequest{Name: c.Name.Name}
 	if c.Priority != "" {
-		priority, err := long("--priority", c.Priority, "PRIORITY_", passtrayv1.Priority_value)
+		priority, err := parseEnum("--priority", c.Priority, "PRIORITY_", passtrayv1.Priority_value)
 		if err != nil {
 			return err
 		}
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -16,14 +16,14 @@
 	passtrayv1 "github.com/passtray/passtray/api/passtray/v1"
 )
 
-func declare(t *testing.T, content string) (*Declaration, error) {
+func readDeclaration(t *testing.T, content string) (*Declaration, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "services.yaml")
 	assert.NilError(t, os.WriteFile(path, []byte(content), 0o600))
 	return ReadDeclaration(path)
 }
 
-const goodDeclaration = `
+const validDeclaration = `
 services:
   - name: roster
     address: 192.0.2.10:443
@@ -33,29 +33,29 @@
       - {name: two, address: 10.0.0.2:443, zone: salt-b, weight: 7}
 `
 
-func TestADeclarationsFaultsNameFileLineAndField(t *testing.T) {
-	_, err := declare(t, "services:\n  - name: roster\n    colour: blue\n")
+func TestDeclarationErrorsNameFileLineAndField(t *testing.T) {
+	_, err := readDeclaration(t, "services:\n  - name: roster\n    colour: blue\n")
 	assert.ErrorContains(t, err, "services.yaml")
 	assert.ErrorContains(t, err, "line 3: field colour not found")
-	_, err = declare(t, "services:\n  - {name: roster, priority: urgent}\n")
+	_, err = readDeclaration(t, "services:\n  - {name: roster, priority: urgent}\n")
 	assert.ErrorContains(t, err, `services[0]: priority: "urgent" must be one of critical, standard, bulk`)
 }
 
-func plans(t *testing.T, declaration *Declaration, current *passtrayv1.Configuration) []string {
+func planDescriptions(t *testing.T, declaration *Declaration, current *passtrayv1.Configuration) []string {
 	t.Helper()
 	changes, err := planChanges(declaration, current)
 	assert.NilError(t, err)
-	var what []string
+	var descriptions []string
 	for _, change := range changes {
-		what = append(what, change.what)
+		descriptions = append(descriptions, change.description)
 	}
-	return what
+	return descriptions
 }
 
 func TestApplyChangesOnlyWhatDiffers(t *testing.T) {
-	declaration, err := declare(t, goodDeclaration)
+	declaration, err := readDeclaration(t, validDeclaration)
 	assert.NilError(t, err)
-	assert.DeepEqual(t, plans(t, declaration, &passtrayv1.Configuration{}),
+	assert.DeepEqual(t, planDescriptions(t, declaration, &passtrayv1.Configuration{}),
 		[]string{"create service roster", "add target roster/one", "add target roster/two"})
 	current := &passtrayv1.Configuration{
 		Services: []*passtrayv1.Service{{
@@ -67,7 +67,7 @@
 			{Service: "roster", Name: "two", Address: "10.0.0.2:443", Zone: "salt-b", Weight: 100},
 		},
 	}
-	assert.DeepEqual(t, plans(t, declaration, current), []string{"set weight of target roster/two"})
+	assert.DeepEqual(t, planDescriptions(t, declaration, current), []string{"set weight of target roster/two"})
 	current.Targets[0].Address = "10.0.0.9:443"
 	_, err = planChanges(declaration, current)
 	assert.ErrorContains(t, err, `target "roster/one": address and zone cannot be changed`)
@@ -87,13 +87,13 @@
 	}
 }
 
-func TestAFleetsRefusalIsSaidBehindWhatWasDone(t *testing.T) {
+func TestErrorMessagesKeepContextWithoutGRPCPrefix(t *testing.T) {
 	refusal := status.Error(codes.InvalidArgument, "target.weight: 5000 must be 0 to 1000")
 	assert.Equal(t, messageOf(refusal), "target.weight: 5000 must be 0 to 1000")
 	assert.Equal(t, messageOf(eris.Wrap(refusal, "add target roster/one")), "add target roster/one: target.weight: 5000 must be 0 to 1000")
 }
 
-func TestWrongUsageIsSaid(t *testing.T) {
+func TestUsageErrors(t *testing.T) {
 	for _, test := range []struct {
 		arguments []string
 		message   string
