--- a/cmd/passtray-lab/main.go
+++ b/cmd/passtray-lab/main.go
@@ -1,4 +1,4 @@
-// Command passtray-lab plays deployments against the stand-ins of the outside.
+// Command passtray-lab runs simulated deployments of passtray against stand-ins for its environment.
 package main
 
 import (
--- a/cmd/passtrayctl/main.go
+++ b/cmd/passtrayctl/main.go
@@ -1,4 +1,4 @@
-// Command passtrayctl is the operators' command line.
+// Command passtrayctl is the command-line client of the operator API.
 package main
 
 import (
