--- a/api/passtray/v1/generate.go
+++ b/api/passtray/v1/generate.go
@@ -1,4 +1,4 @@
-// Package passtrayv1 is the operators' schema and the code generated from it.
+// Package passtrayv1 is the protobuf schema of the operator API and the code generated from it.
 package passtrayv1
 
 //go:generate go build -o ../../../.bin/ google.golang.org/protobuf/cmd/protoc-gen-go google.golang.org/grpc/cmd/protoc-gen-go-grpc
