--- a/cmd/passtray-lab/main.go
+++ b/cmd/passtray-lab/main.go
@@ -1,4 +1,4 @@
-// Command passtray-lab runs simulated deployments of passtray against stand-ins for its environment.
+// Command passtray-lab runs test deployments of passtray against fakes of its environment.
 package main
 
 import (
