--- a/cmd/passtray-lab/main.go
+++ b/cmd/passtray-lab/main.go
@@ -1,4 +1,4 @@
-// Command passtray-lab plays deployments against the stand-ins of the outside.
+// Command passtray-lab runs test deployments of passtray against fakes of its environment.
 package main
 
 import (
