--- a/internal/lab/storelab/caller.go
+++ b/internal/lab/storelab/caller.go
@@ -14,36 +14,36 @@
 )
 
 const (
-	// openingBound is how long a caller tries to open a flow, requestBound how long it
-	// waits for an answer.
+	// openingBound and requestBound are the timeouts for opening a flow and for a response.
 	openingBound = 1400 * time.Millisecond
 	requestBound = 2 * time.Second
-	// firstCallerPort is the first of the ports that flows of a caller take in turn.
+	// firstCallerPort is the lowest source port; each flow takes the next one.
 	firstCallerPort = 10_000
 )
 
-// openingCopies and dataCopies are when a caller sends again, from its first send.
+// openingCopies and dataCopies are when a packet is retransmitted, relative to its first
+// transmission.
 var (
 	openingCopies = []time.Duration{200 * time.Millisecond, 600 * time.Millisecond}
 	dataCopies    = []time.Duration{200 * time.Millisecond, 600 * time.Millisecond, 1400 * time.Millisecond}
 )
 
-// habit is how a caller uses flows.
+// habit describes the traffic that a caller sends to one route.
 type habit struct {
 	route netip.AddrPort
-	// mayRepeat says that its requests may run more than once.
+	// mayRepeat marks requests as idempotent.
 	mayRepeat bool
-	// perFlow is how many requests go on one flow, pause the most time between two.
+	// perFlow is the number of requests on one flow, pause the maximum time between two.
 	perFlow int
 	pause   time.Duration
 }
 
-// caller is a host with one socket, at whose address all its flows end.
+// caller is a client host. All its flows share one socket.
 type caller struct {
 	socket   *net.UDPConn
 	address  netip.Addr
 	recorder *Recorder
-	// isDaemon tells daemons from targets, forward takes a packet to the routers.
+	// isDaemon tells daemons from targets, forward hands a packet to the router.
 	isDaemon func(from netip.AddrPort) bool
 	forward  func(flow Flow, datagram []byte)
 	numbers  *atomic.Uint64
@@ -53,14 +53,14 @@
 	port  uint16
 }
 
-// received is a packet that reached a caller.
+// received is a packet that a caller received.
 type received struct {
 	packet       token.Packet
 	payload      []byte
 	isFromDaemon bool
 }
 
-// inboxLength is how many packets may wait for a flow.
+// inboxLength is the number of received packets that are queued per flow.
 const inboxLength = 16
 
 func (c *caller) receive() {
@@ -79,12 +79,12 @@
 		c.mutex.Unlock()
 		select {
 		case inbox <- received{packet: packet, payload: datagram[len(datagram)-packet.PayloadLength:], isFromDaemon: isFromDaemon}:
-		default: // the flow has ended, or its inbox is full
+		default: // the flow is closed, or its inbox is full
 		}
 	})
 }
 
-// run makes requests until the context ends.
+// run sends requests until ctx is done.
 func (c *caller) run(ctx context.Context, used habit, random *rand.Rand) {
 	for ctx.Err() == nil {
 		flow := c.open(ctx, used.route)
@@ -109,17 +109,17 @@
 	}
 }
 
-// callerFlow is a flow that is open, as its caller sees it.
+// callerFlow is a caller's state of a flow.
 type callerFlow struct {
 	name  Flow
 	inbox chan received
-	// token is the last one that came; next is the number of the caller's next byte,
-	// awaited that of its target's.
+	// token is the last one received; next and awaited are the sequence numbers of the
+	// next byte to send and to receive.
 	token         uint32
 	next, awaited uint32
 }
 
-// open opens a flow, and returns nil if none came about.
+// open opens a flow, and returns nil if the handshake failed.
 func (c *caller) open(ctx context.Context, route netip.AddrPort) *callerFlow {
 	c.mutex.Lock()
 	c.port++
@@ -148,7 +148,7 @@
 	delete(c.flows, flow.name)
 }
 
-// request makes one request and reports whether its flow is of further use.
+// request sends one request and reports whether its flow can still be used.
 func (c *caller) request(ctx context.Context, flow *callerFlow, used habit, random *rand.Rand) bool {
 	number := c.numbers.Add(1)
 	message := requestMessage{number: number, work: byte(5 + random.IntN(20))}.encode()
@@ -171,8 +171,8 @@
 	return true
 }
 
-// exchange sends a packet, and copies of it, until an answer comes, the flow is reset or
-// the bound is over.
+// exchange sends a packet and retransmits it until a response arrives, the flow is reset or
+// the timeout has passed.
 func (c *caller) exchange(ctx context.Context, flow *callerFlow, packet token.Packet, payload []byte, copies []time.Duration, bound time.Duration, isAnswer func(*received) bool) (received, bool) {
 	began := time.Now()
 	over := time.After(bound)
@@ -197,13 +197,13 @@
 			case isAnswer(&answer):
 				return answer, true
 			case !packet.IsOpening && answer.packet.Acknowledgement == packet.Sequence+uint32(len(payload)):
-				copies = nil // the target has it
+				copies = nil // acknowledged
 			}
 		}
 	}
 }
 
-// send writes a packet to where the routers take it.
+// send hands a packet to the router.
 func (c *caller) send(flow *callerFlow, packet token.Packet, payload []byte) {
 	packet.Source, packet.Destination = flow.name.Caller, flow.name.Route
 	c.forward(flow.name, platform.PacketCodec{}.Write(&packet, payload))
--- a/internal/lab/storelab/check.go
+++ b/internal/lab/storelab/check.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// Bounds are what a run is held to.
+// Bounds are the time limits of the invariants.
 type Bounds struct {
-	// Converge is within what time a configuration must be in force, Leave how long a
-	// leaving target may get new flows.
+	// Converge is the maximum time until a new configuration is active, Leave the maximum
+	// time for which a draining target may get new flows.
 	Converge, Leave time.Duration
-	// Settle is how long after a fault bounds of time hold again.
+	// Settle is the time after a fault during which Converge and Leave aren't checked.
 	Settle time.Duration
-	// Answer is how long after a fault requests on open flows must be answered again.
+	// Answer is the time after a fault until requests on open flows must be answered again.
 	Answer time.Duration
-	// Recover is within what time after the last fault callers are served again.
+	// Recover is the maximum time from the last fault until callers are served again.
 	Recover time.Duration
 }
 
-// leastServed is the share of requests that must be answered once a run has recovered.
+// leastServed is the fraction of requests that must be answered after recovery.
 const leastServed = 0.9
 
-// Verdict is one invariant's judgement.
+// Verdict is the result of checking one invariant.
 type Verdict struct {
 	Invariant string
-	// Checked counts what was looked at: without anything to look at nothing was proved.
+	// Checked counts the events that the invariant applied to. If it is 0, the run proves nothing.
 	Checked    int
 	Violations []string
 }
@@ -37,42 +37,42 @@
 
 // The invariants.
 const (
-	ForeignService  = "no flow opens at a service that no configuration allowed"
-	OldVersion      = "a configuration is in force within its bound"
-	LeavingTarget   = "a leaving target gets no new flows"
-	LivingFlow      = "no open flow of a living target is reset"
-	LivingAnswer    = "a request on an open flow of a living target is answered"
-	WholeAnswer     = "callers get the answers to their own requests"
-	AtMostOnce      = "what may not be repeated runs at most once, and what nobody asked for never"
+	ForeignService  = "flows open only at services that a configuration allowed"
+	OldVersion      = "a new configuration is active within its bound"
+	LeavingTarget   = "a draining target gets no new flows"
+	LivingFlow      = "no open flow of a live target is reset"
+	LivingAnswer    = "requests on open flows of live targets are answered"
+	WholeAnswer     = "callers receive only responses to their own requests"
+	AtMostOnce      = "non-idempotent requests run at most once, and no request runs that was not sent"
 	ServedAfterward = "callers are served again after the last fault"
-	LivingDaemon    = "no daemon ends by itself"
+	LivingDaemon    = "no daemon exits unexpectedly"
 )
 
-// pair is a route and a service behind it.
+// pair is a route and one of its services.
 type pair struct {
 	route   netip.AddrPort
 	service string
 }
 
-// judge is what Check has learned so far of a run.
+// judge is the state of Check while it processes the events in order.
 type judge struct {
 	bounds   Bounds
 	verdicts map[string]*Verdict
-	// forbiddenAt is since when a pair that was allowed no longer is, below 0 while it is.
+	// forbiddenAt is when a pair that was once allowed was removed, negative while it is allowed.
 	forbiddenAt map[pair]time.Duration
 	leavingAt   map[uint64]time.Duration
 	endedAt     map[uint64]time.Duration
-	// listedSince is from when on a route has led somewhere all the time; routes that lead
-	// nowhere are not in it.
+	// listedSince is since when a route has had a service without interruption; it doesn't
+	// contain routes without one.
 	listedSince map[netip.AddrPort]time.Duration
 	open        map[Flow]Event
 	sent        map[uint64]Event
 	ran         map[uint64][]uint64
-	// calmFrom is when the last fault was over.
+	// calmFrom is the end of the last fault so far.
 	calmFrom time.Duration
 }
 
-// Check judges the events of a run, which are in the order of their times.
+// Check verifies all invariants against the events of a run, which must be sorted by time.
 func Check(bounds Bounds, events []Event) []Verdict {
 	j := &judge{
 		bounds: bounds, verdicts: map[string]*Verdict{},
@@ -137,10 +137,10 @@
 	}
 }
 
-// isCalm reports whether bounds of time hold at an event.
+// isCalm reports whether time bounds are checked at an event.
 func (j *judge) isCalm(event *Event) bool { return event.At >= j.calmFrom+j.bounds.Settle }
 
-// count notes that an invariant of time has something to look at: a change in the calm.
+// count counts a change that a time bound applies to.
 func (j *judge) count(invariant string, event *Event) {
 	if j.isCalm(event) {
 		j.verdicts[invariant].Checked++
@@ -152,23 +152,23 @@
 	foreign.Checked++
 	forbiddenAt, wasAllowed := j.forbiddenAt[pair{event.Flow.Route, event.Service}]
 	if !wasAllowed {
-		foreign.violate(event, "%s to %s opens at %x of %s", event.Flow.Caller, event.Flow.Route, event.Target, event.Service)
+		foreign.violate(event, "flow %s to %s opened at target %x of %s", event.Flow.Caller, event.Flow.Route, event.Target, event.Service)
 		return
 	}
 	if forbiddenAt >= 0 && j.isCalm(event) {
 		if late := event.At - event.Span - forbiddenAt; late > j.bounds.Converge {
-			old.violate(event, "%s got a flow to %s %s after it left the route", event.Service, event.Flow.Route, late)
+			old.violate(event, "%s got a flow to %s %s after its removal from the route", event.Service, event.Flow.Route, late)
 		}
 	}
 	if leavingAt, leaves := j.leavingAt[event.Target]; leaves && j.isCalm(event) {
 		if late := event.At - leavingAt; late > j.bounds.Leave {
-			leaving.violate(event, "%x got a flow %s after it began to leave", event.Target, late)
+			leaving.violate(event, "target %x got a flow %s after it began to drain", event.Target, late)
 		}
 	}
 }
 
-// checkReset holds daemons to silence on open flows whose target lives and whose route
-// has stood since they opened.
+// checkReset checks that daemons reset no open flow whose target is running and whose route
+// was never dropped since the flow opened.
 func (j *judge) checkReset(event *Event) {
 	opened, isOpen := j.open[event.Flow]
 	if !isOpen {
@@ -177,12 +177,12 @@
 	verdict := j.verdicts[LivingFlow]
 	verdict.Checked++
 	if j.isLiving(&opened) {
-		verdict.violate(event, "%s to %s, open at %x since %.3f s, was reset", event.Flow.Caller, event.Flow.Route, opened.Target, opened.At.Seconds())
+		verdict.violate(event, "flow %s to %s, open at target %x since %.3f s, was reset", event.Flow.Caller, event.Flow.Route, opened.Target, opened.At.Seconds())
 	}
 }
 
-// isLiving reports whether an open flow's target lives and its route has stood since the flow
-// was opened. A daemon that is behind opens flows on a route that was dropped already.
+// isLiving reports whether an open flow's target is running and its route was never dropped
+// since the flow opened. A daemon with an old configuration may open flows on a dropped route.
 func (j *judge) isLiving(opened *Event) bool {
 	_, hasEnded := j.endedAt[opened.Target]
 	since, isListed := j.listedSince[opened.Flow.Route]
@@ -204,15 +204,15 @@
 	sent, wasSent := j.sent[event.Request]
 	switch {
 	case !wasSent:
-		verdict.violate(event, "request %d ran at %x, and nobody sent it", event.Request, event.Target)
+		verdict.violate(event, "request %d ran at target %x but was not sent", event.Request, event.Target)
 	case !sent.MayRepeat && len(j.ran[event.Request]) > 0:
-		verdict.violate(event, "request %d ran at %x after %x", event.Request, event.Target, j.ran[event.Request])
+		verdict.violate(event, "request %d ran at target %x after it had run at %x", event.Request, event.Target, j.ran[event.Request])
 	}
 	j.ran[event.Request] = append(j.ran[event.Request], event.Target)
 }
 
-// checkFailure holds daemons to carry on open flows, whatever they were told since these
-// opened, and whenever they started.
+// checkFailure checks that daemons keep forwarding open flows, whatever configuration they
+// have received since and whenever they started.
 func (j *judge) checkFailure(event *Event) {
 	opened, isOpen := j.open[event.Flow]
 	if !isOpen || !j.isLiving(&opened) {
@@ -221,7 +221,7 @@
 	verdict := j.verdicts[LivingAnswer]
 	verdict.Checked++
 	if sentAt := j.sent[event.Request].At; sentAt >= j.calmFrom+j.bounds.Answer {
-		verdict.violate(event, "request %d of %s to %s, open at %x, was not answered", event.Request, event.Flow.Caller, event.Flow.Route, opened.Target)
+		verdict.violate(event, "request %d on flow %s to %s, open at target %x, was not answered", event.Request, event.Flow.Caller, event.Flow.Route, opened.Target)
 	}
 }
 
@@ -229,15 +229,16 @@
 	verdict := j.verdicts[WholeAnswer]
 	verdict.Checked++
 	if sent := j.sent[event.Request]; sent.Flow != event.Flow {
-		verdict.violate(event, "request %d was answered on a flow of %s, not of %s", event.Request, event.Flow.Caller, sent.Flow.Caller)
+		verdict.violate(event, "request %d was answered on a flow of %s instead of %s", event.Request, event.Flow.Caller, sent.Flow.Caller)
 	}
 	if !slices.Contains(j.ran[event.Request], event.Target) {
-		verdict.violate(event, "request %d was answered by %x, where it did not run", event.Request, event.Target)
+		verdict.violate(event, "request %d was answered by target %x, where it did not run", event.Request, event.Target)
 	}
 	j.verdicts[LivingAnswer].Checked++
 }
 
-// checkServed looks at the requests that were sent long enough after the last fault.
+// checkServed checks the fraction of answered requests among those that completed at least
+// Recover after the last fault.
 func (j *judge) checkServed(events []Event) {
 	verdict := j.verdicts[ServedAfterward]
 	served := 0
@@ -253,6 +254,6 @@
 		}
 	}
 	if verdict.Checked > 0 && float64(served) < leastServed*float64(verdict.Checked) {
-		verdict.violate(&Event{At: from}, "from then on %d of %d requests were answered", served, verdict.Checked)
+		verdict.violate(&Event{At: from}, "only %d of %d requests were answered since then", served, verdict.Checked)
 	}
 }
--- a/internal/lab/storelab/check_test.go
+++ b/internal/lab/storelab/check_test.go
@@ -15,8 +15,8 @@
 	testFlow   = Flow{Caller: netip.MustParseAddrPort("127.0.3.1:4000"), Route: testRoute}
 )
 
-// goodRun is a run in which nothing goes wrong: a flow opens at target 1, which ends after
-// its request, at 20 s; the route moves from a to b at 30 s, and target 2 of b leaves at 40 s.
+// goodRun returns a run without violations: a flow opens at target 1, which ends at 20 s; the
+// route moves from a to b at 30 s, and target 2 of b begins to drain at 40 s.
 func goodRun() []Event {
 	other := Flow{Caller: netip.MustParseAddrPort("127.0.3.2:4000"), Route: testRoute}
 	return []Event{
@@ -56,34 +56,34 @@
 	}
 }
 
-// TestEachBrokenRunIsFound adds one event to a good run that breaks one invariant.
+// TestEachBrokenRunIsFound adds to a good run one event that violates one invariant.
 func TestEachBrokenRunIsFound(t *testing.T) {
 	at := func(seconds int) time.Duration { return time.Duration(seconds) * time.Second }
 	for name, double := range map[string]struct {
 		added   Event
 		finding string
 	}{
-		"a flow at a foreign service":       {Event{At: at(50), Kind: OpeningTaken, Flow: testFlow, Target: 9, Service: "c"}, ForeignService},
-		"a flow by an old version":          {Event{At: at(50), Kind: OpeningTaken, Flow: testFlow, Target: 3, Service: "a"}, OldVersion},
-		"a flow at a target that left":      {Event{At: at(50), Kind: OpeningTaken, Flow: testFlow, Target: 2, Service: "b"}, LeavingTarget},
-		"an answer to another":              {Event{At: at(50), Kind: RequestAnswered, Flow: Flow{Route: testRoute}, Request: 7, Target: 1}, WholeAnswer},
-		"an answer of another":              {Event{At: at(50), Kind: RequestAnswered, Flow: testFlow, Request: 7, Target: 2}, WholeAnswer},
-		"a request that ran twice":          {Event{At: at(50), Kind: RequestRan, Request: 7, Target: 2}, AtMostOnce},
-		"a request that nobody sent":        {Event{At: at(50), Kind: RequestRan, Request: 8, Target: 2}, AtMostOnce},
-		"a daemon that ends by itself":      {Event{At: at(50), Kind: DaemonEnded, Detail: "daemon-1 ended by itself: signal: hangup"}, LivingDaemon},
-		"a request that failed in the calm": {Event{At: at(50), Kind: RequestFailed, Request: 7}, ServedAfterward},
+		"flow at a service not allowed": {Event{At: at(50), Kind: OpeningTaken, Flow: testFlow, Target: 9, Service: "c"}, ForeignService},
+		"flow by an old configuration":  {Event{At: at(50), Kind: OpeningTaken, Flow: testFlow, Target: 3, Service: "a"}, OldVersion},
+		"flow at a draining target":     {Event{At: at(50), Kind: OpeningTaken, Flow: testFlow, Target: 2, Service: "b"}, LeavingTarget},
+		"response on another flow":      {Event{At: at(50), Kind: RequestAnswered, Flow: Flow{Route: testRoute}, Request: 7, Target: 1}, WholeAnswer},
+		"response of another target":    {Event{At: at(50), Kind: RequestAnswered, Flow: testFlow, Request: 7, Target: 2}, WholeAnswer},
+		"request ran twice":             {Event{At: at(50), Kind: RequestRan, Request: 7, Target: 2}, AtMostOnce},
+		"request was not sent":          {Event{At: at(50), Kind: RequestRan, Request: 8, Target: 2}, AtMostOnce},
+		"unexpected daemon exit":        {Event{At: at(50), Kind: DaemonEnded, Detail: "daemon-1 exited unexpectedly: signal: hangup"}, LivingDaemon},
+		"request failed after recovery": {Event{At: at(50), Kind: RequestFailed, Request: 7}, ServedAfterward},
 	} {
 		t.Run(name, func(t *testing.T) {
 			assert.DeepEqual(t, broken(t, append(goodRun(), double.added)), []string{double.finding})
 		})
 	}
-	t.Run("an open flow of a living target falls silent", func(t *testing.T) {
+	t.Run("open flow of a live target stops responding", func(t *testing.T) {
 		events := goodRun()
 		failed := Event{At: events[7].At - 1, Kind: RequestFailed, Flow: testFlow, Request: 7}
 		events = slices.Insert(events, 7, failed)
 		assert.DeepEqual(t, broken(t, events), []string{LivingAnswer, ServedAfterward})
 	})
-	t.Run("an open flow of a living target is reset", func(t *testing.T) {
+	t.Run("open flow of a live target is reset", func(t *testing.T) {
 		events := goodRun()
 		events[8].At, events[8].Kind = events[7].At, FlowReset
 		events[7], events[8] = events[8], events[7]
@@ -91,8 +91,8 @@
 	})
 }
 
-// TestFlowsOfADroppedRouteMayBeReset: those that were open, and those that a daemon which was
-// behind opened since. A flow that was opened after the route came back may not.
+// Flows that were open when their route was dropped may be reset, and so may flows that a daemon
+// with an old configuration opened since. A flow that opens after the route is back may not.
 func TestFlowsOfADroppedRouteMayBeReset(t *testing.T) {
 	events := append(
 		goodRun(),
--- a/internal/lab/storelab/daemon.go
+++ b/internal/lab/storelab/daemon.go
@@ -11,7 +11,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// daemon is one machine with its daemon as a process, which is started again whenever it ends.
+// daemon manages one daemon's process, settings file, log and proxy to the store.
 type daemon struct {
 	name     string
 	binary   string
@@ -22,14 +22,15 @@
 	mutex   sync.Mutex
 	command *exec.Cmd
 	exited  chan struct{}
-	// life counts the processes, isToEnd says that the one that runs was told to end.
+	// life is the number of processes started so far, isToEnd whether the current one was sent
+	// SIGTERM or SIGKILL.
 	life    int
 	isToEnd bool
-	// onEnd is called when a process ends that was not told to.
+	// onEnd is called when a process exits without such a signal.
 	onEnd func(ended *daemon, state string)
 }
 
-// daemonPlan is what a daemon is told.
+// daemonPlan holds the variable parts of a daemon's settings.
 type daemonPlan struct {
 	name, zone               string
 	control, telemetry, data netip.AddrPort
@@ -38,7 +39,7 @@
 	bounds                   Bounds
 }
 
-// readyPath is where the routers ask for readiness.
+// readyPath is the path of the readiness probe.
 const readyPath = "/readyz"
 
 func (p *daemonPlan) settings() ([]byte, error) {
@@ -55,7 +56,7 @@
 	})
 }
 
-// newDaemon writes a daemon's settings; start runs it.
+// newDaemon writes a daemon's settings without starting it.
 func newDaemon(binary, directory string, plan *daemonPlan, path *proxy) (*daemon, error) {
 	content, err := plan.settings()
 	if err != nil {
@@ -69,7 +70,8 @@
 	return made, err
 }
 
-// start runs the process, unless it runs: two faults may befall one daemon at once.
+// start starts the process unless it is running already; several faults may restart one daemon
+// concurrently.
 func (d *daemon) start() error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -85,7 +87,7 @@
 	d.command, d.exited, d.isToEnd = command, exited, false
 	d.life++
 	go func() {
-		_ = command.Wait() // how it ended stands in its state
+		_ = command.Wait() // ProcessState tells how it exited
 		close(exited)
 		if d.onEnd != nil && !d.wasToEnd(command) {
 			d.onEnd(d, command.ProcessState.String())
@@ -94,14 +96,15 @@
 	return nil
 }
 
-// wasToEnd reports whether a process was told to end. One that was replaced must have been.
+// wasToEnd reports whether a process was sent SIGTERM or SIGKILL, which is assumed of a process
+// that was replaced already.
 func (d *daemon) wasToEnd(command *exec.Cmd) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.isToEnd || d.command != command
 }
 
-// lifeNow returns the number of the process that runs, 0 if none does.
+// lifeNow returns the number of the running process, 0 if there is none.
 func (d *daemon) lifeNow() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -123,7 +126,7 @@
 	}
 }
 
-// signal sends a signal to the process, if it runs. One that has ended by itself is no fault.
+// signal sends a signal to the process. It has no effect if the process has exited.
 func (d *daemon) signal(signal os.Signal) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -134,8 +137,8 @@
 	_ = d.command.Process.Signal(signal)
 }
 
-// tellToEnd sends a signal that ends the process, and returns what is closed once that one has
-// ended: another action may start the next meanwhile.
+// tellToEnd sends a signal that ends the process, and returns the channel that is closed when that
+// process has exited, even if another action has started the next one.
 func (d *daemon) tellToEnd(signal os.Signal) <-chan struct{} {
 	d.mutex.Lock()
 	exited := d.exited
@@ -144,7 +147,7 @@
 	return exited
 }
 
-// kill ends the process at once.
+// kill sends SIGKILL and waits for the process to exit.
 func (d *daemon) kill() { <-d.tellToEnd(syscall.SIGKILL) }
 
 func (d *daemon) close() {
--- a/internal/lab/storelab/doc.go
+++ b/internal/lab/storelab/doc.go
@@ -1,5 +1,5 @@
-// Package storelab plays a fleet that follows a store, with daemons as processes on
-// loopback, against stand-ins of what surrounds it: the store behind proxies, routers,
-// callers and targets. Faults are drawn from a seed. What callers and targets see is noted
-// as events, which Check judges.
+// Package storelab runs daemons as processes on loopback that watch a store, with faults
+// drawn from a seed. The store, the proxies in front of it, an ECMP router, callers and
+// targets are simulated in this process. Callers and targets record events, and Check
+// verifies the invariants against them.
 package storelab
--- a/internal/lab/storelab/events.go
+++ b/internal/lab/storelab/events.go
@@ -6,54 +6,51 @@
 	"time"
 )
 
-// Kind says what an event tells.
+// Kind is the type of an event.
 type Kind uint8
 
-// The kinds of events.
 const (
-	// RouteAllowed and RouteForbidden: the store took a configuration from which on a
-	// route leads to a service, or no longer does.
+	// RouteAllowed and RouteForbidden: a configuration was stored that adds a service to a
+	// route, or removes one from it.
 	RouteAllowed Kind = iota + 1
 	RouteForbidden
-	// TargetStarted, TargetLeaving and TargetEnded are of a target; the second is when the
-	// store took its word.
 	TargetStarted
+	// TargetLeaving: the target's entry in the store was marked as draining or removed.
 	TargetLeaving
 	TargetEnded
-	// Disturbed is a fault that lasts for Span.
+	// Disturbed: a fault began that lasts for Span.
 	Disturbed
-	// OpeningTaken: a target took an opening packet that its caller sent Span ago.
+	// OpeningTaken: a target accepted the first packet of a flow. Span is the time since its
+	// caller sent it, if known.
 	OpeningTaken
-	// FlowOpened: a target has the end of a flow's handshake.
+	// FlowOpened: the handshake of a flow is complete at its target.
 	FlowOpened
-	// FlowReset: a reset that a daemon made reached a flow's caller.
+	// FlowReset: a flow's caller received a reset from a daemon.
 	FlowReset
-	// RequestSent, RequestRan and RequestAnswered are of a request.
 	RequestSent
 	RequestRan
 	RequestAnswered
-	// RequestFailed: the caller gave a request up.
+	// RequestFailed: the caller abandoned a request.
 	RequestFailed
-	// DaemonEnded: a daemon's process ended that nobody had told to.
+	// DaemonEnded: a daemon's process exited unexpectedly.
 	DaemonEnded
-	// DaemonSignalled: a daemon's process was sent a signal that it must bear or obey.
+	// DaemonSignalled: a daemon's process was sent a signal that it has to handle.
 	DaemonSignalled
 )
 
-// Flow names a flow: its caller and the address that it was sent to.
+// Flow identifies a flow by its caller's address and its destination.
 type Flow struct{ Caller, Route netip.AddrPort }
 
-// Event is something that happened outside of the daemons.
+// Event is something that was observed from outside the daemons.
 type Event struct {
-	// At is the time since the run began.
-	At   time.Duration
-	Kind Kind
-	Flow Flow
-	// Target is the identifier of a target, Service what it serves.
+	// At is relative to the start of the run.
+	At      time.Duration
+	Kind    Kind
+	Flow    Flow
 	Target  uint64
 	Service string
 	Request uint64
-	// MayRepeat says that the request may run more than once.
+	// MayRepeat marks an idempotent request.
 	MayRepeat bool
 	Span      time.Duration
 	Detail    string
@@ -66,10 +63,10 @@
 	events []Event
 }
 
-// NewRecorder makes a recorder whose time begins now.
+// NewRecorder creates a recorder. Times of events are relative to this call.
 func NewRecorder() *Recorder { return &Recorder{began: time.Now()} }
 
-// Note adds an event that happens now.
+// Note records an event with the current time.
 func (r *Recorder) Note(event Event) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -77,7 +74,7 @@
 	r.events = append(r.events, event)
 }
 
-// Events returns all events in the order in which they were noted.
+// Events returns a copy of all events in order of their times.
 func (r *Recorder) Events() []Event {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/lab/storelab/fault.go
+++ b/internal/lab/storelab/fault.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// restartAfter is how long a machine whose daemon was killed is without one.
+	// restartAfter is the delay until a killed daemon is restarted.
 	restartAfter = 500 * time.Millisecond
-	// faultSpan is how long a fault lasts that ends by itself.
+	// faultSpan is the duration of temporary faults.
 	faultSpan = 3 * time.Second
-	// freezeSpan is how long a frozen process stands still.
+	// freezeSpan is how long a process is paused.
 	freezeSpan = 1500 * time.Millisecond
-	// entryLifetime is how long a crashed target's entry stays in the store.
+	// entryLifetime is the time until a crashed target's entry expires in the store.
 	entryLifetime = 3 * time.Second
-	// firstFault leaves callers the time to open flows.
+	// firstFault is the time of the earliest fault; callers open flows before.
 	firstFault = 3 * time.Second
 )
 
@@ -28,7 +28,7 @@
 type Fault struct {
 	At time.Duration
 	Do string
-	// Draw chooses what it befalls.
+	// Draw seeds the random choices of the fault, such as its victims.
 	Draw uint64
 }
 
@@ -36,7 +36,7 @@
 	return fmt.Sprintf("%s at %.1f s (%x)", f.Do, f.At.Seconds(), f.Draw)
 }
 
-// actions are what faults do, by name.
+// actions are the faults by name.
 var actions = map[string]func(s *site, random *rand.Rand){
 	"kill":            func(s *site, random *rand.Rand) { s.killSome(random, 1) },
 	"herd":            func(s *site, random *rand.Rand) { s.killSome(random, max(1, len(s.daemons)*2/3)) },
@@ -60,7 +60,7 @@
 	},
 }
 
-// Faults draws a schedule from a seed. Every second schedule ends with all daemons killed.
+// Faults draws a schedule from a seed. With an even seed, it ends with all daemons killed.
 func Faults(seed uint64, count int, span time.Duration) []Fault {
 	faults := draw(rand.New(rand.NewPCG(seed, 11)), actions, count, span)
 	if seed%2 == 0 {
@@ -70,7 +70,7 @@
 	return faults
 }
 
-// draw draws some of what may be done, and when.
+// draw draws count actions and their times.
 func draw(random *rand.Rand, among map[string]func(s *site, random *rand.Rand), count int, span time.Duration) []Fault {
 	names := slices.Sorted(maps.Keys(among))
 	var drawn []Fault
@@ -108,21 +108,21 @@
 
 func (s *site) startAgain(ended *daemon) {
 	if err := ended.start(); err != nil {
-		s.disturbed(0, "%s does not start: %s", ended.name, err)
+		s.disturbed(0, "start of %s failed: %s", ended.name, err)
 	}
 }
 
-// stop ends a daemon as planned, and starts it again. That is no fault: nothing may be lost.
+// stop restarts a daemon gracefully. It isn't recorded as a fault, since no flow may be lost by it.
 func (s *site) stop(stopped *daemon) {
 	s.recorder.Note(Event{Kind: DaemonSignalled, Detail: stopped.name})
 	<-stopped.tellToEnd(syscall.SIGTERM)
 	s.startAgain(stopped)
 }
 
-// rollShare is what part of the daemons a roll stops at once.
+// rollShare is the approximate number of batches of a rolling restart.
 const rollShare = 6
 
-// roll stops and starts every daemon, a few at a time.
+// roll restarts all daemons gracefully, one batch after the other.
 func (s *site) roll() {
 	for some := range slices.Chunk(s.daemons, max(1, len(s.daemons)/rollShare)) {
 		var waiting sync.WaitGroup
@@ -138,21 +138,21 @@
 }
 
 func (s *site) freeze(frozen *daemon) {
-	s.disturbed(freezeSpan, "%s is frozen", frozen.name)
+	s.disturbed(freezeSpan, "%s is paused", frozen.name)
 	frozen.signal(syscall.SIGSTOP)
 	time.Sleep(freezeSpan)
 	frozen.signal(syscall.SIGCONT)
 }
 
 func (s *site) storeDown(*rand.Rand) {
-	s.disturbed(faultSpan, "the store is down")
+	s.disturbed(faultSpan, "store is unavailable")
 	s.store.SetDown(true)
 	time.Sleep(faultSpan)
 	s.store.SetDown(false)
 }
 
 func (s *site) disturbPaths(befallen []*daemon, state pathState) {
-	s.disturbed(faultSpan, "the path of %d daemons to the store is in state %d", len(befallen), state)
+	s.disturbed(faultSpan, "proxies of %d daemons to the store are in mode %d", len(befallen), state)
 	for _, held := range befallen {
 		held.path.set(state)
 	}
@@ -162,15 +162,15 @@
 	}
 }
 
-// muteOpen makes all connections to the store silent for good.
+// muteOpen makes all open connections to the store unresponsive for the rest of their lifetime.
 func (s *site) muteOpen(*rand.Rand) {
-	s.disturbed(0, "open connections to the store fall silent")
+	s.disturbed(0, "open connections to the store are unresponsive")
 	for _, held := range s.daemons {
 		held.path.muteOpen()
 	}
 }
 
-// moveRoute leads a route to another service, or back.
+// moveRoute switches a route to another service, or back.
 func (s *site) moveRoute(random *rand.Rand) {
 	route, home := routeFeeds, serviceFeeds
 	if random.IntN(2) == 0 {
@@ -185,14 +185,14 @@
 	s.configure(s.leadsTo(route, home))
 }
 
-// dropRoute takes a route away for a while.
+// dropRoute removes a route temporarily.
 func (s *site) dropRoute(*rand.Rand) {
 	s.configure(s.leadsTo(routeExtra, ""))
 	time.Sleep(faultSpan)
 	s.configure(s.leadsTo(routeExtra, serviceOther))
 }
 
-// withTarget does something to a target of a service that has others.
+// withTarget calls a function with a random target of a service with at least three, if any.
 func (s *site) withTarget(random *rand.Rand, do func(*target)) {
 	if chosen := s.chooseTarget(random); chosen != nil {
 		do(chosen)
@@ -218,7 +218,7 @@
 	return chosen
 }
 
-// reuse crashes a target and gives its address to a target of another service.
+// reuse crashes a target and starts a target of another service at the same address.
 func (s *site) reuse(random *rand.Rand) {
 	s.withTarget(random, func(crashed *target) {
 		s.crash(crashed)
@@ -230,6 +230,6 @@
 
 func (s *site) started(_ *target, err error) {
 	if err != nil {
-		s.disturbed(0, "a target does not start: %s", err)
+		s.disturbed(0, "start of a target failed: %s", err)
 	}
 }
--- a/internal/lab/storelab/fault_test.go
+++ b/internal/lab/storelab/fault_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// A kept seed is of use only as long as it draws what it drew when it showed its fault.
+// Regression seeds are of use only as long as they draw the same schedules.
 func TestAKeptSeedDrawsWhatItDrew(t *testing.T) {
 	config := DefaultConfig()
 	drawn := append(Faults(201, config.Faults, config.Span), Series(201, config.Series, config.Span)...)
--- a/internal/lab/storelab/large.go
+++ b/internal/lab/storelab/large.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// daemonBytes is about what a daemon takes of the memory with the run's own parts for it.
+	// daemonBytes is the approximate memory per daemon, including the test process's part for it.
 	daemonBytes = 48 << 20
-	// mostDaemons bounds a run: each daemon has an address of its own in a network of a byte.
+	// mostDaemons is limited by the addresses of a /24 network.
 	mostDaemons = 200
 
 	memoryFile  = "/proc/meminfo"
@@ -20,7 +20,7 @@
 	kilobyte    = 1024
 )
 
-// LargeConfig is a run with as many daemons as half of the machine's memory holds.
+// LargeConfig returns a configuration with as many daemons as fit into half of the machine's memory.
 func LargeConfig() (Config, error) {
 	config := DefaultConfig()
 	memory, err := machineMemory()
@@ -31,13 +31,13 @@
 	return config, nil
 }
 
-// machineMemory returns the machine's memory in bytes.
+// machineMemory returns the total memory in bytes.
 func machineMemory() (uint64, error) {
 	file, err := os.Open(memoryFile)
 	if err != nil {
-		return 0, eris.Wrap(err, "memory")
+		return 0, eris.Wrap(err, "read total memory")
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }()
 	lines := bufio.NewScanner(file)
 	for lines.Scan() {
 		fields := strings.Fields(lines.Text())
@@ -47,5 +47,5 @@
 		kilobytes, err := strconv.ParseUint(fields[1], 10, 64)
 		return kilobytes * kilobyte, eris.Wrapf(err, "%s %s", memoryFile, memoryField)
 	}
-	return 0, eris.Errorf("%s: %s is missing", memoryFile, memoryField)
+	return 0, eris.Errorf("%s has no line %s", memoryFile, memoryField)
 }
--- a/internal/lab/storelab/message.go
+++ b/internal/lab/storelab/message.go
@@ -6,18 +6,18 @@
 	"net/netip"
 )
 
-// A request is its number and a byte that says how long the target works on it; an answer is
-// the number and the identifier of the target that ran it.
+// A request consists of its number and a byte with the target's processing time, a response of
+// the request's number and the target's identifier.
 const (
 	requestBytes = 9
 	answerBytes  = 16
-	// datagramBytes is more than any datagram of a run takes.
+	// datagramBytes is larger than any datagram of a run.
 	datagramBytes = 2048
 )
 
 type requestMessage struct {
 	number uint64
-	// work is in milliseconds.
+	// work is the processing time in milliseconds.
 	work byte
 }
 
@@ -45,7 +45,7 @@
 	return answerMessage{number: binary.BigEndian.Uint64(payload), target: binary.BigEndian.Uint64(payload[8:])}, true
 }
 
-// receive hands what comes on a socket to a function until the socket is closed.
+// receive calls handle with each datagram until the socket is closed.
 func receive(socket *net.UDPConn, handle func(from netip.AddrPort, datagram []byte)) {
 	buffer := make([]byte, datagramBytes)
 	for {
--- a/internal/lab/storelab/proxy.go
+++ b/internal/lab/storelab/proxy.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// pathState is how a proxy treats what passes it.
+// pathState is the way in which a proxy treats connections.
 type pathState int32
 
 const (
 	pathWell pathState = iota
-	// pathRefusing resets connections, those that are open and new ones.
+	// pathRefusing resets open and new connections.
 	pathRefusing
-	// pathSilent passes nothing on and accepts all.
+	// pathSilent accepts connections and drops all data.
 	pathSilent
-	// pathOneWay passes calls on, and no answers.
+	// pathOneWay forwards requests and drops responses.
 	pathOneWay
-	// pathSlow holds each part of an answer for slowPathDelay.
+	// pathSlow delays each chunk of a response by slowPathDelay.
 	pathSlow
 )
 
@@ -29,7 +29,7 @@
 	proxyBuffer   = 16 << 10
 )
 
-// proxy stands between one daemon and the store.
+// proxy is a TCP proxy between one daemon and the store that injects faults.
 type proxy struct {
 	listener net.Listener
 	store    netip.AddrPort
@@ -42,7 +42,7 @@
 // proxied is one connection through the proxy.
 type proxied struct {
 	daemon, store net.Conn
-	// isMute says that the connection passes nothing on any more.
+	// isMute is set once the connection drops all data.
 	isMute atomic.Bool
 }
 
@@ -63,7 +63,7 @@
 	}
 }
 
-// muteOpen makes the connections that are open silent for good; new ones work.
+// muteOpen makes the open connections drop all data until they are closed; new ones work.
 func (p *proxy) muteOpen() { p.each(func(connection *proxied) { connection.isMute.Store(true) }) }
 
 func (p *proxy) each(do func(*proxied)) {
@@ -120,7 +120,7 @@
 	p.mutex.Unlock()
 }
 
-// pass copies one direction until it ends. What may not pass is read and lost.
+// pass copies one direction until EOF or an error. Data that the fault drops is read and discarded.
 func (p *proxy) pass(connection *proxied, to io.Writer, from io.Reader, isAnswer bool) {
 	defer connection.reset()
 	buffer := make([]byte, proxyBuffer)
@@ -131,7 +131,7 @@
 		}
 		state := pathState(p.state.Load())
 		if connection.isMute.Load() || state == pathSilent || state == pathOneWay && isAnswer {
-			connection.isMute.Store(true) // what was lost cannot be caught up with
+			connection.isMute.Store(true) // the stream can't continue with a gap
 			continue
 		}
 		if state == pathSlow && isAnswer {
@@ -143,7 +143,7 @@
 	}
 }
 
-// reset ends the connection as a reset does, bytes under way are lost.
+// reset closes both ends with a TCP reset, which discards unsent data.
 func (c *proxied) reset() {
 	for _, end := range []net.Conn{c.daemon, c.store} {
 		if connection, ok := end.(*net.TCPConn); ok {
--- a/internal/lab/storelab/router.go
+++ b/internal/lab/storelab/router.go
@@ -11,40 +11,41 @@
 )
 
 const (
-	// readyInterval is how often a router asks whether a daemon is ready; after
-	// missesUntilOut answers that were missed it gets no packets.
+	// readyInterval is the interval of readiness probes; a daemon is taken out of rotation
+	// after missesUntilOut consecutive failures.
 	readyInterval  = 250 * time.Millisecond
 	missesUntilOut = 2
 )
 
-// router deals packets over the daemons that are ready, by a hash of the address pair.
+// router distributes flows over the ready daemons by a hash of their address pair, as an ECMP
+// router does.
 type router struct {
 	socket *net.UDPConn
-	// daemons are in a fixed order; a hash is taken modulo those that are in.
+	// daemons have a fixed order; the hash selects among those in rotation.
 	daemons []routedDaemon
 
 	mutex sync.Mutex
 	in    []netip.AddrPort
-	// held are the daemons that open flows of some callers keep to until the process is gone.
+	// held are the daemons that flows of forwardHeld are pinned to.
 	held map[Flow]heldDaemon
-	// lifeOf returns the number of the process at an address, 0 if there is none.
+	// lifeOf returns the number of the process at a data address, 0 if there is none.
 	lifeOf func(data netip.AddrPort) int
 }
 
-// heldDaemon is the daemon of a flow, and which of its processes.
+// heldDaemon identifies a process of a daemon.
 type heldDaemon struct {
 	data netip.AddrPort
 	life int
 }
 
-// routedDaemon is a daemon as a router knows it.
+// routedDaemon is the router's state of a daemon.
 type routedDaemon struct {
 	data   netip.AddrPort
 	ready  string
 	misses int
 }
 
-// watch asks the daemons whether they are ready until the context ends.
+// watch probes the daemons' readiness until ctx is done.
 func (r *router) watch(ctx context.Context) {
 	client := &http.Client{Timeout: readyInterval}
 	for index := range r.daemons {
@@ -93,15 +94,15 @@
 	r.in = in
 }
 
-// forward takes a caller's packet to a daemon.
+// forward sends a caller's packet to the daemon that its flow's hash selects.
 func (r *router) forward(flow Flow, datagram []byte) {
 	if to := r.dealt(flow); to.IsValid() {
-		_, _ = r.socket.WriteToUDPAddrPort(datagram, to) // a loss, as on any network
+		_, _ = r.socket.WriteToUDPAddrPort(datagram, to) // treated as packet loss
 	}
 }
 
-// forwardHeld takes a caller's packet to the daemon of its flow for as long as that one's process is
-// there, ready or not, as a client does that uses the connections it has.
+// forwardHeld sends all packets of a flow to the same daemon while its process runs, ready or not,
+// as a client does that keeps its connections.
 func (r *router) forwardHeld(flow Flow, datagram []byte) {
 	r.mutex.Lock()
 	held, isHeld := r.held[flow]
@@ -119,7 +120,7 @@
 	_, _ = r.socket.WriteToUDPAddrPort(datagram, held.data)
 }
 
-// dealt returns the daemon that a flow's hash is of now, not valid if none is in.
+// dealt returns the daemon that a flow's hash selects, or an invalid address if none is in rotation.
 func (r *router) dealt(flow Flow) netip.AddrPort {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(flow.Caller.String() + flow.Route.String()))
--- a/internal/lab/storelab/run.go
+++ b/internal/lab/storelab/run.go
@@ -12,29 +12,29 @@
 	"github.com/rotisserie/eris"
 )
 
-// Config is one run.
+// Config is the configuration of one run.
 type Config struct {
-	// Binary is the daemon's program, Directory where settings and logs go.
+	// Binary is the path of the daemon's executable, Directory where settings and logs are written.
 	Binary    string
 	Directory string
 	Seed      uint64
 	Daemons   int
 	Zones     int
-	// Targets is how many of each service there are, Callers how many hosts call.
+	// Targets is the number of targets per service, Callers the number of client hosts.
 	Targets int
 	Callers int
-	// Faults is how many are drawn, over Span; after them and the planned work that follows
-	// callers go on for Calm.
+	// Faults is the number of faults drawn over Span. After them and the planned maintenance that
+	// follows, callers continue for Calm.
 	Faults int
 	Span   time.Duration
 	Calm   time.Duration
-	// Series is how many series of signals, stops and changes are drawn beside the faults, over
-	// the same span.
+	// Series is the number of series of signals, restarts and changes that are drawn over Span in
+	// addition to the faults.
 	Series int
 	Bounds Bounds
 }
 
-// DefaultConfig is a small run of about a minute.
+// DefaultConfig returns the configuration of a small run of about a minute.
 func DefaultConfig() Config {
 	return Config{
 		Daemons: 6, Zones: 3, Targets: 5, Callers: 12, Faults: 8,
@@ -43,7 +43,7 @@
 	}
 }
 
-// Result is what became of a run.
+// Result is the outcome of a run.
 type Result struct {
 	Seed     uint64
 	Faults   []Fault
@@ -51,7 +51,7 @@
 	Events   []Event
 }
 
-// Holds reports whether every invariant does.
+// Holds reports whether no invariant was violated.
 func (r *Result) Holds() bool {
 	for index := range r.Verdicts {
 		if len(r.Verdicts[index].Violations) > 0 {
@@ -61,7 +61,7 @@
 	return true
 }
 
-// Count returns how many events of a kind there were.
+// Count returns the number of events of a kind.
 func (r *Result) Count(kind Kind) int {
 	count := 0
 	for index := range r.Events {
@@ -72,14 +72,14 @@
 	return count
 }
 
-// callerStart is how long the daemons have before callers begin.
+// callerStart is the time between the start of the daemons and of the callers.
 const callerStart = 1500 * time.Millisecond
 
-// Run plays one seed.
+// Run runs the schedule of one seed and checks the invariants.
 func Run(ctx context.Context, config Config) (*Result, error) {
 	directory, err := os.MkdirTemp(config.Directory, "seed-*")
 	if err != nil {
-		return nil, eris.Wrap(err, "directory")
+		return nil, eris.Wrap(err, "create directory of the run")
 	}
 	played, err := newSite(config, directory)
 	if err != nil {
@@ -104,7 +104,7 @@
 	return &Result{Seed: config.Seed, Faults: faults, Verdicts: Check(config.Bounds, events), Events: events}, ctx.Err()
 }
 
-// call lets every caller use flows in each of four ways.
+// call starts four kinds of traffic on every caller.
 func (s *site) call(ctx context.Context, waiting *sync.WaitGroup) {
 	habits := []habit{
 		{route: routeFeeds, mayRepeat: true, perFlow: 1000, pause: 300 * time.Millisecond},
@@ -123,8 +123,8 @@
 	}
 }
 
-// plan does what operators do while all is well: a route moves, a target leaves, and every
-// daemon is replaced, which then knows nothing of where the route led before.
+// plan performs maintenance without faults: it moves a route, drains a target and restarts all
+// daemons, which then don't know the route's previous service.
 func (s *site) plan(ctx context.Context) {
 	random := rand.New(rand.NewPCG(s.config.Seed, 2))
 	s.moveRoute(random)
@@ -134,7 +134,7 @@
 	}
 }
 
-// befall makes faults happen at their times and returns when all are over.
+// befall injects the faults at their times and returns when all are over.
 func (s *site) befall(ctx context.Context, faults []Fault) {
 	began := time.Now()
 	var waiting sync.WaitGroup
--- a/internal/lab/storelab/series.go
+++ b/internal/lab/storelab/series.go
@@ -11,27 +11,27 @@
 )
 
 const (
-	// fewest and most of what one series has, and the most time between two of it.
+	// fewestInSeries and mostInSeries bound the repetitions in a series (the upper one exclusively),
+	// seriesGap the time between two of them.
 	fewestInSeries = 3
 	mostInSeries   = 8
 	seriesGap      = 250 * time.Millisecond
-	// startSignals is for how long a daemon that starts is sent signals, startGap the time between
-	// two of them. startMargin is for the kernel and the language's runtime: before the program's
-	// own first instruction a signal ends any process.
+	// A starting daemon is sent signals for startSignals, at intervals of startGap. They begin after
+	// startMargin, since no process can handle a signal before its own code runs.
 	startSignals = 300 * time.Millisecond
 	startGap     = 3 * time.Millisecond
 	startMargin  = 20 * time.Millisecond
 
-	// mostAway is the longest outage of a store that is restored, oldestCopy how much older than
-	// that its copy may be.
+	// mostAway bounds the outage of a store that is restored, oldestCopy the age of the backup at
+	// the start of the outage.
 	mostAway   = 2 * time.Second
 	oldestCopy = 6 * time.Second
-	// rewriteWithin is within what time writers write again what a restored store has lost.
+	// rewriteWithin bounds the delay until writers repeat the writes that a restore lost.
 	rewriteWithin = time.Second
 )
 
-// series are what comes several times in quick succession, by name. Planned work is no fault: it
-// disturbs nobody, however much of it overlaps.
+// series are actions that are repeated in quick succession, by name. Planned maintenance among them
+// isn't recorded as a fault: it must not disturb callers even if it overlaps.
 var series = map[string]func(s *site, random *rand.Rand){
 	"restore-store":   (*site).restoreStore,
 	"changes":         (*site).changeOften,
@@ -44,12 +44,12 @@
 	"drains":          (*site).drainSome,
 }
 
-// Series draws what comes in series from a seed, beside its faults.
+// Series draws a schedule of series from a seed.
 func Series(seed uint64, count int, span time.Duration) []Fault {
 	return draw(rand.New(rand.NewPCG(seed, 12)), series, count, span)
 }
 
-// repeat does something a few times, with pauses.
+// repeat calls a function several times, with random pauses.
 func repeat(random *rand.Rand, do func()) {
 	for range fewestInSeries + random.IntN(mostInSeries-fewestInSeries) {
 		do()
@@ -59,14 +59,14 @@
 
 func (s *site) one(random *rand.Rand) *daemon { return s.daemons[random.IntN(len(s.daemons))] }
 
-// restoreStore has the store be away for a while and come back from a copy. What it lost is written
-// again by those who live; the entries of the others expire.
+// restoreStore makes the store unavailable and restores it from a backup. Entries that the restore
+// lost are written again; entries that it resurrected expire.
 func (s *site) restoreStore(random *rand.Rand) {
-	s.restoring.Lock() // what was lost is written again before more is
+	s.restoring.Lock() // all lost entries are written again before the next restore
 	defer s.restoring.Unlock()
 	away := time.Duration(random.Int64N(int64(mostAway)))
 	copiedAt := time.Now().Add(-time.Duration(random.Int64N(int64(oldestCopy))))
-	s.disturbed(away+entryLifetime, "the store is away and comes back from a copy")
+	s.disturbed(away+entryLifetime, "store is unavailable and restored from a backup")
 	s.store.SetDown(true)
 	time.Sleep(away)
 	s.mutex.Lock()
@@ -95,7 +95,7 @@
 	s.store.WriteAgain(entry)
 }
 
-// changeOften drops a route and adds it again, several times.
+// changeOften removes and re-adds a route several times.
 func (s *site) changeOften(random *rand.Rand) {
 	repeat(random, func() {
 		s.configure(s.leadsTo(routeExtra, ""))
@@ -104,7 +104,7 @@
 	})
 }
 
-// hangUp has all daemons read their settings again, several times, while these are written anew.
+// hangUp rewrites the settings of all daemons and sends them SIGHUP, several times.
 func (s *site) hangUp(random *rand.Rand) {
 	repeat(random, func() {
 		for _, held := range s.daemons {
@@ -114,8 +114,7 @@
 	})
 }
 
-// hangUpAtStart stops a daemon and tells the next one to read its settings again from its first
-// moment on.
+// hangUpAtStart restarts a daemon and sends it SIGHUP repeatedly while it starts.
 func (s *site) hangUpAtStart(random *rand.Rand) {
 	held := s.one(random)
 	<-held.tellToEnd(syscall.SIGTERM)
@@ -131,7 +130,7 @@
 	held.signal(signal)
 }
 
-// terminateTwice tells a daemon to stop more than once, and to read its settings meanwhile.
+// terminateTwice sends SIGTERM to a daemon, then SIGHUP and another SIGTERM while it shuts down.
 func (s *site) terminateTwice(random *rand.Rand) {
 	held := s.one(random)
 	ended := held.tellToEnd(syscall.SIGTERM)
@@ -143,7 +142,7 @@
 	s.startAgain(held)
 }
 
-// stopSome stops up to a third of the daemons at nearly the same time, each as planned.
+// stopSome restarts up to a third of the daemons gracefully at nearly the same time.
 func (s *site) stopSome(random *rand.Rand) {
 	var waiting sync.WaitGroup
 	for _, stopped := range s.some(random, len(s.daemons)/3) {
@@ -170,13 +169,13 @@
 	held := s.one(random)
 	held.signal(syscall.SIGTERM)
 	time.Sleep(seriesGap)
-	s.disturbed(restartAfter, "%s is killed while it stops", held.name)
+	s.disturbed(restartAfter, "%s is killed while it shuts down", held.name)
 	held.kill()
 	time.Sleep(restartAfter)
 	s.startAgain(held)
 }
 
-// drainSome has several targets leave at nearly the same time, and others come.
+// drainSome adds and drains several targets at nearly the same time.
 func (s *site) drainSome(random *rand.Rand) {
 	repeat(random, func() {
 		s.started(s.addTarget([]string{serviceFeeds, serviceForms, serviceOther}[random.IntN(3)]))
@@ -184,7 +183,7 @@
 	})
 }
 
-// rewriteSettings replaces a daemon's settings by the same.
+// rewriteSettings replaces a daemon's settings file with an identical one.
 func (d *daemon) rewriteSettings() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -196,6 +195,6 @@
 		err = os.Rename(d.settings+".new", d.settings)
 	}
 	if err != nil {
-		panic(err) // the directory is the run's own
+		panic(err) // the directory belongs to this run
 	}
 }
--- a/internal/lab/storelab/site.go
+++ b/internal/lab/storelab/site.go
@@ -19,8 +19,8 @@
 	"github.com/passtray/passtray/platform"
 )
 
-// Ports and hosts of a run's parts on loopback. Every run has a network of its own, by its
-// process and seed.
+// Ports and networks (third byte) of a run's addresses on loopback, 127.second.network.host. The
+// second byte differs between concurrent runs.
 const (
 	portControl   = 7000
 	portTelemetry = 7002
@@ -34,7 +34,6 @@
 	netStore   = 5
 )
 
-// The services of a site, and the addresses that lead to them.
 const (
 	serviceFeeds = "feeds"
 	serviceForms = "forms"
@@ -47,11 +46,10 @@
 	routeExtra = netip.MustParseAddrPort("198.18.0.3:443")
 )
 
-// retireAfter is how long after its entry said that it leaves a target ends: longer than it
-// may get new flows.
+// retireAfter is how much longer than Bounds.Leave a draining target runs.
 const retireAfter = time.Second
 
-// site is the surroundings of a fleet, with its daemons.
+// site holds the daemons and the simulated environment of one run.
 type site struct {
 	config   Config
 	second   byte
@@ -62,7 +60,7 @@
 	router   *router
 	callers  []*caller
 
-	// restoring is held while the store is restored and until that is made good.
+	// restoring is held from a restore of the store until the lost entries are written again.
 	restoring sync.Mutex
 
 	mutex      sync.Mutex
@@ -86,7 +84,7 @@
 	}
 	made.server = webserver.Serve(listener, platform.Handler(made.store), requestBound)
 	if config.Series > 0 {
-		made.store.Restore(time.Now()) // it may have been restored before the daemons start
+		made.store.Restore(time.Now()) // daemons start with an epoch above 0
 	}
 	for _, open := range []func() error{
 		func() error { return made.addDaemons(directory) }, made.addRouter, made.addCallers, made.addTargets,
@@ -100,13 +98,13 @@
 }
 
 const (
-	// firstNetwork is the second byte of the first of the networks that runs take, networks how
-	// many there are.
+	// firstNetwork is the lowest second byte of a run's addresses, networks the number of choices.
 	firstNetwork = 16
 	networks     = 200
 )
 
-// listenAtFreeNetwork opens the store's socket on a network that no other run has.
+// listenAtFreeNetwork chooses a second byte that no other run uses by listening at the store's
+// address.
 func (s *site) listenAtFreeNetwork() (listener net.Listener, err error) {
 	first := uint64(os.Getpid())*31 + s.config.Seed
 	for offset := range uint64(networks) {
@@ -165,15 +163,15 @@
 	return nil
 }
 
-// lifeOf returns the number of the process that has an address for packets, 0 if none runs.
+// lifeOf returns the number of the process at a data address, 0 if there is none.
 func (s *site) lifeOf(data netip.AddrPort) int {
 	host := int(data.Addr().As4()[3])
 	return s.daemons[host-1].lifeNow()
 }
 
-// noteEnd notes that a daemon ended by itself, and starts it again as a platform does.
+// noteEnd records an unexpected exit of a daemon and restarts it, as a service manager does.
 func (s *site) noteEnd(ended *daemon, state string) {
-	s.recorder.Note(Event{Kind: DaemonEnded, Detail: fmt.Sprintf("%s ended by itself: %s", ended.name, state)})
+	s.recorder.Note(Event{Kind: DaemonEnded, Detail: fmt.Sprintf("%s exited unexpectedly: %s", ended.name, state)})
 	time.AfterFunc(restartAfter, func() { s.startAgain(ended) })
 }
 
@@ -211,7 +209,7 @@
 	return nil
 }
 
-// addTarget starts a target at an address of its own.
+// addTarget starts a target at a new address.
 func (s *site) addTarget(service string) (*target, error) {
 	s.host++
 	return s.addTargetAt(service, s.at(netTargets, s.host, 5000))
@@ -238,7 +236,7 @@
 	}})
 }
 
-// configure has the store take a configuration.
+// configure writes a new configuration to the store and records the changed routes.
 func (s *site) configure(routes map[netip.AddrPort]string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -265,7 +263,7 @@
 	s.routes = routes
 }
 
-// leadsTo returns the routes as they are, with one of them changed; an empty service drops it.
+// leadsTo returns a copy of the routes with one of them changed; an empty service removes it.
 func (s *site) leadsTo(route netip.AddrPort, service string) map[netip.AddrPort]string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -277,7 +275,7 @@
 	return routes
 }
 
-// drain has a target say that it leaves, serve on and end.
+// drain marks a target as draining and ends it after Bounds.Leave and retireAfter.
 func (s *site) drain(leaving *target) {
 	s.mutex.Lock()
 	s.put(leaving, true)
@@ -286,7 +284,7 @@
 	time.AfterFunc(s.config.Bounds.Leave+retireAfter, func() { s.end(leaving) })
 }
 
-// crash ends a target at once; its entry goes after three heartbeats.
+// crash ends a target at once; its entry expires after entryLifetime.
 func (s *site) crash(crashed *target) {
 	crashed.end()
 	time.AfterFunc(entryLifetime, func() { s.remove(crashed) })
--- a/internal/lab/storelab/site_test.go
+++ b/internal/lab/storelab/site_test.go
@@ -11,10 +11,8 @@
 	"github.com/passtray/passtray/internal/lab/environment"
 )
 
-// A store came back from a copy of revision 16 in epoch 3. It had a target again that had crashed, and not yet the
-// one that had its address since, of revision 18 in epoch 2. Revisions of two epochs do not tell which of them runs,
-// and neither entry told when its target had started: six open flows to the one that ran were reset
-// ("refuse", "dead_target").
+// Without start times in the entries, daemons can't tell whether a crashed target that a restore resurrected or a
+// newer target at its address is running, and reset open flows of the latter ("refuse", "dead_target").
 func TestATargetTellsWhenItStarted(t *testing.T) {
 	at := time.Unix(1_800_000_000, 0)
 	made := &site{config: DefaultConfig(), store: environment.NewStore()}
--- a/internal/lab/storelab/target.go
+++ b/internal/lab/storelab/target.go
@@ -10,17 +10,17 @@
 	"github.com/passtray/passtray/platform"
 )
 
-// firstSequence is the number of the first byte that a target writes on a flow.
+// firstSequence is a target's initial sequence number.
 const firstSequence = 5000
 
-// target is one run of a back end: a socket for flows and a listener that its health is
-// asked at.
+// target is one incarnation of a back end, with a UDP socket for flows and a TCP listener for
+// health checks.
 type target struct {
 	identifier uint64
 	service    string
 	address    netip.AddrPort
 	callerPort uint16
-	// startedAt is told in all of the target's entries.
+	// startedAt is published as the incarnation in the target's entries.
 	startedAt time.Time
 	recorder  *Recorder
 	socket    *net.UDPConn
@@ -30,14 +30,14 @@
 	flows map[Flow]*targetFlow
 }
 
-// targetFlow is a flow at a target.
+// targetFlow is a target's state of a flow.
 type targetFlow struct {
-	// token is the last one that came on the flow; the target repeats it.
+	// token is the last one received, which the target's packets carry.
 	token  uint32
 	isOpen bool
-	// received is up to where the target has the caller's data, sent the same of its own.
+	// received and sent are the sequence numbers of the next byte to receive and to send.
 	received, sent uint32
-	// answer is the last one, to be sent again; empty while the target works on it.
+	// answer is the last response, kept for retransmission; empty while the target works on it.
 	answer []byte
 }
 
@@ -61,7 +61,7 @@
 	return started, nil
 }
 
-// accept closes what connects at once: all that is asked is whether anybody listens.
+// accept closes connections at once: health checks only test whether the port accepts connections.
 func (t *target) accept() {
 	for {
 		connection, err := t.listener.Accept()
@@ -72,7 +72,7 @@
 	}
 }
 
-// end stops the target, as a crash does.
+// end stops the target without notice.
 func (t *target) end() {
 	t.recorder.Note(Event{Kind: TargetEnded, Target: t.identifier})
 	_ = t.socket.Close()
@@ -116,7 +116,7 @@
 	flow.token = packet.Token
 	if !flow.isOpen {
 		if packet.Acknowledgement != firstSequence+1 {
-			return // it acknowledges another target's answer
+			return // it acknowledges another target's handshake
 		}
 		flow.isOpen = true
 		t.recorder.Note(Event{Kind: FlowOpened, Flow: name, Target: t.identifier, Service: t.service})
@@ -136,7 +136,7 @@
 	t.send(name, token.Packet{Token: flow.token, Sequence: flow.sent, Acknowledgement: flow.received}, flow.answer)
 }
 
-// finish answers a request that was worked on.
+// finish sends the response to a processed request.
 func (t *target) finish(name Flow, flow *targetFlow, request requestMessage) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -144,9 +144,9 @@
 	t.send(name, token.Packet{Token: flow.token, Sequence: flow.sent, Acknowledgement: flow.received}, flow.answer)
 }
 
-// send writes to a flow's caller, past the daemons.
+// send writes directly to a flow's caller, bypassing the daemons.
 func (t *target) send(name Flow, packet token.Packet, payload []byte) {
 	packet.Source, packet.Destination = name.Route, name.Caller
 	datagram := platform.PacketCodec{}.Write(&packet, payload)
-	_, _ = t.socket.WriteToUDPAddrPort(datagram, netip.AddrPortFrom(name.Caller.Addr(), t.callerPort)) // a loss, as on any network
+	_, _ = t.socket.WriteToUDPAddrPort(datagram, netip.AddrPortFrom(name.Caller.Addr(), t.callerPort)) // treated as packet loss
 }
