--- a/internal/lab/storelab/caller.go
+++ b/internal/lab/storelab/caller.go
@@ -14,28 +14,28 @@
 )
 
 const (
-	// openingBound and requestBound are the timeouts for opening a flow and for a response.
-	openingBound = 1400 * time.Millisecond
-	requestBound = 2 * time.Second
-	// firstCallerPort is the lowest source port; each flow takes the next one.
-	firstCallerPort = 10_000
+	// openTimeout and requestTimeout are the timeouts for opening a flow and for a response.
+	openTimeout    = 1400 * time.Millisecond
+	requestTimeout = 2 * time.Second
+	// minCallerPort is the lowest source port; each flow takes the next one.
+	minCallerPort = 10_000
 )
 
-// openingCopies and dataCopies are when a packet is retransmitted, relative to its first
+// openRetransmits and dataRetransmits are when a packet is retransmitted, relative to its first
 // transmission.
 var (
-	openingCopies = []time.Duration{200 * time.Millisecond, 600 * time.Millisecond}
-	dataCopies    = []time.Duration{200 * time.Millisecond, 600 * time.Millisecond, 1400 * time.Millisecond}
+	openRetransmits = []time.Duration{200 * time.Millisecond, 600 * time.Millisecond}
+	dataRetransmits = []time.Duration{200 * time.Millisecond, 600 * time.Millisecond, 1400 * time.Millisecond}
 )
 
-// habit describes the traffic that a caller sends to one route.
-type habit struct {
+// trafficPattern describes the traffic that a caller sends to one route.
+type trafficPattern struct {
 	route netip.AddrPort
-	// mayRepeat marks requests as idempotent.
-	mayRepeat bool
-	// perFlow is the number of requests on one flow, pause the maximum time between two.
-	perFlow int
-	pause   time.Duration
+	// isIdempotent says that requests may run more than once.
+	isIdempotent    bool
+	requestsPerFlow int
+	// maxPause bounds the time between two requests on a flow.
+	maxPause time.Duration
 }
 
 // caller is a client host. All its flows share one socket.
@@ -44,9 +44,9 @@
 	address  netip.Addr
 	recorder *Recorder
 	// isDaemon tells daemons from targets, forward hands a packet to the router.
-	isDaemon func(from netip.AddrPort) bool
-	forward  func(flow Flow, datagram []byte)
-	numbers  *atomic.Uint64
+	isDaemon    func(from netip.AddrPort) bool
+	forward     func(flow Flow, datagram []byte)
+	lastRequest *atomic.Uint64
 
 	mutex sync.Mutex
 	flows map[Flow]chan received
@@ -85,27 +85,27 @@
 }
 
 // run sends requests until ctx is done.
-func (c *caller) run(ctx context.Context, used habit, random *rand.Rand) {
+func (c *caller) run(ctx context.Context, pattern trafficPattern, random *rand.Rand) {
 	for ctx.Err() == nil {
-		flow := c.open(ctx, used.route)
+		flow := c.open(ctx, pattern.route)
 		if flow == nil {
-			rest(ctx, openingBound/4)
+			sleep(ctx, openTimeout/4)
 			continue
 		}
-		for range used.perFlow {
-			if !c.request(ctx, flow, used, random) {
+		for range pattern.requestsPerFlow {
+			if !c.request(ctx, flow, pattern, random) {
 				break
 			}
-			rest(ctx, time.Duration(random.Int64N(int64(used.pause))))
+			sleep(ctx, time.Duration(random.Int64N(int64(pattern.maxPause))))
 		}
 		c.close(flow)
 	}
 }
 
-func rest(ctx context.Context, span time.Duration) {
+func sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(span):
+	case <-time.After(duration):
 	}
 }
 
@@ -115,80 +115,80 @@
 	inbox chan received
 	// token is the last one received; next and awaited are the sequence numbers of the
 	// next byte to send and to receive.
-	token         uint32
-	next, awaited uint32
+	token                 uint32
+	nextSend, nextReceive uint32
 }
 
 // open opens a flow, and returns nil if the handshake failed.
 func (c *caller) open(ctx context.Context, route netip.AddrPort) *callerFlow {
 	c.mutex.Lock()
 	c.port++
-	flow := &callerFlow{name: Flow{Caller: netip.AddrPortFrom(c.address, firstCallerPort+c.port%50_000), Route: route}, inbox: make(chan received, inboxLength)}
+	flow := &callerFlow{name: Flow{Caller: netip.AddrPortFrom(c.address, minCallerPort+c.port%50_000), Route: route}, inbox: make(chan received, inboxLength)}
 	c.flows[flow.name] = flow.inbox
 	c.mutex.Unlock()
 	opening := token.Packet{IsOpening: true, Sequence: 1}
-	answer, isAnswered := c.exchange(ctx, flow, opening, nil, openingCopies, openingBound, func(answer *received) bool { return answer.packet.IsAnswer })
+	answer, isAnswered := c.exchange(ctx, flow, opening, nil, openRetransmits, openTimeout, func(answer *received) bool { return answer.packet.IsAnswer })
 	if !isAnswered {
-		c.forget(flow)
+		c.removeFlow(flow)
 		return nil
 	}
-	flow.token, flow.next, flow.awaited = answer.packet.Token, answer.packet.Acknowledgement, answer.packet.Sequence+1
-	c.send(flow, token.Packet{Token: flow.token, Sequence: flow.next, Acknowledgement: flow.awaited}, nil)
+	flow.token, flow.nextSend, flow.nextReceive = answer.packet.Token, answer.packet.Acknowledgement, answer.packet.Sequence+1
+	c.send(flow, token.Packet{Token: flow.token, Sequence: flow.nextSend, Acknowledgement: flow.nextReceive}, nil)
 	return flow
 }
 
 func (c *caller) close(flow *callerFlow) {
-	c.send(flow, token.Packet{Token: flow.token, Sequence: flow.next, Acknowledgement: flow.awaited, IsClosing: true}, nil)
-	c.forget(flow)
+	c.send(flow, token.Packet{Token: flow.token, Sequence: flow.nextSend, Acknowledgement: flow.nextReceive, IsClosing: true}, nil)
+	c.removeFlow(flow)
 }
 
-func (c *caller) forget(flow *callerFlow) {
+func (c *caller) removeFlow(flow *callerFlow) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	delete(c.flows, flow.name)
 }
 
 // request sends one request and reports whether its flow can still be used.
-func (c *caller) request(ctx context.Context, flow *callerFlow, used habit, random *rand.Rand) bool {
-	number := c.numbers.Add(1)
+func (c *caller) request(ctx context.Context, flow *callerFlow, pattern trafficPattern, random *rand.Rand) bool {
+	number := c.lastRequest.Add(1)
 	message := requestMessage{number: number, work: byte(5 + random.IntN(20))}.encode()
-	c.recorder.Note(Event{Kind: RequestSent, Flow: flow.name, Request: number, MayRepeat: used.mayRepeat})
-	packet := token.Packet{Token: flow.token, Sequence: flow.next, Acknowledgement: flow.awaited}
-	answer, isAnswered := c.exchange(ctx, flow, packet, message, dataCopies, requestBound, func(answer *received) bool { return len(answer.payload) > 0 })
+	c.recorder.Note(Event{Kind: RequestSent, Flow: flow.name, Request: number, MayRepeat: pattern.isIdempotent})
+	packet := token.Packet{Token: flow.token, Sequence: flow.nextSend, Acknowledgement: flow.nextReceive}
+	answer, isAnswered := c.exchange(ctx, flow, packet, message, dataRetransmits, requestTimeout, func(answer *received) bool { return len(answer.payload) > 0 })
 	decoded, isRead := decodeAnswer(answer.payload)
 	switch {
 	case ctx.Err() != nil:
 		return false
 	case !isAnswered || !isRead:
-		c.recorder.Note(Event{Kind: RequestFailed, Flow: flow.name, Request: number, MayRepeat: used.mayRepeat})
+		c.recorder.Note(Event{Kind: RequestFailed, Flow: flow.name, Request: number, MayRepeat: pattern.isIdempotent})
 		return false
 	}
 	c.recorder.Note(Event{Kind: RequestAnswered, Flow: flow.name, Request: decoded.number, Target: decoded.target})
 	flow.token = answer.packet.Token
-	flow.next += uint32(len(message))
-	flow.awaited = answer.packet.Sequence + uint32(len(answer.payload))
-	c.send(flow, token.Packet{Token: flow.token, Sequence: flow.next, Acknowledgement: flow.awaited}, nil)
+	flow.nextSend += uint32(len(message))
+	flow.nextReceive = answer.packet.Sequence + uint32(len(answer.payload))
+	c.send(flow, token.Packet{Token: flow.token, Sequence: flow.nextSend, Acknowledgement: flow.nextReceive}, nil)
 	return true
 }
 
 // exchange sends a packet and retransmits it until a response arrives, the flow is reset or
 // the timeout has passed.
-func (c *caller) exchange(ctx context.Context, flow *callerFlow, packet token.Packet, payload []byte, copies []time.Duration, bound time.Duration, isAnswer func(*received) bool) (received, bool) {
-	began := time.Now()
-	over := time.After(bound)
+func (c *caller) exchange(ctx context.Context, flow *callerFlow, packet token.Packet, payload []byte, retransmits []time.Duration, timeout time.Duration, isAnswer func(*received) bool) (received, bool) {
+	start := time.Now()
+	expired := time.After(timeout)
 	c.send(flow, packet, payload)
 	for {
-		var again <-chan time.Time
-		if len(copies) > 0 {
-			again = time.After(time.Until(began.Add(copies[0])))
+		var retransmit <-chan time.Time
+		if len(retransmits) > 0 {
+			retransmit = time.After(time.Until(start.Add(retransmits[0])))
 		}
 		select {
 		case <-ctx.Done():
 			return received{}, false
-		case <-over:
+		case <-expired:
 			return received{}, false
-		case <-again:
-			copies = copies[1:]
+		case <-retransmit:
+			retransmits = retransmits[1:]
 			c.send(flow, packet, payload)
 		case answer := <-flow.inbox:
 			switch {
@@ -197,7 +197,7 @@
 			case isAnswer(&answer):
 				return answer, true
 			case !packet.IsOpening && answer.packet.Acknowledgement == packet.Sequence+uint32(len(payload)):
-				copies = nil // acknowledged
+				retransmits = nil // acknowledged
 			}
 		}
 	}
--- a/internal/lab/storelab/check.go
+++ b/internal/lab/storelab/check.go
@@ -20,8 +20,8 @@
 	Recover time.Duration
 }
 
-// leastServed is the fraction of requests that must be answered after recovery.
-const leastServed = 0.9
+// minServedShare is the fraction of requests that must be answered after recovery.
+const minServedShare = 0.9
 
 // Verdict is the result of checking one invariant.
 type Verdict struct {
@@ -31,8 +31,8 @@
 	Violations []string
 }
 
-func (v *Verdict) violate(event *Event, format string, values ...any) {
-	v.Violations = append(v.Violations, fmt.Sprintf("%.3f s: ", event.At.Seconds())+fmt.Sprintf(format, values...))
+func (v *Verdict) addViolation(event *Event, format string, args ...any) {
+	v.Violations = append(v.Violations, fmt.Sprintf("%.3f s: ", event.At.Seconds())+fmt.Sprintf(format, args...))
 }
 
 // The invariants.
@@ -48,201 +48,201 @@
 	LivingDaemon    = "no daemon exits unexpectedly"
 )
 
-// pair is a route and one of its services.
-type pair struct {
+// routeService is a route and one of its services.
+type routeService struct {
 	route   netip.AddrPort
 	service string
 }
 
-// judge is the state of Check while it processes the events in order.
-type judge struct {
+// checker is the state of Check while it processes the events in order.
+type checker struct {
 	bounds   Bounds
 	verdicts map[string]*Verdict
-	// forbiddenAt is when a pair that was once allowed was removed, negative while it is allowed.
-	forbiddenAt map[pair]time.Duration
-	leavingAt   map[uint64]time.Duration
-	endedAt     map[uint64]time.Duration
-	// listedSince is since when a route has had a service without interruption; it doesn't
+	// removedAt is when a pair that was once allowed was removed, negative while it is allowed.
+	removedAt     map[routeService]time.Duration
+	drainingSince map[uint64]time.Duration
+	endedAt       map[uint64]time.Duration
+	// routedSince is since when a route has had a service without interruption; it doesn't
 	// contain routes without one.
-	listedSince map[netip.AddrPort]time.Duration
-	open        map[Flow]Event
+	routedSince map[netip.AddrPort]time.Duration
+	openFlows   map[Flow]Event
 	sent        map[uint64]Event
-	ran         map[uint64][]uint64
-	// calmFrom is the end of the last fault so far.
-	calmFrom time.Duration
+	ranAt       map[uint64][]uint64
+	// faultsOverAt is the end of the last fault so far.
+	faultsOverAt time.Duration
 }
 
 // Check verifies all invariants against the events of a run, which must be sorted by time.
 func Check(bounds Bounds, events []Event) []Verdict {
-	j := &judge{
+	c := &checker{
 		bounds: bounds, verdicts: map[string]*Verdict{},
-		forbiddenAt: map[pair]time.Duration{}, leavingAt: map[uint64]time.Duration{}, endedAt: map[uint64]time.Duration{},
-		listedSince: map[netip.AddrPort]time.Duration{}, open: map[Flow]Event{}, sent: map[uint64]Event{}, ran: map[uint64][]uint64{},
+		removedAt: map[routeService]time.Duration{}, drainingSince: map[uint64]time.Duration{}, endedAt: map[uint64]time.Duration{},
+		routedSince: map[netip.AddrPort]time.Duration{}, openFlows: map[Flow]Event{}, sent: map[uint64]Event{}, ranAt: map[uint64][]uint64{},
 	}
 	names := []string{ForeignService, OldVersion, LeavingTarget, LivingFlow, LivingAnswer, WholeAnswer, AtMostOnce, ServedAfterward, LivingDaemon}
 	for _, name := range names {
-		j.verdicts[name] = &Verdict{Invariant: name}
+		c.verdicts[name] = &Verdict{Invariant: name}
 	}
 	for index := range events {
-		j.take(&events[index])
+		c.process(&events[index])
 	}
-	j.checkServed(events)
+	c.checkServed(events)
 	var verdicts []Verdict
 	for _, name := range names {
-		verdicts = append(verdicts, *j.verdicts[name])
+		verdicts = append(verdicts, *c.verdicts[name])
 	}
 	return verdicts
 }
 
-func (j *judge) take(event *Event) {
+func (c *checker) process(event *Event) {
 	switch event.Kind {
 	case RouteAllowed:
-		if !j.leadsSomewhere(event.Flow.Route) {
-			j.listedSince[event.Flow.Route] = event.At
+		if !c.hasService(event.Flow.Route) {
+			c.routedSince[event.Flow.Route] = event.At
 		}
-		j.forbiddenAt[pair{event.Flow.Route, event.Service}] = -1
+		c.removedAt[routeService{event.Flow.Route, event.Service}] = -1
 	case RouteForbidden:
-		j.forbiddenAt[pair{event.Flow.Route, event.Service}] = event.At
-		j.count(OldVersion, event)
-		if !j.leadsSomewhere(event.Flow.Route) {
-			delete(j.listedSince, event.Flow.Route)
+		c.removedAt[routeService{event.Flow.Route, event.Service}] = event.At
+		c.countIfSettled(OldVersion, event)
+		if !c.hasService(event.Flow.Route) {
+			delete(c.routedSince, event.Flow.Route)
 		}
 	case TargetLeaving:
-		j.leavingAt[event.Target] = event.At
-		j.count(LeavingTarget, event)
+		c.drainingSince[event.Target] = event.At
+		c.countIfSettled(LeavingTarget, event)
 	case TargetEnded:
-		j.endedAt[event.Target] = event.At
+		c.endedAt[event.Target] = event.At
 	case Disturbed:
-		j.calmFrom = max(j.calmFrom, event.At+event.Span)
+		c.faultsOverAt = max(c.faultsOverAt, event.At+event.Span)
 	case OpeningTaken:
-		j.checkOpening(event)
+		c.checkOpening(event)
 	case FlowOpened:
-		j.open[event.Flow] = *event
+		c.openFlows[event.Flow] = *event
 	case FlowReset:
-		j.checkReset(event)
+		c.checkReset(event)
 	case RequestSent:
-		j.sent[event.Request] = *event
+		c.sent[event.Request] = *event
 	case RequestRan:
-		j.checkRun(event)
+		c.checkRun(event)
 	case RequestAnswered:
-		j.checkAnswer(event)
+		c.checkAnswer(event)
 	case RequestFailed:
-		j.checkFailure(event)
+		c.checkFailure(event)
 	case DaemonSignalled:
-		j.verdicts[LivingDaemon].Checked++
+		c.verdicts[LivingDaemon].Checked++
 	case DaemonEnded:
-		j.verdicts[LivingDaemon].Checked++
-		j.verdicts[LivingDaemon].violate(event, "%s", event.Detail)
+		c.verdicts[LivingDaemon].Checked++
+		c.verdicts[LivingDaemon].addViolation(event, "%s", event.Detail)
 	case TargetStarted:
 	}
 }
 
-// isCalm reports whether time bounds are checked at an event.
-func (j *judge) isCalm(event *Event) bool { return event.At >= j.calmFrom+j.bounds.Settle }
+// isSettled reports whether time bounds are checked at an event.
+func (c *checker) isSettled(event *Event) bool { return event.At >= c.faultsOverAt+c.bounds.Settle }
 
-// count counts a change that a time bound applies to.
-func (j *judge) count(invariant string, event *Event) {
-	if j.isCalm(event) {
-		j.verdicts[invariant].Checked++
+// countIfSettled counts a change that a time bound applies to.
+func (c *checker) countIfSettled(invariant string, event *Event) {
+	if c.isSettled(event) {
+		c.verdicts[invariant].Checked++
 	}
 }
 
-func (j *judge) checkOpening(event *Event) {
-	foreign, old, leaving := j.verdicts[ForeignService], j.verdicts[OldVersion], j.verdicts[LeavingTarget]
+func (c *checker) checkOpening(event *Event) {
+	foreign, old, leaving := c.verdicts[ForeignService], c.verdicts[OldVersion], c.verdicts[LeavingTarget]
 	foreign.Checked++
-	forbiddenAt, wasAllowed := j.forbiddenAt[pair{event.Flow.Route, event.Service}]
+	removedAt, wasAllowed := c.removedAt[routeService{event.Flow.Route, event.Service}]
 	if !wasAllowed {
-		foreign.violate(event, "flow %s to %s opened at target %x of %s", event.Flow.Caller, event.Flow.Route, event.Target, event.Service)
+		foreign.addViolation(event, "flow %s to %s opened at target %x of %s", event.Flow.Caller, event.Flow.Route, event.Target, event.Service)
 		return
 	}
-	if forbiddenAt >= 0 && j.isCalm(event) {
-		if late := event.At - event.Span - forbiddenAt; late > j.bounds.Converge {
-			old.violate(event, "%s got a flow to %s %s after its removal from the route", event.Service, event.Flow.Route, late)
+	if removedAt >= 0 && c.isSettled(event) {
+		if delay := event.At - event.Span - removedAt; delay > c.bounds.Converge {
+			old.addViolation(event, "%s got a flow to %s %s after its removal from the route", event.Service, event.Flow.Route, delay)
 		}
 	}
-	if leavingAt, leaves := j.leavingAt[event.Target]; leaves && j.isCalm(event) {
-		if late := event.At - leavingAt; late > j.bounds.Leave {
-			leaving.violate(event, "target %x got a flow %s after it began to drain", event.Target, late)
+	if drainingSince, isDraining := c.drainingSince[event.Target]; isDraining && c.isSettled(event) {
+		if delay := event.At - drainingSince; delay > c.bounds.Leave {
+			leaving.addViolation(event, "target %x got a flow %s after it began to drain", event.Target, delay)
 		}
 	}
 }
 
 // checkReset checks that daemons reset no open flow whose target is running and whose route
 // was never dropped since the flow opened.
-func (j *judge) checkReset(event *Event) {
-	opened, isOpen := j.open[event.Flow]
+func (c *checker) checkReset(event *Event) {
+	opened, isOpen := c.openFlows[event.Flow]
 	if !isOpen {
 		return
 	}
-	verdict := j.verdicts[LivingFlow]
+	verdict := c.verdicts[LivingFlow]
 	verdict.Checked++
-	if j.isLiving(&opened) {
-		verdict.violate(event, "flow %s to %s, open at target %x since %.3f s, was reset", event.Flow.Caller, event.Flow.Route, opened.Target, opened.At.Seconds())
+	if c.isLive(&opened) {
+		verdict.addViolation(event, "flow %s to %s, open at target %x since %.3f s, was reset", event.Flow.Caller, event.Flow.Route, opened.Target, opened.At.Seconds())
 	}
 }
 
-// isLiving reports whether an open flow's target is running and its route was never dropped
+// isLive reports whether an open flow's target is running and its route was never dropped
 // since the flow opened. A daemon with an old configuration may open flows on a dropped route.
-func (j *judge) isLiving(opened *Event) bool {
-	_, hasEnded := j.endedAt[opened.Target]
-	since, isListed := j.listedSince[opened.Flow.Route]
-	return !hasEnded && isListed && since <= opened.At
+func (c *checker) isLive(opened *Event) bool {
+	_, hasEnded := c.endedAt[opened.Target]
+	since, isRouted := c.routedSince[opened.Flow.Route]
+	return !hasEnded && isRouted && since <= opened.At
 }
 
-func (j *judge) leadsSomewhere(route netip.AddrPort) bool {
-	for allowed, forbiddenAt := range j.forbiddenAt {
-		if allowed.route == route && forbiddenAt < 0 {
+func (c *checker) hasService(route netip.AddrPort) bool {
+	for allowed, removedAt := range c.removedAt {
+		if allowed.route == route && removedAt < 0 {
 			return true
 		}
 	}
 	return false
 }
 
-func (j *judge) checkRun(event *Event) {
-	verdict := j.verdicts[AtMostOnce]
+func (c *checker) checkRun(event *Event) {
+	verdict := c.verdicts[AtMostOnce]
 	verdict.Checked++
-	sent, wasSent := j.sent[event.Request]
+	sent, wasSent := c.sent[event.Request]
 	switch {
 	case !wasSent:
-		verdict.violate(event, "request %d ran at target %x but was not sent", event.Request, event.Target)
-	case !sent.MayRepeat && len(j.ran[event.Request]) > 0:
-		verdict.violate(event, "request %d ran at target %x after it had run at %x", event.Request, event.Target, j.ran[event.Request])
+		verdict.addViolation(event, "request %d ran at target %x but was not sent", event.Request, event.Target)
+	case !sent.MayRepeat && len(c.ranAt[event.Request]) > 0:
+		verdict.addViolation(event, "request %d ran at target %x after it had run at %x", event.Request, event.Target, c.ranAt[event.Request])
 	}
-	j.ran[event.Request] = append(j.ran[event.Request], event.Target)
+	c.ranAt[event.Request] = append(c.ranAt[event.Request], event.Target)
 }
 
 // checkFailure checks that daemons keep forwarding open flows, whatever configuration they
 // have received since and whenever they started.
-func (j *judge) checkFailure(event *Event) {
-	opened, isOpen := j.open[event.Flow]
-	if !isOpen || !j.isLiving(&opened) {
+func (c *checker) checkFailure(event *Event) {
+	opened, isOpen := c.openFlows[event.Flow]
+	if !isOpen || !c.isLive(&opened) {
 		return
 	}
-	verdict := j.verdicts[LivingAnswer]
+	verdict := c.verdicts[LivingAnswer]
 	verdict.Checked++
-	if sentAt := j.sent[event.Request].At; sentAt >= j.calmFrom+j.bounds.Answer {
-		verdict.violate(event, "request %d on flow %s to %s, open at target %x, was not answered", event.Request, event.Flow.Caller, event.Flow.Route, opened.Target)
+	if sentAt := c.sent[event.Request].At; sentAt >= c.faultsOverAt+c.bounds.Answer {
+		verdict.addViolation(event, "request %d on flow %s to %s, open at target %x, was not answered", event.Request, event.Flow.Caller, event.Flow.Route, opened.Target)
 	}
 }
 
-func (j *judge) checkAnswer(event *Event) {
-	verdict := j.verdicts[WholeAnswer]
+func (c *checker) checkAnswer(event *Event) {
+	verdict := c.verdicts[WholeAnswer]
 	verdict.Checked++
-	if sent := j.sent[event.Request]; sent.Flow != event.Flow {
-		verdict.violate(event, "request %d was answered on a flow of %s instead of %s", event.Request, event.Flow.Caller, sent.Flow.Caller)
+	if sent := c.sent[event.Request]; sent.Flow != event.Flow {
+		verdict.addViolation(event, "request %d was answered on a flow of %s instead of %s", event.Request, event.Flow.Caller, sent.Flow.Caller)
 	}
-	if !slices.Contains(j.ran[event.Request], event.Target) {
-		verdict.violate(event, "request %d was answered by target %x, where it did not run", event.Request, event.Target)
+	if !slices.Contains(c.ranAt[event.Request], event.Target) {
+		verdict.addViolation(event, "request %d was answered by target %x, where it did not run", event.Request, event.Target)
 	}
-	j.verdicts[LivingAnswer].Checked++
+	c.verdicts[LivingAnswer].Checked++
 }
 
 // checkServed checks the fraction of answered requests among those that completed at least
 // Recover after the last fault.
-func (j *judge) checkServed(events []Event) {
-	verdict := j.verdicts[ServedAfterward]
+func (c *checker) checkServed(events []Event) {
+	verdict := c.verdicts[ServedAfterward]
 	served := 0
-	from := j.calmFrom + j.bounds.Recover
+	from := c.faultsOverAt + c.bounds.Recover
 	for index := range events {
 		event := &events[index]
 		if event.At < from || event.Kind != RequestAnswered && event.Kind != RequestFailed {
@@ -253,7 +253,7 @@
 			served++
 		}
 	}
-	if verdict.Checked > 0 && float64(served) < leastServed*float64(verdict.Checked) {
-		verdict.violate(&Event{At: from}, "only %d of %d requests were answered since then", served, verdict.Checked)
+	if verdict.Checked > 0 && float64(served) < minServedShare*float64(verdict.Checked) {
+		verdict.addViolation(&Event{At: from}, "only %d of %d requests were answered since then", served, verdict.Checked)
 	}
 }
--- a/internal/lab/storelab/check_test.go
+++ b/internal/lab/storelab/check_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func broken(t *testing.T, events []Event) []string {
+func violatedInvariants(t *testing.T, events []Event) []string {
 	t.Helper()
 	var names []string
 	for _, verdict := range Check(testBounds, events) {
@@ -49,19 +49,19 @@
 	return names
 }
 
-func TestAGoodRunHolds(t *testing.T) {
+func TestGoodRunHasNoViolations(t *testing.T) {
 	for _, verdict := range Check(testBounds, goodRun()) {
 		assert.Equal(t, len(verdict.Violations), 0, "%s: %v", verdict.Invariant, verdict.Violations)
 		assert.Assert(t, verdict.Checked > 0, verdict.Invariant)
 	}
 }
 
-// TestEachBrokenRunIsFound adds to a good run one event that violates one invariant.
-func TestEachBrokenRunIsFound(t *testing.T) {
+// TestEachViolationIsDetected adds to a good run one event that violates one invariant.
+func TestEachViolationIsDetected(t *testing.T) {
 	at := func(seconds int) time.Duration { return time.Duration(seconds) * time.Second }
-	for name, double := range map[string]struct {
-		added   Event
-		finding string
+	for name, testCase := range map[string]struct {
+		added     Event
+		invariant string
 	}{
 		"flow at a service not allowed": {Event{At: at(50), Kind: OpeningTaken, Flow: testFlow, Target: 9, Service: "c"}, ForeignService},
 		"flow by an old configuration":  {Event{At: at(50), Kind: OpeningTaken, Flow: testFlow, Target: 3, Service: "a"}, OldVersion},
@@ -74,20 +74,20 @@
 		"request failed after recovery": {Event{At: at(50), Kind: RequestFailed, Request: 7}, ServedAfterward},
 	} {
 		t.Run(name, func(t *testing.T) {
-			assert.DeepEqual(t, broken(t, append(goodRun(), double.added)), []string{double.finding})
+			assert.DeepEqual(t, violatedInvariants(t, append(goodRun(), testCase.added)), []string{testCase.invariant})
 		})
 	}
 	t.Run("open flow of a live target stops responding", func(t *testing.T) {
 		events := goodRun()
 		failed := Event{At: events[7].At - 1, Kind: RequestFailed, Flow: testFlow, Request: 7}
 		events = slices.Insert(events, 7, failed)
-		assert.DeepEqual(t, broken(t, events), []string{LivingAnswer, ServedAfterward})
+		assert.DeepEqual(t, violatedInvariants(t, events), []string{LivingAnswer, ServedAfterward})
 	})
 	t.Run("open flow of a live target is reset", func(t *testing.T) {
 		events := goodRun()
 		events[8].At, events[8].Kind = events[7].At, FlowReset
 		events[7], events[8] = events[8], events[7]
-		assert.DeepEqual(t, broken(t, events), []string{LivingFlow})
+		assert.DeepEqual(t, violatedInvariants(t, events), []string{LivingFlow})
 	})
 }
 
@@ -102,20 +102,20 @@
 		Event{At: 53 * time.Second, Kind: RouteAllowed, Flow: Flow{Route: testRoute}, Service: "b"},
 		Event{At: 54 * time.Second, Kind: FlowReset, Flow: testFlow},
 	)
-	assert.Equal(t, len(broken(t, events)), 0)
+	assert.Equal(t, len(violatedInvariants(t, events)), 0)
 	events = append(
 		events,
 		Event{At: 55 * time.Second, Kind: FlowOpened, Flow: testFlow, Target: 4, Service: "b"},
 		Event{At: 56 * time.Second, Kind: FlowReset, Flow: testFlow},
 	)
-	assert.DeepEqual(t, broken(t, events), []string{LivingFlow})
+	assert.DeepEqual(t, violatedInvariants(t, events), []string{LivingFlow})
 }
 
-func TestBoundsOfTimeWaitForAFaultsEnd(t *testing.T) {
+func TestTimeBoundsApplyOnlyAfterSettling(t *testing.T) {
 	events := append(
 		goodRun(),
 		Event{At: 46 * time.Second, Kind: Disturbed, Span: time.Second},
 		Event{At: 51 * time.Second, Kind: OpeningTaken, Flow: testFlow, Target: 2, Service: "b"},
 	)
-	assert.Equal(t, len(broken(t, events)), 0)
+	assert.Equal(t, len(violatedInvariants(t, events)), 0)
 }
--- a/internal/lab/storelab/daemon.go
+++ b/internal/lab/storelab/daemon.go
@@ -13,25 +13,26 @@
 
 // daemon manages one daemon's process, settings file, log and proxy to the store.
 type daemon struct {
-	name     string
-	binary   string
-	settings string
-	output   *os.File
-	path     *proxy
+	name   string
+	binary string
+	// settings is the path of the settings file.
+	settings   string
+	logFile    *os.File
+	storeProxy *proxy
 
 	mutex   sync.Mutex
 	command *exec.Cmd
 	exited  chan struct{}
-	// life is the number of processes started so far, isToEnd whether the current one was sent
-	// SIGTERM or SIGKILL.
-	life    int
-	isToEnd bool
-	// onEnd is called when a process exits without such a signal.
-	onEnd func(ended *daemon, state string)
+	// processNumber is the number of processes started so far, isStopping whether the current one
+	// was sent SIGTERM or SIGKILL.
+	processNumber int
+	isStopping    bool
+	// onUnexpectedExit is called when a process exits without such a signal.
+	onUnexpectedExit func(d *daemon, state string)
 }
 
-// daemonPlan holds the variable parts of a daemon's settings.
-type daemonPlan struct {
+// daemonConfig holds the variable parts of a daemon's settings.
+type daemonConfig struct {
 	name, zone               string
 	control, telemetry, data netip.AddrPort
 	store                    netip.AddrPort
@@ -42,7 +43,7 @@
 // readyPath is the path of the readiness probe.
 const readyPath = "/readyz"
 
-func (p *daemonPlan) settings() ([]byte, error) {
+func (p *daemonConfig) settings() ([]byte, error) {
 	seeds := []string{}
 	for _, seed := range p.seeds {
 		seeds = append(seeds, seed.String())
@@ -57,17 +58,17 @@
 }
 
 // newDaemon writes a daemon's settings without starting it.
-func newDaemon(binary, directory string, plan *daemonPlan, path *proxy) (*daemon, error) {
-	content, err := plan.settings()
+func newDaemon(binary, directory string, config *daemonConfig, storeProxy *proxy) (*daemon, error) {
+	content, err := config.settings()
 	if err != nil {
 		return nil, err
 	}
-	made := &daemon{name: plan.name, binary: binary, settings: filepath.Join(directory, plan.name+".yaml"), path: path}
-	if err := os.WriteFile(made.settings, content, 0o600); err != nil {
+	d := &daemon{name: config.name, binary: binary, settings: filepath.Join(directory, config.name+".yaml"), storeProxy: storeProxy}
+	if err := os.WriteFile(d.settings, content, 0o600); err != nil {
 		return nil, err
 	}
-	made.output, err = os.Create(filepath.Join(directory, plan.name+".log"))
-	return made, err
+	d.logFile, err = os.Create(filepath.Join(directory, config.name+".log"))
+	return d, err
 }
 
 // start starts the process unless it is running already; several faults may restart one daemon
@@ -79,39 +80,39 @@
 		return nil
 	}
 	command := exec.Command(d.binary, "--source", "store", "--settings", d.settings)
-	command.Stdout, command.Stderr = d.output, d.output
+	command.Stdout, command.Stderr = d.logFile, d.logFile
 	if err := command.Start(); err != nil {
 		return err
 	}
 	exited := make(chan struct{})
-	d.command, d.exited, d.isToEnd = command, exited, false
-	d.life++
+	d.command, d.exited, d.isStopping = command, exited, false
+	d.processNumber++
 	go func() {
 		_ = command.Wait() // ProcessState tells how it exited
 		close(exited)
-		if d.onEnd != nil && !d.wasToEnd(command) {
-			d.onEnd(d, command.ProcessState.String())
+		if d.onUnexpectedExit != nil && !d.wasStopped(command) {
+			d.onUnexpectedExit(d, command.ProcessState.String())
 		}
 	}()
 	return nil
 }
 
-// wasToEnd reports whether a process was sent SIGTERM or SIGKILL, which is assumed of a process
+// wasStopped reports whether a process was sent SIGTERM or SIGKILL, which is assumed of a process
 // that was replaced already.
-func (d *daemon) wasToEnd(command *exec.Cmd) bool {
+func (d *daemon) wasStopped(command *exec.Cmd) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.isToEnd || d.command != command
+	return d.isStopping || d.command != command
 }
 
-// lifeNow returns the number of the running process, 0 if there is none.
-func (d *daemon) lifeNow() int {
+// currentProcess returns the number of the running process, 0 if there is none.
+func (d *daemon) currentProcess() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if !d.isRunning() {
 		return 0
 	}
-	return d.life
+	return d.processNumber
 }
 
 func (d *daemon) isRunning() bool {
@@ -133,13 +134,13 @@
 	if d.command == nil {
 		return
 	}
-	d.isToEnd = d.isToEnd || signal == syscall.SIGTERM || signal == syscall.SIGKILL
+	d.isStopping = d.isStopping || signal == syscall.SIGTERM || signal == syscall.SIGKILL
 	_ = d.command.Process.Signal(signal)
 }
 
-// tellToEnd sends a signal that ends the process, and returns the channel that is closed when that
+// terminate sends a signal that ends the process, and returns the channel that is closed when that
 // process has exited, even if another action has started the next one.
-func (d *daemon) tellToEnd(signal os.Signal) <-chan struct{} {
+func (d *daemon) terminate(signal os.Signal) <-chan struct{} {
 	d.mutex.Lock()
 	exited := d.exited
 	d.mutex.Unlock()
@@ -148,10 +149,10 @@
 }
 
 // kill sends SIGKILL and waits for the process to exit.
-func (d *daemon) kill() { <-d.tellToEnd(syscall.SIGKILL) }
+func (d *daemon) kill() { <-d.terminate(syscall.SIGKILL) }
 
 func (d *daemon) close() {
 	d.kill()
-	_ = d.output.Close()
-	d.path.close()
+	_ = d.logFile.Close()
+	d.storeProxy.close()
 }
--- a/internal/lab/storelab/events.go
+++ b/internal/lab/storelab/events.go
@@ -50,7 +50,7 @@
 	Target  uint64
 	Service string
 	Request uint64
-	// MayRepeat marks an idempotent request.
+	// MayRepeat says that the request is idempotent and may run more than once.
 	MayRepeat bool
 	Span      time.Duration
 	Detail    string
--- a/internal/lab/storelab/fault.go
+++ b/internal/lab/storelab/fault.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// restartAfter is the delay until a killed daemon is restarted.
-	restartAfter = 500 * time.Millisecond
-	// faultSpan is the duration of temporary faults.
-	faultSpan = 3 * time.Second
-	// freezeSpan is how long a process is paused.
-	freezeSpan = 1500 * time.Millisecond
+	// restartDelay is the delay until a killed daemon is restarted.
+	restartDelay = 500 * time.Millisecond
+	// faultDuration is the duration of temporary faults.
+	faultDuration = 3 * time.Second
+	// pauseDuration is how long a process is paused.
+	pauseDuration = 1500 * time.Millisecond
 	// entryLifetime is the time until a crashed target's entry expires in the store.
 	entryLifetime = 3 * time.Second
-	// firstFault is the time of the earliest fault; callers open flows before.
-	firstFault = 3 * time.Second
+	// minFaultTime is the time of the earliest fault; callers open flows before.
+	minFaultTime = 3 * time.Second
 )
 
 // Fault is one fault of a schedule.
@@ -38,177 +38,181 @@
 
 // actions are the faults by name.
 var actions = map[string]func(s *site, random *rand.Rand){
-	"kill":            func(s *site, random *rand.Rand) { s.killSome(random, 1) },
-	"herd":            func(s *site, random *rand.Rand) { s.killSome(random, max(1, len(s.daemons)*2/3)) },
-	"all":             func(s *site, random *rand.Rand) { s.killSome(random, len(s.daemons)) },
-	"stop":            func(s *site, random *rand.Rand) { s.stop(s.daemons[random.IntN(len(s.daemons))]) },
-	"roll":            func(s *site, _ *rand.Rand) { s.roll() },
-	"freeze":          func(s *site, random *rand.Rand) { s.freeze(s.daemons[random.IntN(len(s.daemons))]) },
-	"store-down":      (*site).storeDown,
-	"store-silent":    func(s *site, _ *rand.Rand) { s.disturbPaths(s.daemons, pathSilent) },
-	"store-slow":      func(s *site, _ *rand.Rand) { s.disturbPaths(s.daemons, pathSlow) },
-	"store-one-way":   func(s *site, random *rand.Rand) { s.disturbPaths(s.some(random, len(s.daemons)/3), pathOneWay) },
-	"store-refuses":   func(s *site, random *rand.Rand) { s.disturbPaths(s.some(random, len(s.daemons)/3), pathRefusing) },
-	"store-mute-open": (*site).muteOpen,
+	"kill":         func(s *site, random *rand.Rand) { s.killRandom(random, 1) },
+	"herd":         func(s *site, random *rand.Rand) { s.killRandom(random, max(1, len(s.daemons)*2/3)) },
+	"all":          func(s *site, random *rand.Rand) { s.killRandom(random, len(s.daemons)) },
+	"stop":         func(s *site, random *rand.Rand) { s.restartGracefully(s.daemons[random.IntN(len(s.daemons))]) },
+	"roll":         func(s *site, _ *rand.Rand) { s.rollingRestart() },
+	"freeze":       func(s *site, random *rand.Rand) { s.pause(s.daemons[random.IntN(len(s.daemons))]) },
+	"store-down":   (*site).stopStore,
+	"store-silent": func(s *site, _ *rand.Rand) { s.setProxyMode(s.daemons, modeDrop) },
+	"store-slow":   func(s *site, _ *rand.Rand) { s.setProxyMode(s.daemons, modeSlow) },
+	"store-one-way": func(s *site, random *rand.Rand) {
+		s.setProxyMode(s.randomDaemons(random, len(s.daemons)/3), modeOneWay)
+	},
+	"store-refuses": func(s *site, random *rand.Rand) {
+		s.setProxyMode(s.randomDaemons(random, len(s.daemons)/3), modeRefuse)
+	},
+	"store-mute-open": (*site).muteOpenConnections,
 	"move-route":      (*site).moveRoute,
 	"drop-route":      (*site).dropRoute,
-	"crash":           func(s *site, random *rand.Rand) { s.withTarget(random, s.crash) },
-	"drain":           func(s *site, random *rand.Rand) { s.withTarget(random, s.drain) },
-	"reuse":           (*site).reuse,
+	"crash":           func(s *site, random *rand.Rand) { s.withRandomTarget(random, s.crash) },
+	"drain":           func(s *site, random *rand.Rand) { s.withRandomTarget(random, s.drain) },
+	"reuse":           (*site).reuseAddress,
 	"add": func(s *site, random *rand.Rand) {
-		s.started(s.addTarget([]string{serviceFeeds, serviceForms, serviceOther}[random.IntN(3)]))
+		s.noteStartError(s.addTarget([]string{serviceFeeds, serviceForms, serviceOther}[random.IntN(3)]))
 	},
 }
 
 // Faults draws a schedule from a seed. With an even seed, it ends with all daemons killed.
-func Faults(seed uint64, count int, span time.Duration) []Fault {
-	faults := draw(rand.New(rand.NewPCG(seed, 11)), actions, count, span)
+func Faults(seed uint64, count int, duration time.Duration) []Fault {
+	faults := drawSchedule(rand.New(rand.NewPCG(seed, 11)), actions, count, duration)
 	if seed%2 == 0 {
-		faults = append(faults, Fault{At: firstFault + span, Do: "all"})
+		faults = append(faults, Fault{At: minFaultTime + duration, Do: "all"})
 	}
 	slices.SortStableFunc(faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 	return faults
 }
 
-// draw draws count actions and their times.
-func draw(random *rand.Rand, among map[string]func(s *site, random *rand.Rand), count int, span time.Duration) []Fault {
-	names := slices.Sorted(maps.Keys(among))
+// drawSchedule draws count actions and their times.
+func drawSchedule(random *rand.Rand, choices map[string]func(s *site, random *rand.Rand), count int, duration time.Duration) []Fault {
+	names := slices.Sorted(maps.Keys(choices))
 	var drawn []Fault
 	for range count {
-		at := firstFault + time.Duration(random.Int64N(int64(span)))
+		at := minFaultTime + time.Duration(random.Int64N(int64(duration)))
 		drawn = append(drawn, Fault{At: at.Round(100 * time.Millisecond), Do: names[random.IntN(len(names))], Draw: random.Uint64()})
 	}
 	return drawn
 }
 
-func (s *site) disturbed(span time.Duration, format string, values ...any) {
-	s.recorder.Note(Event{Kind: Disturbed, Span: span, Detail: fmt.Sprintf(format, values...)})
+func (s *site) noteFault(duration time.Duration, format string, args ...any) {
+	s.recorder.Note(Event{Kind: Disturbed, Span: duration, Detail: fmt.Sprintf(format, args...)})
 }
 
-func (s *site) some(random *rand.Rand, count int) []*daemon {
+func (s *site) randomDaemons(random *rand.Rand, count int) []*daemon {
 	chosen := slices.Clone(s.daemons)
 	random.Shuffle(len(chosen), func(a, b int) { chosen[a], chosen[b] = chosen[b], chosen[a] })
 	return chosen[:max(1, count)]
 }
 
-func (s *site) killSome(random *rand.Rand, count int) {
-	var waiting sync.WaitGroup
-	for _, killed := range s.some(random, count) {
-		s.disturbed(restartAfter, "%s is killed", killed.name)
-		waiting.Add(1)
+func (s *site) killRandom(random *rand.Rand, count int) {
+	var wg sync.WaitGroup
+	for _, d := range s.randomDaemons(random, count) {
+		s.noteFault(restartDelay, "%s is killed", d.name)
+		wg.Add(1)
 		go func() {
-			defer waiting.Done()
-			killed.kill()
-			time.Sleep(restartAfter)
-			s.startAgain(killed)
+			defer wg.Done()
+			d.kill()
+			time.Sleep(restartDelay)
+			s.startDaemon(d)
 		}()
 	}
-	waiting.Wait()
+	wg.Wait()
 }
 
-func (s *site) startAgain(ended *daemon) {
-	if err := ended.start(); err != nil {
-		s.disturbed(0, "start of %s failed: %s", ended.name, err)
+func (s *site) startDaemon(d *daemon) {
+	if err := d.start(); err != nil {
+		s.noteFault(0, "start of %s failed: %s", d.name, err)
 	}
 }
 
-// stop restarts a daemon gracefully. It isn't recorded as a fault, since no flow may be lost by it.
-func (s *site) stop(stopped *daemon) {
-	s.recorder.Note(Event{Kind: DaemonSignalled, Detail: stopped.name})
-	<-stopped.tellToEnd(syscall.SIGTERM)
-	s.startAgain(stopped)
+// restartGracefully restarts a daemon gracefully. It isn't recorded as a fault, since no flow may be lost by it.
+func (s *site) restartGracefully(d *daemon) {
+	s.recorder.Note(Event{Kind: DaemonSignalled, Detail: d.name})
+	<-d.terminate(syscall.SIGTERM)
+	s.startDaemon(d)
 }
 
-// rollShare is the approximate number of batches of a rolling restart.
-const rollShare = 6
+// rollBatches is the approximate number of batches of a rolling restart.
+const rollBatches = 6
 
-// roll restarts all daemons gracefully, one batch after the other.
-func (s *site) roll() {
-	for some := range slices.Chunk(s.daemons, max(1, len(s.daemons)/rollShare)) {
-		var waiting sync.WaitGroup
-		for _, stopped := range some {
-			waiting.Add(1)
+// rollingRestart restarts all daemons gracefully, one batch after the other.
+func (s *site) rollingRestart() {
+	for batch := range slices.Chunk(s.daemons, max(1, len(s.daemons)/rollBatches)) {
+		var wg sync.WaitGroup
+		for _, d := range batch {
+			wg.Add(1)
 			go func() {
-				defer waiting.Done()
-				s.stop(stopped)
+				defer wg.Done()
+				s.restartGracefully(d)
 			}()
 		}
-		waiting.Wait()
+		wg.Wait()
 	}
 }
 
-func (s *site) freeze(frozen *daemon) {
-	s.disturbed(freezeSpan, "%s is paused", frozen.name)
-	frozen.signal(syscall.SIGSTOP)
-	time.Sleep(freezeSpan)
-	frozen.signal(syscall.SIGCONT)
+func (s *site) pause(d *daemon) {
+	s.noteFault(pauseDuration, "%s is paused", d.name)
+	d.signal(syscall.SIGSTOP)
+	time.Sleep(pauseDuration)
+	d.signal(syscall.SIGCONT)
 }
 
-func (s *site) storeDown(*rand.Rand) {
-	s.disturbed(faultSpan, "store is unavailable")
+func (s *site) stopStore(*rand.Rand) {
+	s.noteFault(faultDuration, "store is unavailable")
 	s.store.SetDown(true)
-	time.Sleep(faultSpan)
+	time.Sleep(faultDuration)
 	s.store.SetDown(false)
 }
 
-func (s *site) disturbPaths(befallen []*daemon, state pathState) {
-	s.disturbed(faultSpan, "proxies of %d daemons to the store are in mode %d", len(befallen), state)
-	for _, held := range befallen {
-		held.path.set(state)
+func (s *site) setProxyMode(affected []*daemon, mode proxyMode) {
+	s.noteFault(faultDuration, "proxies of %d daemons to the store are in mode %d", len(affected), mode)
+	for _, d := range affected {
+		d.storeProxy.setMode(mode)
 	}
-	time.Sleep(faultSpan)
-	for _, held := range befallen {
-		held.path.set(pathWell)
+	time.Sleep(faultDuration)
+	for _, d := range affected {
+		d.storeProxy.setMode(modeForward)
 	}
 }
 
-// muteOpen makes all open connections to the store unresponsive for the rest of their lifetime.
-func (s *site) muteOpen(*rand.Rand) {
-	s.disturbed(0, "open connections to the store are unresponsive")
-	for _, held := range s.daemons {
-		held.path.muteOpen()
+// muteOpenConnections makes all open connections to the store unresponsive for the rest of their lifetime.
+func (s *site) muteOpenConnections(*rand.Rand) {
+	s.noteFault(0, "open connections to the store are unresponsive")
+	for _, d := range s.daemons {
+		d.storeProxy.muteOpenConnections()
 	}
 }
 
 // moveRoute switches a route to another service, or back.
 func (s *site) moveRoute(random *rand.Rand) {
-	route, home := routeFeeds, serviceFeeds
+	route, service := routeFeeds, serviceFeeds
 	if random.IntN(2) == 0 {
-		route, home = routeForms, serviceForms
+		route, service = routeForms, serviceForms
 	}
 	s.mutex.Lock()
-	held := s.routes[route]
+	current := s.routes[route]
 	s.mutex.Unlock()
-	if held == home {
-		home = serviceOther
+	if current == service {
+		service = serviceOther
 	}
-	s.configure(s.leadsTo(route, home))
+	s.putConfiguration(s.routesWith(route, service))
 }
 
 // dropRoute removes a route temporarily.
 func (s *site) dropRoute(*rand.Rand) {
-	s.configure(s.leadsTo(routeExtra, ""))
-	time.Sleep(faultSpan)
-	s.configure(s.leadsTo(routeExtra, serviceOther))
+	s.putConfiguration(s.routesWith(routeExtra, ""))
+	time.Sleep(faultDuration)
+	s.putConfiguration(s.routesWith(routeExtra, serviceOther))
 }
 
-// withTarget calls a function with a random target of a service with at least three, if any.
-func (s *site) withTarget(random *rand.Rand, do func(*target)) {
-	if chosen := s.chooseTarget(random); chosen != nil {
+// withRandomTarget calls a function with a random target of a service with at least three, if any.
+func (s *site) withRandomTarget(random *rand.Rand, do func(*target)) {
+	if chosen := s.takeRandomTarget(random); chosen != nil {
 		do(chosen)
 	}
 }
 
-func (s *site) chooseTarget(random *rand.Rand) *target {
+func (s *site) takeRandomTarget(random *rand.Rand) *target {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	counts := map[string]int{}
 	var all []*target
-	for _, held := range s.targets {
-		counts[held.service]++
-		all = append(all, held)
+	for _, candidate := range s.targets {
+		counts[candidate.service]++
+		all = append(all, candidate)
 	}
-	all = slices.DeleteFunc(all, func(held *target) bool { return counts[held.service] < 3 })
+	all = slices.DeleteFunc(all, func(candidate *target) bool { return counts[candidate.service] < 3 })
 	if len(all) == 0 {
 		return nil
 	}
@@ -218,18 +222,18 @@
 	return chosen
 }
 
-// reuse crashes a target and starts a target of another service at the same address.
-func (s *site) reuse(random *rand.Rand) {
-	s.withTarget(random, func(crashed *target) {
+// reuseAddress crashes a target and starts a target of another service at the same address.
+func (s *site) reuseAddress(random *rand.Rand) {
+	s.withRandomTarget(random, func(crashed *target) {
 		s.crash(crashed)
 		other := map[string]string{serviceFeeds: serviceForms, serviceForms: serviceOther, serviceOther: serviceFeeds}[crashed.service]
-		time.Sleep(faultSpan)
-		s.started(s.addTargetAt(other, crashed.address))
+		time.Sleep(faultDuration)
+		s.noteStartError(s.addTargetAt(other, crashed.address))
 	})
 }
 
-func (s *site) started(_ *target, err error) {
+func (s *site) noteStartError(_ *target, err error) {
 	if err != nil {
-		s.disturbed(0, "start of a target failed: %s", err)
+		s.noteFault(0, "start of a target failed: %s", err)
 	}
 }
--- a/internal/lab/storelab/large.go
+++ b/internal/lab/storelab/large.go
@@ -12,8 +12,8 @@
 const (
 	// daemonBytes is the approximate memory per daemon, including the test process's part for it.
 	daemonBytes = 48 << 20
-	// mostDaemons is limited by the addresses of a /24 network.
-	mostDaemons = 200
+	// maxDaemons is limited by the addresses of a /24 network.
+	maxDaemons = 200
 
 	memoryFile  = "/proc/meminfo"
 	memoryField = "MemTotal:"
@@ -27,7 +27,7 @@
 	if err != nil {
 		return config, err
 	}
-	config.Daemons = int(max(uint64(config.Daemons), min(mostDaemons, memory/2/daemonBytes)))
+	config.Daemons = int(max(uint64(config.Daemons), min(maxDaemons, memory/2/daemonBytes)))
 	return config, nil
 }
 
@@ -38,9 +38,9 @@
 		return 0, eris.Wrap(err, "read total memory")
 	}
 	defer func() { _ = file.Close() }()
-	lines := bufio.NewScanner(file)
-	for lines.Scan() {
-		fields := strings.Fields(lines.Text())
+	scanner := bufio.NewScanner(file)
+	for scanner.Scan() {
+		fields := strings.Fields(scanner.Text())
 		if len(fields) < 2 || fields[0] != memoryField {
 			continue
 		}
--- a/internal/lab/storelab/proxy.go
+++ b/internal/lab/storelab/proxy.go
@@ -9,38 +9,38 @@
 	"time"
 )
 
-// pathState is the way in which a proxy treats connections.
-type pathState int32
+// proxyMode is the way in which a proxy treats connections.
+type proxyMode int32
 
 const (
-	pathWell pathState = iota
-	// pathRefusing resets open and new connections.
-	pathRefusing
-	// pathSilent accepts connections and drops all data.
-	pathSilent
-	// pathOneWay forwards requests and drops responses.
-	pathOneWay
-	// pathSlow delays each chunk of a response by slowPathDelay.
-	pathSlow
+	modeForward proxyMode = iota
+	// modeRefuse resets open and new connections.
+	modeRefuse
+	// modeDrop accepts connections and drops all data.
+	modeDrop
+	// modeOneWay forwards requests and drops responses.
+	modeOneWay
+	// modeSlow delays each chunk of a response by slowDelay.
+	modeSlow
 )
 
 const (
-	slowPathDelay = 300 * time.Millisecond
-	proxyBuffer   = 16 << 10
+	slowDelay        = 300 * time.Millisecond
+	proxyBufferBytes = 16 << 10
 )
 
 // proxy is a TCP proxy between one daemon and the store that injects faults.
 type proxy struct {
 	listener net.Listener
 	store    netip.AddrPort
-	state    atomic.Int32
+	mode     atomic.Int32
 
 	mutex sync.Mutex
-	open  map[*proxied]bool
+	open  map[*proxyConnection]bool
 }
 
-// proxied is one connection through the proxy.
-type proxied struct {
+// proxyConnection is one connection through the proxy.
+type proxyConnection struct {
 	daemon, store net.Conn
 	// isMute is set once the connection drops all data.
 	isMute atomic.Bool
@@ -51,22 +51,24 @@
 	if err != nil {
 		return nil, err
 	}
-	started := &proxy{listener: listener, store: store, open: map[*proxied]bool{}}
-	go started.accept()
-	return started, nil
+	p := &proxy{listener: listener, store: store, open: map[*proxyConnection]bool{}}
+	go p.accept()
+	return p, nil
 }
 
-func (p *proxy) set(state pathState) {
-	p.state.Store(int32(state))
-	if state == pathRefusing {
-		p.each((*proxied).reset)
+func (p *proxy) setMode(mode proxyMode) {
+	p.mode.Store(int32(mode))
+	if mode == modeRefuse {
+		p.forEach((*proxyConnection).reset)
 	}
 }
 
-// muteOpen makes the open connections drop all data until they are closed; new ones work.
-func (p *proxy) muteOpen() { p.each(func(connection *proxied) { connection.isMute.Store(true) }) }
+// muteOpenConnections makes the open connections drop all data until they are closed; new ones work.
+func (p *proxy) muteOpenConnections() {
+	p.forEach(func(connection *proxyConnection) { connection.isMute.Store(true) })
+}
 
-func (p *proxy) each(do func(*proxied)) {
+func (p *proxy) forEach(do func(*proxyConnection)) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for connection := range p.open {
@@ -76,7 +78,7 @@
 
 func (p *proxy) close() {
 	_ = p.listener.Close()
-	p.each((*proxied).reset)
+	p.forEach((*proxyConnection).reset)
 }
 
 func (p *proxy) accept() {
@@ -90,8 +92,8 @@
 }
 
 func (p *proxy) serve(daemon net.Conn) {
-	connection := &proxied{daemon: daemon}
-	if pathState(p.state.Load()) == pathRefusing {
+	connection := &proxyConnection{daemon: daemon}
+	if proxyMode(p.mode.Load()) == modeRefuse {
 		connection.reset()
 		return
 	}
@@ -104,38 +106,38 @@
 	p.mutex.Lock()
 	p.open[connection] = true
 	p.mutex.Unlock()
-	var waiting sync.WaitGroup
-	waiting.Add(2)
+	var wg sync.WaitGroup
+	wg.Add(2)
 	go func() {
-		defer waiting.Done()
-		p.pass(connection, store, daemon, false)
+		defer wg.Done()
+		p.forward(connection, store, daemon, false)
 	}()
 	go func() {
-		defer waiting.Done()
-		p.pass(connection, daemon, store, true)
+		defer wg.Done()
+		p.forward(connection, daemon, store, true)
 	}()
-	waiting.Wait()
+	wg.Wait()
 	p.mutex.Lock()
 	delete(p.open, connection)
 	p.mutex.Unlock()
 }
 
-// pass copies one direction until EOF or an error. Data that the fault drops is read and discarded.
-func (p *proxy) pass(connection *proxied, to io.Writer, from io.Reader, isAnswer bool) {
+// forward copies one direction until EOF or an error. Data that the fault drops is read and discarded.
+func (p *proxy) forward(connection *proxyConnection, to io.Writer, from io.Reader, isAnswer bool) {
 	defer connection.reset()
-	buffer := make([]byte, proxyBuffer)
+	buffer := make([]byte, proxyBufferBytes)
 	for {
 		length, err := from.Read(buffer)
 		if err != nil {
 			return
 		}
-		state := pathState(p.state.Load())
-		if connection.isMute.Load() || state == pathSilent || state == pathOneWay && isAnswer {
+		mode := proxyMode(p.mode.Load())
+		if connection.isMute.Load() || mode == modeDrop || mode == modeOneWay && isAnswer {
 			connection.isMute.Store(true) // the stream can't continue with a gap
 			continue
 		}
-		if state == pathSlow && isAnswer {
-			time.Sleep(slowPathDelay)
+		if mode == modeSlow && isAnswer {
+			time.Sleep(slowDelay)
 		}
 		if _, err := to.Write(buffer[:length]); err != nil {
 			return
@@ -144,7 +146,7 @@
 }
 
 // reset closes both ends with a TCP reset, which discards unsent data.
-func (c *proxied) reset() {
+func (c *proxyConnection) reset() {
 	for _, end := range []net.Conn{c.daemon, c.store} {
 		if connection, ok := end.(*net.TCPConn); ok {
 			_ = connection.SetLinger(0)
--- a/internal/lab/storelab/router.go
+++ b/internal/lab/storelab/router.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// readyInterval is the interval of readiness probes; a daemon is taken out of rotation
-	// after missesUntilOut consecutive failures.
-	readyInterval  = 250 * time.Millisecond
-	missesUntilOut = 2
+	// probeInterval is the interval of readiness probes; a daemon is taken out of rotation
+	// after failureThreshold consecutive failures.
+	probeInterval    = 250 * time.Millisecond
+	failureThreshold = 2
 )
 
 // router distributes flows over the ready daemons by a hash of their address pair, as an ECMP
@@ -22,50 +22,50 @@
 type router struct {
 	socket *net.UDPConn
 	// daemons have a fixed order; the hash selects among those in rotation.
-	daemons []routedDaemon
+	daemons []routerDaemon
 
-	mutex sync.Mutex
-	in    []netip.AddrPort
-	// held are the daemons that flows of forwardHeld are pinned to.
-	held map[Flow]heldDaemon
-	// lifeOf returns the number of the process at a data address, 0 if there is none.
-	lifeOf func(data netip.AddrPort) int
+	mutex      sync.Mutex
+	inRotation []netip.AddrPort
+	// pinned are the daemons that flows of forwardPinned are pinned to.
+	pinned map[Flow]daemonProcess
+	// processAt returns the number of the process at a data address, 0 if there is none.
+	processAt func(data netip.AddrPort) int
 }
 
-// heldDaemon identifies a process of a daemon.
-type heldDaemon struct {
-	data netip.AddrPort
-	life int
+// daemonProcess identifies a process of a daemon.
+type daemonProcess struct {
+	data   netip.AddrPort
+	number int
 }
 
-// routedDaemon is the router's state of a daemon.
-type routedDaemon struct {
-	data   netip.AddrPort
-	ready  string
-	misses int
+// routerDaemon is the router's state of a daemon.
+type routerDaemon struct {
+	data     netip.AddrPort
+	readyURL string
+	failures int
 }
 
-// watch probes the daemons' readiness until ctx is done.
-func (r *router) watch(ctx context.Context) {
-	client := &http.Client{Timeout: readyInterval}
+// probe probes the daemons' readiness until ctx is done.
+func (r *router) probe(ctx context.Context) {
+	client := &http.Client{Timeout: probeInterval}
 	for index := range r.daemons {
-		r.daemons[index].misses = missesUntilOut
+		r.daemons[index].failures = failureThreshold
 	}
 	for ctx.Err() == nil {
-		var waiting sync.WaitGroup
+		var wg sync.WaitGroup
 		for index := range r.daemons {
-			waiting.Add(1)
-			go func(daemon *routedDaemon) {
-				defer waiting.Done()
-				daemon.misses++
-				if isReady(ctx, client, daemon.ready) {
-					daemon.misses = 0
+			wg.Add(1)
+			go func(daemon *routerDaemon) {
+				defer wg.Done()
+				daemon.failures++
+				if isReady(ctx, client, daemon.readyURL) {
+					daemon.failures = 0
 				}
 			}(&r.daemons[index])
 		}
-		waiting.Wait()
-		r.deal()
-		rest(ctx, readyInterval)
+		wg.Wait()
+		r.updateRotation()
+		sleep(ctx, probeInterval)
 	}
 }
 
@@ -82,52 +82,52 @@
 	return response.StatusCode == http.StatusOK
 }
 
-func (r *router) deal() {
-	var in []netip.AddrPort
+func (r *router) updateRotation() {
+	var inRotation []netip.AddrPort
 	for index := range r.daemons {
-		if r.daemons[index].misses < missesUntilOut {
-			in = append(in, r.daemons[index].data)
+		if r.daemons[index].failures < failureThreshold {
+			inRotation = append(inRotation, r.daemons[index].data)
 		}
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.in = in
+	r.inRotation = inRotation
 }
 
 // forward sends a caller's packet to the daemon that its flow's hash selects.
 func (r *router) forward(flow Flow, datagram []byte) {
-	if to := r.dealt(flow); to.IsValid() {
+	if to := r.selectDaemon(flow); to.IsValid() {
 		_, _ = r.socket.WriteToUDPAddrPort(datagram, to) // treated as packet loss
 	}
 }
 
-// forwardHeld sends all packets of a flow to the same daemon while its process runs, ready or not,
+// forwardPinned sends all packets of a flow to the same daemon while its process runs, ready or not,
 // as a client does that keeps its connections.
-func (r *router) forwardHeld(flow Flow, datagram []byte) {
+func (r *router) forwardPinned(flow Flow, datagram []byte) {
 	r.mutex.Lock()
-	held, isHeld := r.held[flow]
+	pinned, isPinned := r.pinned[flow]
 	r.mutex.Unlock()
-	if !isHeld || r.lifeOf(held.data) != held.life {
-		to := r.dealt(flow)
+	if !isPinned || r.processAt(pinned.data) != pinned.number {
+		to := r.selectDaemon(flow)
 		if !to.IsValid() {
 			return
 		}
-		held = heldDaemon{data: to, life: r.lifeOf(to)}
+		pinned = daemonProcess{data: to, number: r.processAt(to)}
 		r.mutex.Lock()
-		r.held[flow] = held
+		r.pinned[flow] = pinned
 		r.mutex.Unlock()
 	}
-	_, _ = r.socket.WriteToUDPAddrPort(datagram, held.data)
+	_, _ = r.socket.WriteToUDPAddrPort(datagram, pinned.data)
 }
 
-// dealt returns the daemon that a flow's hash selects, or an invalid address if none is in rotation.
-func (r *router) dealt(flow Flow) netip.AddrPort {
+// selectDaemon returns the daemon that a flow's hash selects, or an invalid address if none is in rotation.
+func (r *router) selectDaemon(flow Flow) netip.AddrPort {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(flow.Caller.String() + flow.Route.String()))
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if len(r.in) == 0 {
+	if len(r.inRotation) == 0 {
 		return netip.AddrPort{}
 	}
-	return r.in[int(hash.Sum32())%len(r.in)]
+	return r.inRotation[int(hash.Sum32())%len(r.inRotation)]
 }
--- a/internal/lab/storelab/run.go
+++ b/internal/lab/storelab/run.go
@@ -72,8 +72,8 @@
 	return count
 }
 
-// callerStart is the time between the start of the daemons and of the callers.
-const callerStart = 1500 * time.Millisecond
+// callerDelay is the time between the start of the daemons and of the callers.
+const callerDelay = 1500 * time.Millisecond
 
 // Run runs the schedule of one seed and checks the invariants.
 func Run(ctx context.Context, config Config) (*Result, error) {
@@ -81,77 +81,77 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "create directory of the run")
 	}
-	played, err := newSite(config, directory)
+	s, err := newSite(config, directory)
 	if err != nil {
 		return nil, err
 	}
-	defer played.close()
-	calling, stop := context.WithCancel(ctx)
+	defer s.close()
+	callerCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	go played.router.watch(calling)
-	rest(ctx, callerStart)
-	var waiting sync.WaitGroup
-	played.call(calling, &waiting)
+	go s.router.probe(callerCtx)
+	sleep(ctx, callerDelay)
+	var wg sync.WaitGroup
+	s.startCallers(callerCtx, &wg)
 	faults := append(Faults(config.Seed, config.Faults, config.Span), Series(config.Seed, config.Series, config.Span)...)
 	slices.SortStableFunc(faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
-	played.befall(ctx, faults)
-	rest(ctx, config.Bounds.Recover)
-	played.plan(ctx)
-	rest(ctx, config.Calm)
+	s.inject(ctx, faults)
+	sleep(ctx, config.Bounds.Recover)
+	s.performMaintenance(ctx)
+	sleep(ctx, config.Calm)
 	stop()
-	waiting.Wait()
-	events := played.recorder.Events()
+	wg.Wait()
+	events := s.recorder.Events()
 	return &Result{Seed: config.Seed, Faults: faults, Verdicts: Check(config.Bounds, events), Events: events}, ctx.Err()
 }
 
-// call starts four kinds of traffic on every caller.
-func (s *site) call(ctx context.Context, waiting *sync.WaitGroup) {
-	habits := []habit{
-		{route: routeFeeds, mayRepeat: true, perFlow: 1000, pause: 300 * time.Millisecond},
-		{route: routeForms, perFlow: 1000, pause: 3 * time.Second},
-		{route: routeForms, perFlow: 1, pause: 300 * time.Millisecond},
-		{route: routeExtra, mayRepeat: true, perFlow: 20, pause: 500 * time.Millisecond},
+// startCallers starts four kinds of traffic on every caller.
+func (s *site) startCallers(ctx context.Context, wg *sync.WaitGroup) {
+	patterns := []trafficPattern{
+		{route: routeFeeds, isIdempotent: true, requestsPerFlow: 1000, maxPause: 300 * time.Millisecond},
+		{route: routeForms, requestsPerFlow: 1000, maxPause: 3 * time.Second},
+		{route: routeForms, requestsPerFlow: 1, maxPause: 300 * time.Millisecond},
+		{route: routeExtra, isIdempotent: true, requestsPerFlow: 20, maxPause: 500 * time.Millisecond},
 	}
-	for index, used := range s.callers {
-		for number, way := range habits {
-			waiting.Add(1)
+	for index, client := range s.callers {
+		for number, pattern := range patterns {
+			wg.Add(1)
 			go func() {
-				defer waiting.Done()
-				used.run(ctx, way, rand.New(rand.NewPCG(s.config.Seed, uint64(index*len(habits)+number))))
+				defer wg.Done()
+				client.run(ctx, pattern, rand.New(rand.NewPCG(s.config.Seed, uint64(index*len(patterns)+number))))
 			}()
 		}
 	}
 }
 
-// plan performs maintenance without faults: it moves a route, drains a target and restarts all
-// daemons, which then don't know the route's previous service.
-func (s *site) plan(ctx context.Context) {
+// performMaintenance moves a route, drains a target and restarts all daemons, which then don't know
+// the route's previous service. No faults happen meanwhile.
+func (s *site) performMaintenance(ctx context.Context) {
 	random := rand.New(rand.NewPCG(s.config.Seed, 2))
 	s.moveRoute(random)
-	s.withTarget(random, s.drain)
+	s.withRandomTarget(random, s.drain)
 	if ctx.Err() == nil {
-		s.roll()
+		s.rollingRestart()
 	}
 }
 
-// befall injects the faults at their times and returns when all are over.
-func (s *site) befall(ctx context.Context, faults []Fault) {
-	began := time.Now()
-	var waiting sync.WaitGroup
+// inject injects the faults at their times and returns when all are over.
+func (s *site) inject(ctx context.Context, faults []Fault) {
+	start := time.Now()
+	var wg sync.WaitGroup
 	for _, fault := range faults {
-		rest(ctx, time.Until(began.Add(fault.At)))
+		sleep(ctx, time.Until(start.Add(fault.At)))
 		if ctx.Err() != nil {
 			break
 		}
-		waiting.Add(1)
+		wg.Add(1)
 		go func() {
-			defer waiting.Done()
-			act := actions[fault.Do]
-			if act == nil {
-				act = series[fault.Do]
+			defer wg.Done()
+			action := actions[fault.Do]
+			if action == nil {
+				action = seriesActions[fault.Do]
 			}
-			act(s, rand.New(rand.NewPCG(fault.Draw, 1)))
+			action(s, rand.New(rand.NewPCG(fault.Draw, 1)))
 		}()
 	}
-	waiting.Wait()
+	wg.Wait()
 }
--- a/internal/lab/storelab/site.go
+++ b/internal/lab/storelab/site.go
@@ -19,8 +19,8 @@
 	"github.com/passtray/passtray/platform"
 )
 
-// Ports and networks (third byte) of a run's addresses on loopback, 127.second.network.host. The
-// second byte differs between concurrent runs.
+// Ports and networks (third byte) of a run's addresses on loopback, 127.networkByte.network.host.
+// The second byte differs between concurrent runs.
 const (
 	portControl   = 7000
 	portTelemetry = 7002
@@ -46,70 +46,71 @@
 	routeExtra = netip.MustParseAddrPort("198.18.0.3:443")
 )
 
-// retireAfter is how much longer than Bounds.Leave a draining target runs.
-const retireAfter = time.Second
+// drainMargin is how much longer than Bounds.Leave a draining target runs.
+const drainMargin = time.Second
 
 // site holds the daemons and the simulated environment of one run.
 type site struct {
-	config   Config
-	second   byte
-	recorder *Recorder
-	store    *environment.Store
-	server   *webserver.Server
-	daemons  []*daemon
-	router   *router
-	callers  []*caller
-
-	// restoring is held from a restore of the store until the lost entries are written again.
-	restoring sync.Mutex
-
-	mutex      sync.Mutex
-	routes     map[netip.AddrPort]string
-	version    uint64
-	targets    map[uint64]*target
-	identifier uint64
-	host       int
-	numbers    atomic.Uint64
+	config      Config
+	networkByte byte
+	recorder    *Recorder
+	store       *environment.Store
+	server      *webserver.Server
+	daemons     []*daemon
+	router      *router
+	callers     []*caller
+
+	// restoreMutex is held from a restore of the store until the lost entries are written again.
+	restoreMutex sync.Mutex
+
+	// lastVersion, identifier, host and lastRequest are the last ones assigned.
+	mutex       sync.Mutex
+	routes      map[netip.AddrPort]string
+	lastVersion uint64
+	targets     map[uint64]*target
+	identifier  uint64
+	host        int
+	lastRequest atomic.Uint64
 }
 
 func newSite(config Config, directory string) (*site, error) {
-	made := &site{
+	s := &site{
 		config: config, recorder: NewRecorder(),
 		store: environment.NewStore(), routes: map[netip.AddrPort]string{}, targets: map[uint64]*target{},
 		identifier: 0x1000000000,
 	}
-	listener, err := made.listenAtFreeNetwork()
+	listener, err := s.listenOnFreeNetwork()
 	if err != nil {
 		return nil, eris.Wrap(err, "store")
 	}
-	made.server = webserver.Serve(listener, platform.Handler(made.store), requestBound)
+	s.server = webserver.Serve(listener, platform.Handler(s.store), requestTimeout)
 	if config.Series > 0 {
-		made.store.Restore(time.Now()) // daemons start with an epoch above 0
+		s.store.Restore(time.Now()) // daemons start with an epoch above 0
 	}
-	for _, open := range []func() error{
-		func() error { return made.addDaemons(directory) }, made.addRouter, made.addCallers, made.addTargets,
+	for _, step := range []func() error{
+		func() error { return s.addDaemons(directory) }, s.addRouter, s.addCallers, s.addTargets,
 	} {
-		if err := open(); err != nil {
-			made.close()
+		if err := step(); err != nil {
+			s.close()
 			return nil, err
 		}
 	}
-	return made, nil
+	return s, nil
 }
 
 const (
-	// firstNetwork is the lowest second byte of a run's addresses, networks the number of choices.
-	firstNetwork = 16
-	networks     = 200
+	// minNetwork is the lowest second byte of a run's addresses, networkCount the number of choices.
+	minNetwork   = 16
+	networkCount = 200
 )
 
-// listenAtFreeNetwork chooses a second byte that no other run uses by listening at the store's
+// listenOnFreeNetwork chooses a second byte that no other run uses by listening at the store's
 // address.
-func (s *site) listenAtFreeNetwork() (listener net.Listener, err error) {
+func (s *site) listenOnFreeNetwork() (listener net.Listener, err error) {
 	first := uint64(os.Getpid())*31 + s.config.Seed
-	for offset := range uint64(networks) {
-		s.second = firstNetwork + byte((first+offset)%networks)
-		listener, err = net.Listen("tcp4", s.at(netStore, 1, portStore).String())
+	for offset := range uint64(networkCount) {
+		s.networkByte = minNetwork + byte((first+offset)%networkCount)
+		listener, err = net.Listen("tcp4", s.addr(netStore, 1, portStore).String())
 		if err == nil {
 			return listener, nil
 		}
@@ -117,82 +118,82 @@
 	return nil, err
 }
 
-func (s *site) at(network byte, host int, port uint16) netip.AddrPort {
-	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, s.second, network, byte(host)}), port)
+func (s *site) addr(network byte, host int, port uint16) netip.AddrPort {
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, s.networkByte, network, byte(host)}), port)
 }
 
 func (s *site) zone(index int) string { return fmt.Sprint("zone-", index%s.config.Zones) }
 
 func (s *site) addDaemons(directory string) error {
 	for index := range s.config.Daemons {
-		path, err := startProxy(s.at(netProxies, index+1, portStore), s.at(netStore, 1, portStore))
+		storeProxy, err := startProxy(s.addr(netProxies, index+1, portStore), s.addr(netStore, 1, portStore))
 		if err != nil {
 			return eris.Wrap(err, "proxy")
 		}
-		plan := &daemonPlan{
+		settings := &daemonConfig{
 			name: fmt.Sprint("daemon-", index), zone: s.zone(index), bounds: s.config.Bounds,
-			control: s.at(netDaemons, index+1, portControl), telemetry: s.at(netDaemons, index+1, portTelemetry),
-			data: s.at(netDaemons, index+1, portData), store: s.at(netProxies, index+1, portStore),
+			control: s.addr(netDaemons, index+1, portControl), telemetry: s.addr(netDaemons, index+1, portTelemetry),
+			data: s.addr(netDaemons, index+1, portData), store: s.addr(netProxies, index+1, portStore),
 		}
 		for seed := range min(3, s.config.Daemons) {
-			plan.seeds = append(plan.seeds, s.at(netDaemons, seed+1, portControl))
+			settings.seeds = append(settings.seeds, s.addr(netDaemons, seed+1, portControl))
 		}
-		made, err := newDaemon(s.config.Binary, directory, plan, path)
+		d, err := newDaemon(s.config.Binary, directory, settings, storeProxy)
 		if err != nil {
-			return eris.Wrap(err, plan.name)
+			return eris.Wrap(err, settings.name)
 		}
-		made.onEnd = s.noteEnd
-		if err := made.start(); err != nil {
-			return eris.Wrap(err, plan.name)
+		d.onUnexpectedExit = s.handleUnexpectedExit
+		if err := d.start(); err != nil {
+			return eris.Wrap(err, settings.name)
 		}
-		s.daemons = append(s.daemons, made)
+		s.daemons = append(s.daemons, d)
 	}
 	return nil
 }
 
 func (s *site) addRouter() error {
-	socket, err := listenUDP(s.at(netStore, 2, 0))
+	socket, err := listenUDP(s.addr(netStore, 2, 0))
 	if err != nil {
 		return eris.Wrap(err, "router")
 	}
-	s.router = &router{socket: socket, held: map[Flow]heldDaemon{}, lifeOf: s.lifeOf}
+	s.router = &router{socket: socket, pinned: map[Flow]daemonProcess{}, processAt: s.processAt}
 	for index := range s.daemons {
-		ready := "http://" + s.at(netDaemons, index+1, portTelemetry).String() + readyPath
-		s.router.daemons = append(s.router.daemons, routedDaemon{data: s.at(netDaemons, index+1, portData), ready: ready})
+		readyURL := "http://" + s.addr(netDaemons, index+1, portTelemetry).String() + readyPath
+		s.router.daemons = append(s.router.daemons, routerDaemon{data: s.addr(netDaemons, index+1, portData), readyURL: readyURL})
 	}
 	return nil
 }
 
-// lifeOf returns the number of the process at a data address, 0 if there is none.
-func (s *site) lifeOf(data netip.AddrPort) int {
+// processAt returns the number of the process at a data address, 0 if there is none.
+func (s *site) processAt(data netip.AddrPort) int {
 	host := int(data.Addr().As4()[3])
-	return s.daemons[host-1].lifeNow()
+	return s.daemons[host-1].currentProcess()
 }
 
-// noteEnd records an unexpected exit of a daemon and restarts it, as a service manager does.
-func (s *site) noteEnd(ended *daemon, state string) {
-	s.recorder.Note(Event{Kind: DaemonEnded, Detail: fmt.Sprintf("%s exited unexpectedly: %s", ended.name, state)})
-	time.AfterFunc(restartAfter, func() { s.startAgain(ended) })
+// handleUnexpectedExit records an unexpected exit of a daemon and restarts it, as a service manager does.
+func (s *site) handleUnexpectedExit(d *daemon, state string) {
+	s.recorder.Note(Event{Kind: DaemonEnded, Detail: fmt.Sprintf("%s exited unexpectedly: %s", d.name, state)})
+	time.AfterFunc(restartDelay, func() { s.startDaemon(d) })
 }
 
 func (s *site) addCallers() error {
-	daemons := s.at(netDaemons, 0, 0).Addr().As4()
+	daemons := s.addr(netDaemons, 0, 0).Addr().As4()
 	for index := range s.config.Callers {
-		address := s.at(netCallers, index+1, portData)
+		address := s.addr(netCallers, index+1, portData)
 		socket, err := listenUDP(address)
 		if err != nil {
 			return eris.Wrap(err, "caller")
 		}
-		made := &caller{
-			socket: socket, address: address.Addr(), recorder: s.recorder, numbers: &s.numbers,
+		client := &caller{
+			socket: socket, address: address.Addr(), recorder: s.recorder, lastRequest: &s.lastRequest,
 			isDaemon: func(from netip.AddrPort) bool { four := from.Addr().As4(); return four[2] == daemons[2] },
 			forward:  s.router.forward, flows: map[Flow]chan received{},
 		}
 		if index%2 == 1 {
-			made.forward = s.router.forwardHeld
+			client.forward = s.router.forwardPinned
 		}
-		go made.receive()
-		s.callers = append(s.callers, made)
+		go client.receive()
+		s.callers = append(s.callers, client)
 	}
 	return nil
 }
@@ -205,14 +206,14 @@
 			}
 		}
 	}
-	s.configure(map[netip.AddrPort]string{routeFeeds: serviceFeeds, routeForms: serviceForms, routeExtra: serviceOther})
+	s.putConfiguration(map[netip.AddrPort]string{routeFeeds: serviceFeeds, routeForms: serviceForms, routeExtra: serviceOther})
 	return nil
 }
 
 // addTarget starts a target at a new address.
 func (s *site) addTarget(service string) (*target, error) {
 	s.host++
-	return s.addTargetAt(service, s.at(netTargets, s.host, 5000))
+	return s.addTargetAt(service, s.addr(netTargets, s.host, 5000))
 }
 
 func (s *site) addTargetAt(service string, address netip.AddrPort) (*target, error) {
@@ -224,27 +225,27 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.targets[started.identifier] = started
-	s.put(started, false)
+	s.putTarget(started, false)
 	return started, nil
 }
 
-func (s *site) put(described *target, isDraining bool) {
-	s.store.Put(storeview.Entry{Key: platform.TargetKey(described.identifier), Target: &storeview.Target{
-		Identifier: described.identifier, Service: described.service, Address: described.address,
-		Zone: s.zone(int(described.identifier % 3)), Slots: 2, Draining: isDraining,
-		Incarnation: uint64(described.startedAt.UnixMilli()),
+func (s *site) putTarget(t *target, isDraining bool) {
+	s.store.Put(storeview.Entry{Key: platform.TargetKey(t.identifier), Target: &storeview.Target{
+		Identifier: t.identifier, Service: t.service, Address: t.address,
+		Zone: s.zone(int(t.identifier % 3)), Slots: 2, Draining: isDraining,
+		Incarnation: uint64(t.startedAt.UnixMilli()),
 	}})
 }
 
-// configure writes a new configuration to the store and records the changed routes.
-func (s *site) configure(routes map[netip.AddrPort]string) {
+// putConfiguration writes a new configuration to the store and records the changed routes.
+func (s *site) putConfiguration(routes map[netip.AddrPort]string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.version += 3
-	configuration := &storeview.Configuration{Version: s.version, IdleTimeout: time.Minute}
+	s.lastVersion += 3
+	configuration := &storeview.Configuration{Version: s.lastVersion, IdleTimeout: time.Minute}
 	for _, address := range slices.SortedFunc(maps.Keys(routes), netip.AddrPort.Compare) {
 		configuration.Routes = append(configuration.Routes, storeview.Route{
-			Name: address.String(), Address: address, Timeout: requestBound, Objective: requestBound / 4,
+			Name: address.String(), Address: address, Timeout: requestTimeout, Objective: requestTimeout / 4,
 			Backends: []storeview.Backend{{Service: routes[address], Weight: 1000}},
 		})
 		if s.routes[address] != routes[address] {
@@ -263,8 +264,8 @@
 	s.routes = routes
 }
 
-// leadsTo returns a copy of the routes with one of them changed; an empty service removes it.
-func (s *site) leadsTo(route netip.AddrPort, service string) map[netip.AddrPort]string {
+// routesWith returns a copy of the routes with one of them changed; an empty service removes it.
+func (s *site) routesWith(route netip.AddrPort, service string) map[netip.AddrPort]string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	routes := maps.Clone(s.routes)
@@ -275,27 +276,27 @@
 	return routes
 }
 
-// drain marks a target as draining and ends it after Bounds.Leave and retireAfter.
+// drain marks a target as draining and ends it after Bounds.Leave and drainMargin.
 func (s *site) drain(leaving *target) {
 	s.mutex.Lock()
-	s.put(leaving, true)
+	s.putTarget(leaving, true)
 	s.mutex.Unlock()
 	s.recorder.Note(Event{Kind: TargetLeaving, Target: leaving.identifier})
-	time.AfterFunc(s.config.Bounds.Leave+retireAfter, func() { s.end(leaving) })
+	time.AfterFunc(s.config.Bounds.Leave+drainMargin, func() { s.end(leaving) })
 }
 
 // crash ends a target at once; its entry expires after entryLifetime.
 func (s *site) crash(crashed *target) {
 	crashed.end()
-	time.AfterFunc(entryLifetime, func() { s.remove(crashed) })
+	time.AfterFunc(entryLifetime, func() { s.removeTarget(crashed) })
 }
 
 func (s *site) end(ended *target) {
 	ended.end()
-	s.remove(ended)
+	s.removeTarget(ended)
 }
 
-func (s *site) remove(removed *target) {
+func (s *site) removeTarget(removed *target) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	delete(s.targets, removed.identifier)
@@ -310,8 +311,8 @@
 	if s.router != nil {
 		_ = s.router.socket.Close()
 	}
-	for _, calling := range s.callers {
-		_ = calling.socket.Close()
+	for _, c := range s.callers {
+		_ = c.socket.Close()
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/lab/storelab/target.go
+++ b/internal/lab/storelab/target.go
@@ -51,14 +51,14 @@
 		_ = socket.Close()
 		return nil, err
 	}
-	started := &target{
+	t := &target{
 		identifier: identifier, service: service, address: address, callerPort: callerPort, startedAt: time.Now(), recorder: recorder,
 		socket: socket, listener: listener, flows: map[Flow]*targetFlow{},
 	}
 	recorder.Note(Event{Kind: TargetStarted, Target: identifier, Service: service})
-	go receive(socket, func(_ netip.AddrPort, datagram []byte) { started.take(datagram) })
-	go started.accept()
-	return started, nil
+	go receive(socket, func(_ netip.AddrPort, datagram []byte) { t.handlePacket(datagram) })
+	go t.accept()
+	return t, nil
 }
 
 // accept closes connections at once: health checks only test whether the port accepts connections.
@@ -79,11 +79,11 @@
 	_ = t.listener.Close()
 }
 
-func (t *target) take(datagram []byte) {
+func (t *target) handlePacket(datagram []byte) {
 	codec := platform.PacketCodec{}
-	meant, datagram, ok := codec.Meant(datagram)
+	intended, datagram, ok := codec.Meant(datagram)
 	var packet token.Packet
-	if !ok || meant != 0 && meant != t.identifier || !codec.Parse(datagram, &packet) {
+	if !ok || intended != 0 && intended != t.identifier || !codec.Parse(datagram, &packet) {
 		return
 	}
 	name := Flow{Caller: packet.Source, Route: packet.Destination}
@@ -98,7 +98,7 @@
 	case packet.IsReset || packet.IsClosing:
 		delete(t.flows, name)
 	default:
-		t.takeData(name, flow, &packet, datagram[len(datagram)-packet.PayloadLength:])
+		t.handleData(name, flow, &packet, datagram[len(datagram)-packet.PayloadLength:])
 	}
 }
 
@@ -112,7 +112,7 @@
 	t.send(name, token.Packet{IsOpening: true, IsAnswer: true, Token: flow.token, Sequence: firstSequence, Acknowledgement: flow.received}, nil)
 }
 
-func (t *target) takeData(name Flow, flow *targetFlow, packet *token.Packet, payload []byte) {
+func (t *target) handleData(name Flow, flow *targetFlow, packet *token.Packet, payload []byte) {
 	flow.token = packet.Token
 	if !flow.isOpen {
 		if packet.Acknowledgement != firstSequence+1 {
