--- a/internal/lab/workload/caller.go
+++ b/internal/lab/workload/caller.go
@@ -16,20 +16,20 @@
 	"github.com/passtray/passtray/internal/lab/history"
 )
 
-// CallerConfig makes the callers of one service.
+// CallerConfig describes the load on one service.
 type CallerConfig struct {
 	Service string
 	Address netip.AddrPort
-	// OncePerSecond are requests that may not be repeated; Feeds are long-lived
-	// feeds; UploadsPerSecond are bodies that must arrive.
+	// OncePerSecond is the rate of non-idempotent requests, UploadsPerSecond that of
+	// uploads, and Feeds the number of long-lived streams.
 	OncePerSecond    float64
 	Feeds            int
 	UploadsPerSecond float64
 	UploadBytes      int
 	AnswerBytes      int
-	// Deadline is how long a caller waits for one attempt.
+	// Deadline is the timeout of one attempt.
 	Deadline time.Duration
-	// FeedStall is the longest silence of a feed that does not count as a break.
+	// FeedStall is the time without an event after which a feed counts as broken.
 	FeedStall time.Duration
 	History   *history.Log
 	Record    func(class Class, took time.Duration)
@@ -38,19 +38,19 @@
 // Class groups requests whose latency is reported together.
 type Class string
 
-// The classes.
 const (
 	ClassOnce      Class = "once"
 	ClassUpload    Class = "upload"
 	ClassHandshake Class = "handshake"
 )
 
-// Callers is a running load.
+// Callers generates the load on one service.
 type Callers struct {
 	config CallerConfig
 	random *rand.Rand
 	number atomic.Uint64
-	// Dials, Failed and Answered count attempts.
+	// Dials and Failed count connection attempts, Answered, Refused and Unknown attempts
+	// at requests by outcome.
 	Dials    atomic.Uint64
 	Failed   atomic.Uint64
 	Answered atomic.Uint64
@@ -64,16 +64,17 @@
 	retryPause      = 300 * time.Millisecond
 	keepAlive       = 5 * time.Second
 	feedSpread      = 2 * time.Second
-	// silentAtEnd is how long a feed may have been silent when the run ends.
+	// silentAtEnd is the time without an event after which a feed counts as broken at the
+	// end of the run.
 	silentAtEnd = 3 * time.Second
 )
 
-// NewCallers makes the callers; seed fixes their rhythm.
+// NewCallers creates callers. The seed determines when they send.
 func NewCallers(config CallerConfig, seed uint64) *Callers {
 	return &Callers{config: config, random: rand.New(rand.NewPCG(seed, 1))}
 }
 
-// Run calls until the context ends, then lets requests under way finish.
+// Run starts the load, which continues until ctx is done. Pending requests aren't canceled.
 func (c *Callers) Run(ctx context.Context, start func(func())) {
 	for number := range c.config.Feeds {
 		wait := time.Duration(c.random.Int64N(int64(feedSpread)))
@@ -83,8 +84,8 @@
 	c.arrivals(ctx, c.config.UploadsPerSecond, start, func() { c.request(kindUpload, ClassUpload) })
 }
 
-// arrivals starts call at exponentially distributed intervals (an open loop:
-// slow answers do not slow the arrivals).
+// arrivals generates open-loop load: it starts call at exponentially distributed
+// intervals, independent of response times.
 func (c *Callers) arrivals(ctx context.Context, perSecond float64, start func(func()), call func()) {
 	if perSecond <= 0 {
 		return
@@ -119,7 +120,7 @@
 	return connection, nil
 }
 
-// request makes one request. Only "not run" lets it try again.
+// request sends one request. It retries only if the request is known not to have run.
 func (c *Callers) request(what kind, class Class) {
 	id := fmt.Sprintf("%s-%s-%d", c.config.Service, class, c.number.Add(1))
 	started := time.Now()
@@ -151,8 +152,8 @@
 	return outcome, pause
 }
 
-// exchange dials, asks and reads the answer. A dial that fails sent no request,
-// so nothing ran.
+// exchange dials, sends the request and reads the response. If dialing fails, the request
+// wasn't sent and hence not run.
 func (c *Callers) exchange(what kind, id, attempt string) (history.Outcome, time.Duration, string) {
 	ctx, cancel := context.WithTimeout(context.Background(), c.config.Deadline)
 	defer cancel()
@@ -183,19 +184,18 @@
 		return history.OutcomeUnknown, 0, ""
 	}
 	if answer.ID != id {
-		return history.OutcomeWrong, 0, "answer is for " + answer.ID
+		return history.OutcomeWrong, 0, "received the response to request " + answer.ID
 	}
 	if answer.NotRun {
 		return history.OutcomeNotRun, time.Duration(answer.RetryAfterMilliseconds) * time.Millisecond, ""
 	}
 	if len(answer.Payload) != c.config.AnswerBytes || answer.Checksum != checksumOf(id, answer.Payload) {
-		return history.OutcomeWrong, 0, "answer is not whole"
+		return history.OutcomeWrong, 0, "response has the wrong length or checksum"
 	}
 	return history.OutcomeAnswered, 0, ""
 }
 
-// runFeed holds one feed open until the context ends, and opens it again when
-// it breaks.
+// runFeed keeps one feed open until ctx is done, and reopens it when it breaks.
 func (c *Callers) runFeed(ctx context.Context, number int, wait time.Duration) {
 	time.Sleep(wait)
 	for generation := 0; ctx.Err() == nil; generation++ {
@@ -232,15 +232,15 @@
 	case ctx.Err() == nil:
 		kind, detail = history.FeedBroken, err.Error()
 	case time.Since(last) > silentAtEnd:
-		// The run's end came before the stall did.
-		kind, detail = history.FeedBroken, "silent when the run ended"
+		// FeedStall has not passed yet.
+		kind, detail = history.FeedBroken, "unresponsive at the end of the run"
 	}
 	c.config.History.Add(history.Event{Kind: kind, Request: id, Service: c.config.Service, Target: target, Detail: detail})
 	return true
 }
 
-// readFeed reads events until one fails to come, and returns the feed's target
-// and when the last event came.
+// readFeed reads events until an error or timeout, and returns the feed's target and the
+// time of the last event.
 func (c *Callers) readFeed(stream *quic.Stream, id string) (string, time.Time, error) {
 	decoder := cbor.NewDecoder(stream)
 	target := ""
@@ -257,7 +257,7 @@
 			c.config.History.Add(history.Event{Kind: history.FeedOpened, Request: id, Service: c.config.Service, Target: target})
 		}
 		if event.Sequence != expected {
-			return target, last, errors.New("an event is missing")
+			return target, last, errors.New("missing event in feed")
 		}
 	}
 }
--- a/internal/lab/workload/load.go
+++ b/internal/lab/workload/load.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// reportedLoad is what a target says of its load in place of the truth: nothing
-// at all if it lies, or what was true a while ago if it lags.
+// reportedLoad distorts the load that a target reports: it is always 0 if the target
+// lies, or up to lag old.
 type reportedLoad struct {
 	lies bool
 	lag  time.Duration
--- a/internal/lab/workload/protocol.go
+++ b/internal/lab/workload/protocol.go
@@ -1,5 +1,5 @@
-// Package workload is the lab's application: callers and targets that speak a
-// small request protocol over ordinary QUIC streams, and record what they did.
+// Package workload simulates the lab's application: clients (callers) and targets that
+// exchange requests over QUIC streams and record events in a history.
 package workload
 
 import (
@@ -15,45 +15,44 @@
 	"github.com/rotisserie/eris"
 )
 
-// kind is what a request asks for.
+// kind is the type of a request.
 type kind uint8
 
 const (
-	// kindOnce is a request that may not be repeated.
+	// kindOnce is a non-idempotent request.
 	kindOnce kind = iota + 1
-	// kindFeed asks for events until the caller goes.
+	// kindFeed subscribes to events until the caller closes the stream.
 	kindFeed
-	// kindUpload carries a body that must not vanish.
+	// kindUpload is a request with a body.
 	kindUpload
 )
 
-// request is the first item of a stream.
+// request is the first message on a stream.
 type request struct {
 	Kind    kind   `cbor:"1,keyasint"`
 	ID      string `cbor:"2,keyasint"`
 	Attempt string `cbor:"3,keyasint"`
 	Body    []byte `cbor:"4,keyasint,omitempty"`
-	// DeadlineMilliseconds is how long the caller will wait; a target that
-	// cannot begin in time says that it did not.
+	// DeadlineMilliseconds is how long the request may be queued; a target that can't
+	// start it in time responds with NotRun.
 	DeadlineMilliseconds uint32 `cbor:"5,keyasint,omitempty"`
-	// AnswerSize is how many bytes the answer is to hold.
+	// AnswerSize is the size of the response's payload in bytes.
 	AnswerSize uint32 `cbor:"6,keyasint,omitempty"`
 }
 
-// response answers a request. Payload's checksum covers the request's ID, so
-// that another request's answer is told apart.
+// response is the reply to a request. The checksum covers the request's ID too, which
+// detects responses to other requests.
 type response struct {
 	ID       string `cbor:"1,keyasint"`
 	NotRun   bool   `cbor:"2,keyasint,omitempty"`
 	Target   string `cbor:"3,keyasint"`
 	Payload  []byte `cbor:"4,keyasint,omitempty"`
 	Checksum uint32 `cbor:"5,keyasint,omitempty"`
-	// RetryAfterMilliseconds tells a caller that was turned away when to come
-	// back.
+	// RetryAfterMilliseconds is the delay after which a rejected request may be retried.
 	RetryAfterMilliseconds uint32 `cbor:"6,keyasint,omitempty"`
 }
 
-// feedEvent is one item of a feed.
+// feedEvent is one message of a feed.
 type feedEvent struct {
 	Sequence uint64 `cbor:"1,keyasint"`
 	Target   string `cbor:"2,keyasint"`
@@ -65,11 +64,11 @@
 
 const certificateLifetime = 24 * time.Hour
 
-// NewCertificate makes a self-signed certificate for the lab's targets.
+// NewCertificate creates a self-signed certificate for the lab's targets.
 func NewCertificate() (tls.Certificate, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return tls.Certificate{}, eris.Wrap(err, "lab key")
+		return tls.Certificate{}, eris.Wrap(err, "generate key of lab targets")
 	}
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(1), DNSNames: []string{serverName},
@@ -77,12 +76,13 @@
 	}
 	encoded, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
-		return tls.Certificate{}, eris.Wrap(err, "lab certificate")
+		return tls.Certificate{}, eris.Wrap(err, "create certificate of lab targets")
 	}
 	return tls.Certificate{Certificate: [][]byte{encoded}, PrivateKey: key}, nil
 }
 
 const serverName = "lab.invalid"
 
-// applicationProtocol makes a handshake with another service's target fail.
+// applicationProtocol returns a service's ALPN protocol. It differs between services so that a
+// handshake with another service's target fails.
 func applicationProtocol(service string) string { return "lab/" + service }
--- a/internal/lab/workload/target.go
+++ b/internal/lab/workload/target.go
@@ -17,7 +17,7 @@
 	"github.com/passtray/passtray/internal/lab/history"
 )
 
-// TargetConfig makes a target stand-in.
+// TargetConfig configures a simulated target.
 type TargetConfig struct {
 	Service     string
 	Name        string
@@ -25,23 +25,24 @@
 	ServiceAddr netip.AddrPort
 	KeyringPath string
 	Certificate tls.Certificate
-	// Slots is how many requests run at once; more wait up to their deadline.
+	// Slots is the number of concurrent requests; further ones are queued up to their deadline.
 	Slots              uint16
 	MaximumConnections uint32
-	// Work is the mean time a request takes; while cold, ColdFactor times that.
+	// Work is the mean processing time of a request; it is multiplied by ColdFactor during the
+	// first ColdFor, while the target warms up.
 	Work       time.Duration
 	ColdFactor float64
 	ColdFor    time.Duration
-	// ShedAbove is how many requests may wait before more are turned away.
+	// ShedAbove is the number of queued requests above which further ones are rejected; 0 is
+	// unlimited.
 	ShedAbove int32
-	// LoadLies makes it report an empty house, LoadLag what was true up to that
-	// long ago.
+	// LoadLies makes the target always report a load of 0, LoadLag a load that is up to that old.
 	LoadLies bool
 	LoadLag  time.Duration
 	History  *history.Log
 }
 
-// Target is a running target stand-in.
+// Target is a simulated target.
 type Target struct {
 	config   TargetConfig
 	listener *backend.Listener
@@ -61,7 +62,6 @@
 	handshakeTimeout = 5 * time.Second
 )
 
-// StartTarget brings a target up.
 func StartTarget(config TargetConfig) (*Target, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	target := &Target{config: config, started: time.Now(), ctx: ctx, cancel: cancel}
@@ -87,24 +87,22 @@
 	return target, nil
 }
 
-// FullName is "service/target".
+// FullName returns "service/target".
 func (t *Target) FullName() string { return t.config.Service + "/" + t.config.Name }
 
-// Service returns the service the target stands behind.
 func (t *Target) Service() string { return t.config.Service }
 
-// Load returns open connections and busy slots.
+// Load returns the number of open connections and of busy slots.
 func (t *Target) Load() (connections, busy int) {
 	return int(t.listener.Connections()), int(t.listener.BusySlots())
 }
 
-// IsDraining reports whether the target is leaving.
 func (t *Target) IsDraining() bool { return t.listener.IsDraining() }
 
-// Attempts returns how many handshakes were begun here.
+// Attempts returns the number of handshakes begun so far.
 func (t *Target) Attempts() uint64 { return t.listener.Attempts() }
 
-// Accepted returns how many connections were accepted so far.
+// Accepted returns the number of connections accepted so far.
 func (t *Target) Accepted() uint64 { return t.accepted.Load() }
 
 func (t *Target) trace(service netip.AddrPort, _ bool) {
@@ -149,7 +147,7 @@
 	}
 }
 
-// run takes a slot and does a request's work, or says that it did not.
+// run processes a request in a slot, or responds with NotRun if it gets none.
 func (t *Target) run(stream *quic.Stream, asked *request) {
 	waiting := t.waiting.Add(1)
 	release, err := t.acquire(stream, asked, waiting)
@@ -172,9 +170,9 @@
 
 func (t *Target) acquire(stream *quic.Stream, asked *request, waiting int32) (func(), error) {
 	if t.config.ShedAbove > 0 && waiting > t.config.ShedAbove {
-		return nil, eris.New("too many requests wait")
+		return nil, eris.New("too many queued requests")
 	}
-	// A cancelled stream ends its context, and so the wait.
+	// Canceling the stream also cancels its context, which ends the wait.
 	ctx, cancel := context.WithTimeout(stream.Context(), time.Duration(asked.DeadlineMilliseconds)*time.Millisecond)
 	defer cancel()
 	return t.listener.AcquireSlot(ctx)
@@ -212,21 +210,19 @@
 	}
 }
 
-// WaitIdle waits until no connection is open.
+// WaitIdle waits until all connections are closed.
 func (t *Target) WaitIdle(ctx context.Context) error { return t.listener.WaitIdle(ctx) }
 
-// Crash ends the target without notice.
+// Crash closes the target without draining it.
 func (t *Target) Crash() {
 	t.crashed.Store(true)
 	t.config.History.Add(history.Event{Kind: history.TargetCrashed, Target: t.FullName()})
 	t.Close()
 }
 
-// Close ends the target.
 func (t *Target) Close() {
 	t.cancel()
 	_ = t.listener.Close()
 }
 
-// String names the target.
 func (t *Target) String() string { return fmt.Sprintf("%s at %s", t.FullName(), t.config.Address) }
