--- a/internal/lab/workload/caller.go
+++ b/internal/lab/workload/caller.go
@@ -32,7 +32,7 @@
 	// FeedStall is the time without an event after which a feed counts as broken.
 	FeedStall time.Duration
 	History   *history.Log
-	Record    func(class Class, took time.Duration)
+	Record    func(class Class, duration time.Duration)
 }
 
 // Class groups requests whose latency is reported together.
@@ -60,13 +60,13 @@
 }
 
 const (
-	maximumAttempts = 8
-	retryPause      = 300 * time.Millisecond
-	keepAlive       = 5 * time.Second
-	feedSpread      = 2 * time.Second
-	// silentAtEnd is the time without an event after which a feed counts as broken at the
+	maxAttempts       = 8
+	retryDelay        = 300 * time.Millisecond
+	keepAliveInterval = 5 * time.Second
+	maxFeedStartDelay = 2 * time.Second
+	// feedStallAtEnd is the time without an event after which a feed counts as broken at the
 	// end of the run.
-	silentAtEnd = 3 * time.Second
+	feedStallAtEnd = 3 * time.Second
 )
 
 // NewCallers creates callers. The seed determines when they send.
@@ -77,8 +77,8 @@
 // Run starts the load, which continues until ctx is done. Pending requests aren't canceled.
 func (c *Callers) Run(ctx context.Context, start func(func())) {
 	for number := range c.config.Feeds {
-		wait := time.Duration(c.random.Int64N(int64(feedSpread)))
-		start(func() { c.runFeed(ctx, number, wait) })
+		startDelay := time.Duration(c.random.Int64N(int64(maxFeedStartDelay)))
+		start(func() { c.runFeed(ctx, number, startDelay) })
 	}
 	c.arrivals(ctx, c.config.OncePerSecond, start, func() { c.request(kindOnce, ClassOnce) })
 	c.arrivals(ctx, c.config.UploadsPerSecond, start, func() { c.request(kindUpload, ClassUpload) })
@@ -107,33 +107,33 @@
 
 func (c *Callers) dial(ctx context.Context) (*quic.Conn, error) {
 	c.Dials.Add(1)
-	started := time.Now()
+	start := time.Now()
 	connection, err := quic.DialAddr(ctx, c.config.Address.String(), &tls.Config{
 		InsecureSkipVerify: true, ServerName: serverName, MinVersion: tls.VersionTLS13,
 		NextProtos: []string{applicationProtocol(c.config.Service)},
-	}, &quic.Config{KeepAlivePeriod: keepAlive, MaxIdleTimeout: targetIdle, HandshakeIdleTimeout: handshakeTimeout})
+	}, &quic.Config{KeepAlivePeriod: keepAliveInterval, MaxIdleTimeout: idleTimeout, HandshakeIdleTimeout: handshakeTimeout})
 	if err != nil {
 		c.Failed.Add(1)
 		return nil, err
 	}
-	c.config.Record(ClassHandshake, time.Since(started))
+	c.config.Record(ClassHandshake, time.Since(start))
 	return connection, nil
 }
 
 // request sends one request. It retries only if the request is known not to have run.
-func (c *Callers) request(what kind, class Class) {
+func (c *Callers) request(requestKind kind, class Class) {
 	id := fmt.Sprintf("%s-%s-%d", c.config.Service, class, c.number.Add(1))
-	started := time.Now()
-	for attempt := range maximumAttempts {
-		outcome, pause := c.attempt(what, id, fmt.Sprint(attempt))
+	start := time.Now()
+	for attempt := range maxAttempts {
+		outcome, retryAfter := c.attempt(requestKind, id, fmt.Sprint(attempt))
 		switch outcome {
 		case history.OutcomeAnswered:
 			c.Answered.Add(1)
-			c.config.Record(class, time.Since(started))
+			c.config.Record(class, time.Since(start))
 			return
 		case history.OutcomeNotRun:
 			c.Refused.Add(1)
-			time.Sleep(pause + time.Duration(rand.Int64N(int64(retryPause))))
+			time.Sleep(retryAfter + time.Duration(rand.Int64N(int64(retryDelay))))
 		default:
 			c.Unknown.Add(1)
 			return
@@ -141,20 +141,20 @@
 	}
 }
 
-func (c *Callers) attempt(what kind, id, attempt string) (history.Outcome, time.Duration) {
+func (c *Callers) attempt(requestKind kind, id, attempt string) (history.Outcome, time.Duration) {
 	c.config.History.Add(history.Event{Kind: history.CallInvoked, Request: id, Detail: attempt, Service: c.config.Service})
-	outcome, pause, detail := c.exchange(what, id, attempt)
+	outcome, retryAfter, detail := c.exchange(requestKind, id, attempt)
 	event := history.Event{Kind: history.CallReturned, Request: id, Detail: attempt, Service: c.config.Service, Outcome: outcome}
 	if outcome == history.OutcomeWrong {
 		event.Detail = detail
 	}
 	c.config.History.Add(event)
-	return outcome, pause
+	return outcome, retryAfter
 }
 
 // exchange dials, sends the request and reads the response. If dialing fails, the request
 // wasn't sent and hence not run.
-func (c *Callers) exchange(what kind, id, attempt string) (history.Outcome, time.Duration, string) {
+func (c *Callers) exchange(requestKind kind, id, attempt string) (history.Outcome, time.Duration, string) {
 	ctx, cancel := context.WithTimeout(context.Background(), c.config.Deadline)
 	defer cancel()
 	connection, err := c.dial(ctx)
@@ -166,55 +166,55 @@
 	if err != nil {
 		return history.OutcomeNotRun, 0, ""
 	}
-	asked := request{
-		Kind: what, ID: id, Attempt: attempt, AnswerSize: uint32(c.config.AnswerBytes),
+	req := request{
+		Kind: requestKind, ID: id, Attempt: attempt, AnswerSize: uint32(c.config.AnswerBytes),
 		DeadlineMilliseconds: uint32(c.config.Deadline.Milliseconds() / 2),
 	}
-	if what == kindUpload {
-		asked.Body = make([]byte, c.config.UploadBytes)
+	if requestKind == kindUpload {
+		req.Body = make([]byte, c.config.UploadBytes)
 	}
 	deadline, _ := ctx.Deadline()
 	_ = stream.SetDeadline(deadline)
-	if err := cbor.NewEncoder(stream).Encode(asked); err != nil {
+	if err := cbor.NewEncoder(stream).Encode(req); err != nil {
 		return history.OutcomeUnknown, 0, ""
 	}
 	_ = stream.Close()
-	var answer response
-	if err := cbor.NewDecoder(stream).Decode(&answer); err != nil {
+	var resp response
+	if err := cbor.NewDecoder(stream).Decode(&resp); err != nil {
 		return history.OutcomeUnknown, 0, ""
 	}
-	if answer.ID != id {
-		return history.OutcomeWrong, 0, "received the response to request " + answer.ID
+	if resp.ID != id {
+		return history.OutcomeWrong, 0, "received the response to request " + resp.ID
 	}
-	if answer.NotRun {
-		return history.OutcomeNotRun, time.Duration(answer.RetryAfterMilliseconds) * time.Millisecond, ""
+	if resp.NotRun {
+		return history.OutcomeNotRun, time.Duration(resp.RetryAfterMilliseconds) * time.Millisecond, ""
 	}
-	if len(answer.Payload) != c.config.AnswerBytes || answer.Checksum != checksumOf(id, answer.Payload) {
+	if len(resp.Payload) != c.config.AnswerBytes || resp.Checksum != checksumOf(id, resp.Payload) {
 		return history.OutcomeWrong, 0, "response has the wrong length or checksum"
 	}
 	return history.OutcomeAnswered, 0, ""
 }
 
 // runFeed keeps one feed open until ctx is done, and reopens it when it breaks.
-func (c *Callers) runFeed(ctx context.Context, number int, wait time.Duration) {
-	time.Sleep(wait)
+func (c *Callers) runFeed(ctx context.Context, number int, startDelay time.Duration) {
+	time.Sleep(startDelay)
 	for generation := 0; ctx.Err() == nil; generation++ {
 		id := fmt.Sprintf("%s-feed-%d.%d", c.config.Service, number, generation)
-		if !c.holdFeed(ctx, id) {
-			time.Sleep(retryPause)
+		if !c.streamFeed(ctx, id) {
+			time.Sleep(retryDelay)
 		}
 	}
 }
 
-func (c *Callers) holdFeed(ctx context.Context, id string) bool {
-	dialing, cancel := context.WithTimeout(ctx, c.config.Deadline)
+func (c *Callers) streamFeed(ctx context.Context, id string) bool {
+	dialCtx, cancel := context.WithTimeout(ctx, c.config.Deadline)
 	defer cancel()
-	connection, err := c.dial(dialing)
+	connection, err := c.dial(dialCtx)
 	if err != nil {
 		return false
 	}
 	defer func() { _ = connection.CloseWithError(0, "") }()
-	stream, err := connection.OpenStreamSync(dialing)
+	stream, err := connection.OpenStreamSync(dialCtx)
 	if err != nil {
 		return false
 	}
@@ -231,7 +231,7 @@
 	switch {
 	case ctx.Err() == nil:
 		kind, detail = history.FeedBroken, err.Error()
-	case time.Since(last) > silentAtEnd:
+	case time.Since(last) > feedStallAtEnd:
 		// FeedStall has not passed yet.
 		kind, detail = history.FeedBroken, "unresponsive at the end of the run"
 	}
--- a/internal/lab/workload/load.go
+++ b/internal/lab/workload/load.go
@@ -12,7 +12,7 @@
 	lag  time.Duration
 
 	mutex       sync.Mutex
-	taken       time.Time
+	updatedAt   time.Time
 	busy        uint16
 	connections uint32
 }
@@ -23,8 +23,8 @@
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if now := time.Now(); now.Sub(l.taken) >= l.lag {
-		l.taken, l.busy, l.connections = now, busy, connections
+	if now := time.Now(); now.Sub(l.updatedAt) >= l.lag {
+		l.updatedAt, l.busy, l.connections = now, busy, connections
 	}
 	return l.busy, l.connections
 }
--- a/internal/lab/workload/target.go
+++ b/internal/lab/workload/target.go
@@ -44,27 +44,27 @@
 
 // Target is a simulated target.
 type Target struct {
-	config   TargetConfig
-	listener *backend.Listener
-	started  time.Time
-	waiting  atomic.Int32
-	accepted atomic.Uint64
-	ctx      context.Context
-	cancel   context.CancelFunc
-	crashed  atomic.Bool
+	config    TargetConfig
+	listener  *backend.Listener
+	startedAt time.Time
+	queued    atomic.Int32
+	accepted  atomic.Uint64
+	ctx       context.Context
+	cancel    context.CancelFunc
+	crashed   atomic.Bool
 }
 
 const (
 	feedInterval     = 200 * time.Millisecond
-	targetIdle       = 30 * time.Second
+	idleTimeout      = 30 * time.Second
 	shedRetryAfter   = 500 * time.Millisecond
-	maximumStreams   = 1000
+	maxStreams       = 1000
 	handshakeTimeout = 5 * time.Second
 )
 
 func StartTarget(config TargetConfig) (*Target, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	target := &Target{config: config, started: time.Now(), ctx: ctx, cancel: cancel}
+	target := &Target{config: config, startedAt: time.Now(), ctx: ctx, cancel: cancel}
 	load := &reportedLoad{lies: config.LoadLies, lag: config.LoadLag}
 	var err error
 	target.listener, err = backend.Listen(config.Address, backend.Config{
@@ -77,7 +77,7 @@
 		NextProtos:   []string{applicationProtocol(config.Service)},
 		MinVersion:   tls.VersionTLS13,
 	}, &quic.Config{
-		MaxIdleTimeout: targetIdle, HandshakeIdleTimeout: handshakeTimeout, MaxIncomingStreams: maximumStreams,
+		MaxIdleTimeout: idleTimeout, HandshakeIdleTimeout: handshakeTimeout, MaxIncomingStreams: maxStreams,
 	})
 	if err != nil {
 		cancel()
@@ -135,66 +135,66 @@
 
 func (t *Target) handle(stream *quic.Stream) {
 	defer func() { _ = stream.Close() }()
-	var asked request
-	if err := cbor.NewDecoder(stream).Decode(&asked); err != nil {
+	var req request
+	if err := cbor.NewDecoder(stream).Decode(&req); err != nil {
 		return
 	}
-	switch asked.Kind {
+	switch req.Kind {
 	case kindFeed:
-		t.feed(stream)
+		t.sendFeed(stream)
 	case kindOnce, kindUpload:
-		t.run(stream, &asked)
+		t.run(stream, &req)
 	}
 }
 
 // run processes a request in a slot, or responds with NotRun if it gets none.
-func (t *Target) run(stream *quic.Stream, asked *request) {
-	waiting := t.waiting.Add(1)
-	release, err := t.acquire(stream, asked, waiting)
-	t.waiting.Add(-1)
+func (t *Target) run(stream *quic.Stream, req *request) {
+	queued := t.queued.Add(1)
+	release, err := t.acquire(stream, req, queued)
+	t.queued.Add(-1)
 	if err != nil {
-		t.reply(stream, asked, &response{ID: asked.ID, NotRun: true, Target: t.FullName(), RetryAfterMilliseconds: uint32(shedRetryAfter.Milliseconds())})
+		t.reply(stream, req, &response{ID: req.ID, NotRun: true, Target: t.FullName(), RetryAfterMilliseconds: uint32(shedRetryAfter.Milliseconds())})
 		return
 	}
 	defer release()
 	t.config.History.Add(history.Event{
-		Kind: history.RequestRun, Request: asked.ID, Detail: asked.Attempt, Service: t.config.Service, Target: t.FullName(),
+		Kind: history.RequestRun, Request: req.ID, Detail: req.Attempt, Service: t.config.Service, Target: t.FullName(),
 	})
 	time.Sleep(t.workTime())
-	payload := make([]byte, asked.AnswerSize)
+	payload := make([]byte, req.AnswerSize)
 	for index := range payload {
 		payload[index] = byte(rand.Uint32())
 	}
-	t.reply(stream, asked, &response{ID: asked.ID, Target: t.FullName(), Payload: payload, Checksum: checksumOf(asked.ID, payload)})
+	t.reply(stream, req, &response{ID: req.ID, Target: t.FullName(), Payload: payload, Checksum: checksumOf(req.ID, payload)})
 }
 
-func (t *Target) acquire(stream *quic.Stream, asked *request, waiting int32) (func(), error) {
-	if t.config.ShedAbove > 0 && waiting > t.config.ShedAbove {
+func (t *Target) acquire(stream *quic.Stream, req *request, queued int32) (func(), error) {
+	if t.config.ShedAbove > 0 && queued > t.config.ShedAbove {
 		return nil, eris.New("too many queued requests")
 	}
 	// Canceling the stream also cancels its context, which ends the wait.
-	ctx, cancel := context.WithTimeout(stream.Context(), time.Duration(asked.DeadlineMilliseconds)*time.Millisecond)
+	ctx, cancel := context.WithTimeout(stream.Context(), time.Duration(req.DeadlineMilliseconds)*time.Millisecond)
 	defer cancel()
 	return t.listener.AcquireSlot(ctx)
 }
 
 func (t *Target) workTime() time.Duration {
 	work := float64(t.config.Work) * (0.5 + rand.Float64())
-	if time.Since(t.started) < t.config.ColdFor {
+	if time.Since(t.startedAt) < t.config.ColdFor {
 		work *= t.config.ColdFactor
 	}
 	return time.Duration(work)
 }
 
-func (t *Target) reply(stream *quic.Stream, asked *request, answer *response) {
-	if err := cbor.NewEncoder(stream).Encode(answer); err != nil && !t.crashed.Load() {
+func (t *Target) reply(stream *quic.Stream, req *request, resp *response) {
+	if err := cbor.NewEncoder(stream).Encode(resp); err != nil && !t.crashed.Load() {
 		t.config.History.Add(history.Event{
-			Kind: history.RequestCut, Request: asked.ID, Detail: err.Error(), Target: t.FullName(),
+			Kind: history.RequestCut, Request: req.ID, Detail: err.Error(), Target: t.FullName(),
 		})
 	}
 }
 
-func (t *Target) feed(stream *quic.Stream) {
+func (t *Target) sendFeed(stream *quic.Stream) {
 	encoder := cbor.NewEncoder(stream)
 	ticker := time.NewTicker(feedInterval)
 	defer ticker.Stop()
