--- a/internal/lab/environment/fabric.go
+++ b/internal/lab/environment/fabric.go
@@ -16,29 +16,27 @@
 	"github.com/passtray/passtray/internal/encapsulation"
 )
 
-// Backend is one daemon as the fabric knows it.
+// Backend is one daemon behind the fabric.
 type Backend struct {
-	// Fabric is where datagrams are sent, Health the daemon's telemetry address.
+	// Fabric is the address that datagrams are sent to, Health the daemon's telemetry address.
 	Fabric netip.AddrPort
 	Health netip.AddrPort
 }
 
-// FabricConfig makes a fabric.
 type FabricConfig struct {
-	// Services are the addresses callers use.
+	// Services are the addresses that callers send to.
 	Services []netip.AddrPort
-	// Egress is where daemons send replies.
+	// Egress is the address that daemons send replies to.
 	Egress netip.AddrPort
-	// Delay is the way between callers and daemons.
+	// Delay is the one-way latency between callers and daemons.
 	Delay time.Duration
-	// HealthInterval is how often each daemon is asked whether it is ready;
-	// HealthFailures how many noes take it out. Until then the fabric goes on
-	// sending to a daemon that died.
+	// HealthInterval is the interval of readiness probes, HealthFailures the number of
+	// consecutive failures after which a daemon gets no more datagrams.
 	HealthInterval time.Duration
 	HealthFailures int
 }
 
-// Fabric sprays every datagram at random over the daemons it believes ready.
+// Fabric sends each datagram to a random daemon among those whose probes succeed.
 type Fabric struct {
 	config   FabricConfig
 	egress   *net.UDPConn
@@ -53,7 +51,7 @@
 	ctx     context.Context
 	cancel  context.CancelFunc
 	waiting sync.WaitGroup
-	// Sprayed and Returned count datagrams each way.
+	// Sprayed and Returned count datagrams to daemons and to callers.
 	Sprayed  atomic.Uint64
 	Returned atomic.Uint64
 }
@@ -69,7 +67,7 @@
 	healthTimeout = 300 * time.Millisecond
 )
 
-// StartFabric opens the fabric's sockets.
+// StartFabric opens the fabric's sockets and starts forwarding.
 func StartFabric(config FabricConfig) (*Fabric, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	fabric := &Fabric{
@@ -116,7 +114,7 @@
 	}()
 }
 
-// SetBackends replaces the daemons that exist as far as the fabric knows.
+// SetBackends replaces the set of daemons. New ones get no datagrams until a probe succeeds.
 func (f *Fabric) SetBackends(backends []Backend) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -133,7 +131,7 @@
 	f.publish()
 }
 
-// publish is called with the mutex held.
+// publish updates the ready daemons. The caller must hold the mutex.
 func (f *Fabric) publish() {
 	var ready []netip.AddrPort
 	for backend, health := range f.backends {
@@ -144,7 +142,7 @@
 	f.ready.Store(&ready)
 }
 
-// ReadyCount returns how many daemons get datagrams now.
+// ReadyCount returns the number of daemons that currently get datagrams.
 func (f *Fabric) ReadyCount() int { return len(*f.ready.Load()) }
 
 func (f *Fabric) watchHealth() {
@@ -213,7 +211,7 @@
 	}
 }
 
-// readCallers takes callers' datagrams of one service and sprays each.
+// readCallers encapsulates and forwards the datagrams that callers send to one service.
 func (f *Fabric) readCallers(service netip.AddrPort, socket *net.UDPConn) {
 	buffer := make([]byte, datagramSpace)
 	for {
@@ -240,8 +238,7 @@
 	_, _ = f.egress.WriteToUDPAddrPort(datagram, ready[rand.IntN(len(ready))])
 }
 
-// readDaemons takes replies and passes each to its caller, from the address the
-// caller used.
+// readDaemons decapsulates replies and sends each to its caller, from the address of the service.
 func (f *Fabric) readDaemons() {
 	buffer := make([]byte, datagramSpace)
 	var header encapsulation.Header
@@ -270,7 +267,6 @@
 	}
 }
 
-// Close ends the fabric.
 func (f *Fabric) Close() {
 	f.cancel()
 	if f.egress != nil {
--- a/internal/lab/environment/history.go
+++ b/internal/lab/environment/history.go
@@ -9,13 +9,12 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// History is all that a store holds: every change in order, with its time. It can go back to a copy.
+// History is the change log of a store. It can be restored to an earlier state, as from a backup.
 // It is not safe for concurrent use.
 type History struct {
 	changes  []change
 	revision uint64
-	// epoch counts how often the store was restored, restoredAt is the revision of the copy that
-	// it was restored from last.
+	// epoch is the number of restores, restoredAt the revision of the last restored backup.
 	epoch      uint64
 	restoredAt uint64
 }
@@ -25,14 +24,14 @@
 	at    time.Time
 }
 
-// Revision returns the number of the last change.
+// Revision returns the revision of the last change.
 func (h *History) Revision() uint64 { return h.revision }
 
-// Epoch returns how often the store was restored.
+// Epoch returns the number of restores.
 func (h *History) Epoch() uint64 { return h.epoch }
 
-// Write adds a change made at a time, whose revision is set, and returns the revision. An entry with
-// no content is a removal.
+// Write appends a change, assigns its revision and returns it. An entry without content is a
+// removal.
 func (h *History) Write(entry storeview.Entry, at time.Time) uint64 {
 	h.revision++
 	entry.Revision = h.revision
@@ -53,7 +52,7 @@
 	return entries
 }
 
-// Content returns what the store held at a revision, by key.
+// Content returns the entries at a revision, ordered by key.
 func (h *History) Content(revision uint64) []storeview.Entry {
 	last := map[string]storeview.Entry{}
 	for _, made := range h.changes {
@@ -73,7 +72,7 @@
 	return entries
 }
 
-// RevisionAt returns the number of the last change made by a time.
+// RevisionAt returns the revision of the last change made at or before a time, 0 if there is none.
 func (h *History) RevisionAt(at time.Time) uint64 {
 	for index := len(h.changes) - 1; index >= 0; index-- {
 		if !h.changes[index].at.After(at) {
@@ -83,9 +82,9 @@
 	return 0
 }
 
-// Restore goes back to a copy of what there was at a time: what was written since is lost, its
-// revisions are given out again, and the epoch rises. It returns what writers have to write again,
-// ordered by key; an entry that was removed since the copy was made is among it as a removal.
+// Restore restores the state at a time. Later changes are lost, their revisions are reused, and the
+// epoch is incremented. It returns the entries that writers have to write again, ordered by key;
+// they include removals of the entries that the restore resurrected.
 func (h *History) Restore(to time.Time) []storeview.Entry {
 	before := h.Content(h.revision)
 	h.revision = h.RevisionAt(to)
@@ -95,7 +94,7 @@
 	return lostChanges(before, h.Content(h.revision))
 }
 
-// lostChanges returns what leads from the content of a copy to a later one.
+// lostChanges returns the changes from a backup's content to a later one, ordered by key.
 func lostChanges(later, copied []storeview.Entry) []storeview.Entry {
 	held := map[string]storeview.Entry{}
 	for _, entry := range copied {
@@ -117,7 +116,7 @@
 
 func byKey(a, b storeview.Entry) int { return cmp.Compare(a.Key, b.Key) }
 
-// IsRewritten reports whether something was written under a key since the store was restored.
+// IsRewritten reports whether an entry was written or removed since the last restore.
 func (h *History) IsRewritten(key string) bool {
 	return slices.ContainsFunc(h.After(h.restoredAt), func(entry storeview.Entry) bool { return entry.Key == key })
 }
--- a/internal/lab/environment/store_test.go
+++ b/internal/lab/environment/store_test.go
@@ -37,7 +37,7 @@
 		store.WriteAgain(entry)
 	}
 	list := store.Do(t.Context(), &followed.Call{Kind: followed.CallList})
-	assert.Equal(t, list.Revision, uint64(5), "c was written since and is not written again")
+	assert.Equal(t, list.Revision, uint64(5), "c was written since the restore and must not be written again")
 	assert.Equal(t, len(list.Entries), 2)
 	assert.Assert(t, list.Entries[0].Target.Draining && list.Entries[1].Target.Draining)
 }
