--- a/internal/lab/environment/fabric.go
+++ b/internal/lab/environment/fabric.go
@@ -38,19 +38,19 @@
 
 // Fabric sends each datagram to a random daemon among those whose probes succeed.
 type Fabric struct {
-	config   FabricConfig
-	egress   *net.UDPConn
-	services map[netip.AddrPort]*net.UDPConn
-	inward   *delayLine
-	outward  *delayLine
-	ready    atomic.Pointer[[]netip.AddrPort]
+	config    FabricConfig
+	egress    *net.UDPConn
+	services  map[netip.AddrPort]*net.UDPConn
+	toDaemons *delayLine
+	toCallers *delayLine
+	ready     atomic.Pointer[[]netip.AddrPort]
 
 	mutex    sync.Mutex
 	backends map[Backend]*backendHealth
 
-	ctx     context.Context
-	cancel  context.CancelFunc
-	waiting sync.WaitGroup
+	ctx    context.Context
+	cancel context.CancelFunc
+	wg     sync.WaitGroup
 	// Sprayed and Returned count datagrams to daemons and to callers.
 	Sprayed  atomic.Uint64
 	Returned atomic.Uint64
@@ -62,9 +62,9 @@
 }
 
 const (
-	fabricBuffer  = 8 << 20
-	datagramSpace = 2048
-	healthTimeout = 300 * time.Millisecond
+	socketBufferBytes = 8 << 20
+	datagramBytes     = 2048
+	healthTimeout     = 300 * time.Millisecond
 )
 
 // StartFabric opens the fabric's sockets and starts forwarding.
@@ -72,7 +72,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	fabric := &Fabric{
 		config: config, services: map[netip.AddrPort]*net.UDPConn{}, backends: map[Backend]*backendHealth{},
-		inward: newDelayLine(config.Delay), outward: newDelayLine(config.Delay), ctx: ctx, cancel: cancel,
+		toDaemons: newDelayLine(config.Delay), toCallers: newDelayLine(config.Delay), ctx: ctx, cancel: cancel,
 	}
 	fabric.ready.Store(&[]netip.AddrPort{})
 	var err error
@@ -89,10 +89,10 @@
 		fabric.services[address] = socket
 	}
 	for address, socket := range fabric.services {
-		fabric.run(func() { fabric.readCallers(address, socket) })
+		fabric.spawn(func() { fabric.readCallers(address, socket) })
 	}
-	fabric.run(fabric.readDaemons)
-	fabric.run(fabric.watchHealth)
+	fabric.spawn(fabric.readDaemons)
+	fabric.spawn(fabric.probeLoop)
 	return fabric, nil
 }
 
@@ -101,15 +101,15 @@
 	if err != nil {
 		return nil, eris.Wrapf(err, "listen on %s", address)
 	}
-	_ = socket.SetReadBuffer(fabricBuffer)
-	_ = socket.SetWriteBuffer(fabricBuffer)
+	_ = socket.SetReadBuffer(socketBufferBytes)
+	_ = socket.SetWriteBuffer(socketBufferBytes)
 	return socket, nil
 }
 
-func (f *Fabric) run(task func()) {
-	f.waiting.Add(1)
+func (f *Fabric) spawn(task func()) {
+	f.wg.Add(1)
 	go func() {
-		defer f.waiting.Done()
+		defer f.wg.Done()
 		task()
 	}()
 }
@@ -128,11 +128,11 @@
 			f.backends[backend] = &backendHealth{failures: f.config.HealthFailures}
 		}
 	}
-	f.publish()
+	f.updateReady()
 }
 
-// publish updates the ready daemons. The caller must hold the mutex.
-func (f *Fabric) publish() {
+// updateReady recomputes the addresses of ready daemons. The caller must hold the mutex.
+func (f *Fabric) updateReady() {
 	var ready []netip.AddrPort
 	for backend, health := range f.backends {
 		if health.isReady {
@@ -145,12 +145,12 @@
 // ReadyCount returns the number of daemons that currently get datagrams.
 func (f *Fabric) ReadyCount() int { return len(*f.ready.Load()) }
 
-func (f *Fabric) watchHealth() {
+func (f *Fabric) probeLoop() {
 	client := &http.Client{Timeout: healthTimeout}
 	ticker := time.NewTicker(f.config.HealthInterval)
 	defer ticker.Stop()
 	for {
-		f.askAll(client)
+		f.probeAll(client)
 		select {
 		case <-ticker.C:
 		case <-f.ctx.Done():
@@ -159,24 +159,24 @@
 	}
 }
 
-func (f *Fabric) askAll(client *http.Client) {
+func (f *Fabric) probeAll(client *http.Client) {
 	f.mutex.Lock()
-	var asked []Backend
+	var probed []Backend
 	for backend := range f.backends {
-		asked = append(asked, backend)
+		probed = append(probed, backend)
 	}
 	f.mutex.Unlock()
-	var group sync.WaitGroup
-	for _, backend := range asked {
-		group.Add(1)
+	var wg sync.WaitGroup
+	for _, backend := range probed {
+		wg.Add(1)
 		go func() {
-			defer group.Done()
-			f.note(backend, isReady(f.ctx, client, backend.Health))
+			defer wg.Done()
+			f.recordProbe(backend, isReady(f.ctx, client, backend.Health))
 		}()
 	}
-	group.Wait()
+	wg.Wait()
 	f.mutex.Lock()
-	f.publish()
+	f.updateReady()
 	f.mutex.Unlock()
 }
 
@@ -193,14 +193,14 @@
 	return response.StatusCode == http.StatusOK
 }
 
-func (f *Fabric) note(backend Backend, ready bool) {
+func (f *Fabric) recordProbe(backend Backend, succeeded bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	health := f.backends[backend]
 	if health == nil {
 		return
 	}
-	if ready {
+	if succeeded {
 		health.failures = 0
 		health.isReady = true
 		return
@@ -213,7 +213,7 @@
 
 // readCallers encapsulates and forwards the datagrams that callers send to one service.
 func (f *Fabric) readCallers(service netip.AddrPort, socket *net.UDPConn) {
-	buffer := make([]byte, datagramSpace)
+	buffer := make([]byte, datagramBytes)
 	for {
 		length, from, err := socket.ReadFromUDPAddrPort(buffer)
 		if f.ctx.Err() != nil {
@@ -225,7 +225,7 @@
 		caller := netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 		header := encapsulation.Header{Kind: encapsulation.KindFabric, Caller: caller, Service: service}
 		datagram := append(encapsulation.Append(make([]byte, 0, encapsulation.MaximumSize+length), &header), buffer[:length]...)
-		f.inward.put(func() { f.spray(datagram) })
+		f.toDaemons.schedule(func() { f.spray(datagram) })
 	}
 }
 
@@ -240,7 +240,7 @@
 
 // readDaemons decapsulates replies and sends each to its caller, from the address of the service.
 func (f *Fabric) readDaemons() {
-	buffer := make([]byte, datagramSpace)
+	buffer := make([]byte, datagramBytes)
 	var header encapsulation.Header
 	for {
 		length, _, err := f.egress.ReadFromUDPAddrPort(buffer)
@@ -260,7 +260,7 @@
 		}
 		payload := append([]byte(nil), buffer[offset:length]...)
 		caller := header.Caller
-		f.outward.put(func() {
+		f.toCallers.schedule(func() {
 			f.Returned.Add(1)
 			_, _ = socket.WriteToUDPAddrPort(payload, caller)
 		})
@@ -275,7 +275,7 @@
 	for _, socket := range f.services {
 		_ = socket.Close()
 	}
-	f.waiting.Wait()
-	f.inward.close()
-	f.outward.close()
+	f.wg.Wait()
+	f.toDaemons.close()
+	f.toCallers.close()
 }
--- a/internal/lab/environment/history.go
+++ b/internal/lab/environment/history.go
@@ -46,26 +46,26 @@
 		start--
 	}
 	var entries []storeview.Entry
-	for _, made := range h.changes[start:] {
-		entries = append(entries, made.entry)
+	for _, c := range h.changes[start:] {
+		entries = append(entries, c.entry)
 	}
 	return entries
 }
 
 // Content returns the entries at a revision, ordered by key.
 func (h *History) Content(revision uint64) []storeview.Entry {
-	last := map[string]storeview.Entry{}
-	for _, made := range h.changes {
-		if made.entry.Revision > revision {
+	latest := map[string]storeview.Entry{}
+	for _, c := range h.changes {
+		if c.entry.Revision > revision {
 			break
 		}
-		last[made.entry.Key] = made.entry
-		if made.entry.IsRemoval() {
-			delete(last, made.entry.Key)
+		latest[c.entry.Key] = c.entry
+		if c.entry.IsRemoval() {
+			delete(latest, c.entry.Key)
 		}
 	}
-	entries := make([]storeview.Entry, 0, len(last))
-	for _, entry := range last {
+	entries := make([]storeview.Entry, 0, len(latest))
+	for _, entry := range latest {
 		entries = append(entries, entry)
 	}
 	slices.SortFunc(entries, byKey)
@@ -88,26 +88,26 @@
 func (h *History) Restore(to time.Time) []storeview.Entry {
 	before := h.Content(h.revision)
 	h.revision = h.RevisionAt(to)
-	h.changes = slices.DeleteFunc(h.changes, func(made change) bool { return made.entry.Revision > h.revision })
+	h.changes = slices.DeleteFunc(h.changes, func(c change) bool { return c.entry.Revision > h.revision })
 	h.epoch++
 	h.restoredAt = h.revision
 	return lostChanges(before, h.Content(h.revision))
 }
 
 // lostChanges returns the changes from a backup's content to a later one, ordered by key.
-func lostChanges(later, copied []storeview.Entry) []storeview.Entry {
-	held := map[string]storeview.Entry{}
-	for _, entry := range copied {
-		held[entry.Key] = entry
+func lostChanges(current, backup []storeview.Entry) []storeview.Entry {
+	inBackup := map[string]storeview.Entry{}
+	for _, entry := range backup {
+		inBackup[entry.Key] = entry
 	}
 	var lost []storeview.Entry
-	for _, entry := range later {
-		if there, isHeld := held[entry.Key]; !isHeld || !reflect.DeepEqual(there, entry) {
+	for _, entry := range current {
+		if old, wasPresent := inBackup[entry.Key]; !wasPresent || !reflect.DeepEqual(old, entry) {
 			lost = append(lost, entry)
 		}
-		delete(held, entry.Key)
+		delete(inBackup, entry.Key)
 	}
-	for key := range held {
+	for key := range inBackup {
 		lost = append(lost, storeview.Entry{Key: key})
 	}
 	slices.SortFunc(lost, byKey)
--- a/internal/lab/environment/store_test.go
+++ b/internal/lab/environment/store_test.go
@@ -14,16 +14,16 @@
 	return storeview.Entry{Key: key, Target: &storeview.Target{Service: "s", Draining: isDraining}}
 }
 
-func TestARestoredStoreGivesRevisionsOutAgain(t *testing.T) {
+func TestRestoreReusesRevisions(t *testing.T) {
 	store := NewStore()
 	store.Put(targetEntry("a", false))
 	store.Put(targetEntry("b", false))
-	copiedAt := time.Now()
+	backupAt := time.Now()
 	time.Sleep(time.Millisecond)
 	store.Put(targetEntry("a", true))
 	store.Put(storeview.Entry{Key: "b"})
 	store.Put(targetEntry("c", false))
-	lost := store.Restore(copiedAt)
+	lost := store.Restore(backupAt)
 	assert.Equal(t, len(lost), 3)
 	assert.Assert(t, lost[0].Key == "a" && lost[0].Target.Draining)
 	assert.Assert(t, lost[1].Key == "b" && lost[1].IsRemoval())
