--- a/internal/lab/history/check.go
+++ b/internal/lab/history/check.go
@@ -8,32 +8,31 @@
 	"time"
 )
 
-// The invariants by name, in the order they are judged.
+// The invariants, in the order in which Check returns them.
 const (
 	FeedsStayConnected      = "feeds stay connected"
 	NoForeignPackets        = "no packet reaches another service"
-	AnswersAreWhole         = "answers are whole"
-	NotRunIsTrue            = "not run is true"
-	AtMostOnce              = "at most once"
-	LeavingGetsNoNewWork    = "a leaving target gets no new work"
-	PlannedStopCutsNothing  = "a planned stop cuts nothing"
-	ConfigurationIsInForce  = "accepted configuration is in force and never reverts"
+	AnswersAreWhole         = "responses are complete and match their requests"
+	NotRunIsTrue            = "requests reported as not run did not run"
+	AtMostOnce              = "requests run at most once"
+	LeavingGetsNoNewWork    = "a draining target gets no new connections"
+	PlannedStopCutsNothing  = "a draining target finishes its requests"
+	ConfigurationIsInForce  = "accepted configurations become active and never revert"
 	requiredSettleTime      = 5 * time.Second
 	maximumViolationsListed = 20
 )
 
-// Verdict is one invariant's judgement.
+// Verdict is the result of checking one invariant.
 type Verdict struct {
 	Invariant string
-	// Checked counts what was looked at. An invariant with nothing to look at
-	// was not proved by this run.
+	// Checked counts the cases that the invariant applied to. If it is 0, the run proves nothing.
 	Checked    int
 	Violations []string
-	// Total counts violations, also those not listed.
+	// Total counts all violations; Violations lists only the first ones.
 	Total int
 }
 
-// Holds reports whether nothing spoke against the invariant.
+// Holds reports whether the invariant was never violated.
 func (v *Verdict) Holds() bool { return v.Total == 0 }
 
 func (v *Verdict) violate(at int64, format string, values ...any) {
@@ -43,7 +42,7 @@
 	}
 }
 
-// Check judges a history.
+// Check verifies all invariants against a history. The events may be in any order.
 func Check(events []Event) []Verdict {
 	ordered := slices.Clone(events)
 	slices.SortStableFunc(ordered, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
@@ -59,7 +58,7 @@
 	}
 }
 
-// checkFeeds: a feed may break only if its own target crashed.
+// checkFeeds checks that feeds break only if their target crashed before.
 func checkFeeds(events []Event) Verdict {
 	verdict := Verdict{Invariant: FeedsStayConnected}
 	crashed := map[string]bool{}
@@ -85,7 +84,7 @@
 		case ConnectionOpened:
 			verdict.Checked++
 		case PacketForeign:
-			verdict.violate(event.At, "a packet for %s reached %s", event.Service, event.Target)
+			verdict.violate(event.At, "packet for %s reached target %s of another service", event.Service, event.Target)
 		}
 	}
 	return verdict
@@ -108,9 +107,8 @@
 	return verdict
 }
 
-// checkNotRun: an attempt that was told "not run" must not have run, ever.
-// Attempts at one request are named apart, so that a later attempt's run does
-// not count against an earlier one.
+// checkNotRun checks that attempts reported as not run did not run, neither before nor after. Events
+// carry the number of the attempt, so that a retry's run isn't attributed to an earlier attempt.
 func checkNotRun(events []Event) Verdict {
 	verdict := Verdict{Invariant: NotRunIsTrue}
 	ran := map[string]string{}
@@ -125,7 +123,7 @@
 		}
 		verdict.Checked++
 		if target, did := ran[event.Request+"/"+event.Detail]; did {
-			verdict.violate(event.At, "request %s was said not run, but ran on %s", event.Request, target)
+			verdict.violate(event.At, "request %s was reported as not run but ran on %s", event.Request, target)
 		}
 	}
 	return verdict
@@ -139,7 +137,7 @@
 		case RequestRun:
 			runs[event.Request] = append(runs[event.Request], event.Target)
 			if len(runs[event.Request]) == 2 {
-				verdict.violate(event.At, "request %s ran on %v", event.Request, runs[event.Request])
+				verdict.violate(event.At, "request %s ran more than once, on %v", event.Request, runs[event.Request])
 			}
 		case CallReturned:
 			if event.Outcome == OutcomeAnswered && len(runs[event.Request]) == 0 {
@@ -151,8 +149,8 @@
 	return verdict
 }
 
-// checkLeaving: from a few seconds after its drain was accepted, a target may
-// open no connection.
+// checkLeaving checks that a target accepts no connections once requiredSettleTime has passed since
+// its drain was accepted.
 func checkLeaving(events []Event) Verdict {
 	verdict := Verdict{Invariant: LeavingGetsNoNewWork}
 	drained := map[string]int64{}
@@ -163,14 +161,14 @@
 			drained[event.Target] = event.At
 		case ConnectionOpened:
 			if since, leaving := drained[event.Target]; leaving && event.At > since+int64(requiredSettleTime) {
-				verdict.violate(event.At, "%s took a new connection %.1f s after its drain", event.Target, time.Duration(event.At-since).Seconds())
+				verdict.violate(event.At, "%s accepted a new connection %.1f s after it began to drain", event.Target, time.Duration(event.At-since).Seconds())
 			}
 		}
 	}
 	return verdict
 }
 
-// checkPlannedStop: a drained target finishes every request it began.
+// checkPlannedStop checks that a draining target can send the responses to all its requests.
 func checkPlannedStop(events []Event) Verdict {
 	verdict := Verdict{Invariant: PlannedStopCutsNothing}
 	drained := map[string]bool{}
@@ -181,16 +179,16 @@
 			verdict.Checked++
 		case RequestCut:
 			if drained[event.Target] {
-				verdict.violate(event.At, "%s cut request %s: %s", event.Target, event.Request, event.Detail)
+				verdict.violate(event.At, "draining target %s could not respond to request %s: %s", event.Target, event.Request, event.Detail)
 			}
 		}
 	}
 	return verdict
 }
 
-// checkConfiguration: each accepted revision is in force, within the settle
-// time, on every daemon that lives and can be reached all the while; and no
-// daemon's revision falls.
+// checkConfiguration checks that each accepted revision, or a later one, becomes active within
+// requiredSettleTime on all daemons that are running and reachable throughout, and that no daemon
+// goes back to an older revision.
 func checkConfiguration(events []Event) Verdict {
 	verdict := Verdict{Invariant: ConfigurationIsInForce}
 	daemons := map[string]*daemonHistory{}
@@ -214,7 +212,7 @@
 			daemon.disturbed = event.At
 		case ConfigurationApplied:
 			if event.Revision < daemon.highest() {
-				verdict.violate(event.At, "%s fell from revision %d to %d", event.Daemon, daemon.highest(), event.Revision)
+				verdict.violate(event.At, "%s went back from revision %d to %d", event.Daemon, daemon.highest(), event.Revision)
 			}
 			daemon.applied = append(daemon.applied, event)
 		}
@@ -226,7 +224,7 @@
 		verdict.Checked++
 		for _, name := range slices.Sorted(maps.Keys(daemons)) {
 			if lag, late := daemons[name].lagOf(event); late {
-				verdict.violate(event.At, "revision %d was not in force on %s %.1f s later", event.Revision, name, lag.Seconds())
+				verdict.violate(event.At, "revision %d was still not active on %s after %.1f s", event.Revision, name, lag.Seconds())
 			}
 		}
 	}
@@ -248,8 +246,8 @@
 	return d.applied[len(d.applied)-1].Revision
 }
 
-// lagOf reports whether an accepted revision came too late to this daemon. Time
-// counts from when the daemon was there and could be reached.
+// lagOf returns the delay until an accepted revision or a later one was active on this daemon, and
+// whether it was too long. It is measured from when the daemon was running and reachable.
 func (d *daemonHistory) lagOf(accepted Event) (time.Duration, bool) {
 	from := max(accepted.At, d.started, d.disturbed)
 	deadline := from + int64(requiredSettleTime)
--- a/internal/lab/history/check_test.go
+++ b/internal/lab/history/check_test.go
@@ -13,8 +13,7 @@
 	return event
 }
 
-// TestEachInvariantCanFail holds a good history and, for each invariant, one
-// event that breaks it and no other.
+// TestEachInvariantCanFail adds to a good history one event that violates exactly one invariant.
 func TestEachInvariantCanFail(t *testing.T) {
 	good := []Event{
 		at(0, Event{Kind: DaemonStarted, Daemon: "d1"}),
@@ -32,7 +31,7 @@
 	}
 	for _, verdict := range Check(good) {
 		assert.Assert(t, verdict.Holds(), "%s: %v", verdict.Invariant, verdict.Violations)
-		assert.Assert(t, verdict.Checked > 0, "%s looked at nothing", verdict.Invariant)
+		assert.Assert(t, verdict.Checked > 0, "%s was not exercised", verdict.Invariant)
 	}
 	for invariant, bad := range map[string]Event{
 		FeedsStayConnected:     at(7, Event{Kind: FeedBroken, Request: "feed", Target: "roster-1"}),
@@ -45,7 +44,7 @@
 		ConfigurationIsInForce: at(7, Event{Kind: ConfigurationApplied, Daemon: "d1", Revision: 1}),
 	} {
 		for _, verdict := range Check(append(good[:len(good):len(good)], bad)) {
-			assert.Equal(t, verdict.Holds(), verdict.Invariant != invariant, "%s with %s broken: %v", verdict.Invariant, invariant, verdict.Violations)
+			assert.Equal(t, verdict.Holds(), verdict.Invariant != invariant, "verdict of %q when violating %q: %v", verdict.Invariant, invariant, verdict.Violations)
 		}
 	}
 }
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -1,7 +1,6 @@
-// Package history records what happened in a run, as seen by callers, targets,
-// operators and daemons, and judges it against the invariants that must always
-// hold. Recording and judging are apart: a stored history can be judged again
-// offline.
+// Package history records the events of a run, as observed by callers, targets,
+// operators and daemons, and checks invariants against them. A stored history can be
+// checked again offline.
 package history
 
 import (
@@ -15,64 +14,61 @@
 	"github.com/rotisserie/eris"
 )
 
-// Kind says what an event is.
+// Kind is the type of an event.
 type Kind uint8
 
-// The kinds of events.
 const (
 	// CallInvoked: a caller begins an attempt at a request.
 	CallInvoked Kind = iota + 1
 	// CallReturned: the attempt ended with Outcome.
 	CallReturned
-	// RequestRun: a target ran a request.
+	// RequestRun: a target started to process a request.
 	RequestRun
-	// RequestCut: a target could not finish or answer a request it had begun.
+	// RequestCut: a target could not send its response to a request.
 	RequestCut
-	// FeedOpened, FeedBroken and FeedClosed: a long-lived feed.
+	// FeedOpened, FeedBroken and FeedClosed: a feed's first event was received, the feed failed,
+	// or the run ended while it was open.
 	FeedOpened
 	FeedBroken
 	FeedClosed
 	// ConnectionOpened: a target accepted a new connection.
 	ConnectionOpened
-	// PacketForeign: a datagram of another service's caller reached a target.
+	// PacketForeign: a datagram for another service reached a target.
 	PacketForeign
-	// ConfigurationAccepted: an operator was told that Revision is accepted.
+	// ConfigurationAccepted: an operator's change was acknowledged with Revision.
 	ConfigurationAccepted
-	// ConfigurationApplied: a daemon has Revision in force.
+	// ConfigurationApplied: Revision is active on a daemon.
 	ConfigurationApplied
-	// DaemonStarted, DaemonStopped: a daemon begins or ends.
 	DaemonStarted
 	DaemonStopped
-	// TargetDrained: the operators were told that a drain is accepted.
+	// TargetDrained: an operator's drain of a target was acknowledged.
 	TargetDrained
-	// TargetCrashed: a target ended without notice.
+	// TargetCrashed: a target stopped without draining.
 	TargetCrashed
-	// DaemonsCut and DaemonsJoined: control traffic to or from a daemon stops
-	// and flows again.
+	// DaemonsCut and DaemonsJoined: a daemon was paused or partitioned from the others, or is no
+	// longer.
 	DaemonsCut
 	DaemonsJoined
-	// RunEnded: the end of the run.
 	RunEnded
 )
 
-// Outcome is what a caller was told.
+// Outcome is the result of an attempt, as observed by its caller.
 type Outcome uint8
 
-// The outcomes.
 const (
-	// OutcomeAnswered: the whole answer to this very request came.
+	// OutcomeAnswered: a complete response to the request was received.
 	OutcomeAnswered Outcome = iota + 1
-	// OutcomeNotRun: the caller was told that the request did not run.
+	// OutcomeNotRun: the request is known not to have run.
 	OutcomeNotRun
-	// OutcomeUnknown: nothing certain came back.
+	// OutcomeUnknown: the request may have run.
 	OutcomeUnknown
-	// OutcomeWrong: an answer came that is cut short or another request's.
+	// OutcomeWrong: the response is corrupt or belongs to another request.
 	OutcomeWrong
 )
 
-// Event is one thing that happened. Which fields count depends on Kind.
+// Event is one observed event. Kind determines which fields are set.
 type Event struct {
-	// At is nanoseconds since the run's start.
+	// At is the time since the start of the run in nanoseconds.
 	At       int64   `cbor:"1,keyasint"`
 	Kind     Kind    `cbor:"2,keyasint"`
 	Request  string  `cbor:"3,keyasint,omitempty"`
@@ -84,17 +80,17 @@
 	Detail   string  `cbor:"9,keyasint,omitempty"`
 }
 
-// Log gathers events. It is safe for concurrent use.
+// Log collects events. It is safe for concurrent use.
 type Log struct {
 	mutex   sync.Mutex
 	started time.Time
 	events  []Event
 }
 
-// NewLog begins a log now.
+// NewLog creates a log. Times of events are relative to this call.
 func NewLog() *Log { return &Log{started: time.Now()} }
 
-// Add stamps and keeps an event.
+// Add appends an event with the current time.
 func (l *Log) Add(event Event) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -102,34 +98,34 @@
 	l.events = append(l.events, event)
 }
 
-// Events returns what was kept, in order of time.
+// Events returns a copy of all events in order of their times.
 func (l *Log) Events() []Event {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return slices.Clone(l.events)
 }
 
-// Save writes events to a file.
+// Save writes events to a file as a sequence of CBOR items.
 func Save(path string, events []Event) error {
 	file, err := os.Create(path)
 	if err != nil {
-		return eris.Wrap(err, "history")
+		return eris.Wrap(err, "create history file")
 	}
 	defer func() { _ = file.Close() }()
 	encoder := cbor.NewEncoder(file)
 	for _, event := range events {
 		if err := encoder.Encode(event); err != nil {
-			return eris.Wrap(err, "history")
+			return eris.Wrap(err, "write history")
 		}
 	}
-	return eris.Wrap(file.Close(), "history")
+	return eris.Wrap(file.Close(), "close history file")
 }
 
-// Load reads events from a file.
+// Load reads events from a file that Save wrote.
 func Load(path string) ([]Event, error) {
 	file, err := os.Open(path)
 	if err != nil {
-		return nil, eris.Wrap(err, "history")
+		return nil, eris.Wrap(err, "open history file")
 	}
 	defer func() { _ = file.Close() }()
 	decoder := cbor.NewDecoder(file)
@@ -141,7 +137,7 @@
 			return events, nil
 		}
 		if err != nil {
-			return nil, eris.Wrapf(err, "history %s: event %d", path, len(events))
+			return nil, eris.Wrapf(err, "history %s: read event %d", path, len(events))
 		}
 		events = append(events, event)
 	}
