--- a/internal/lab/history/check.go
+++ b/internal/lab/history/check.go
@@ -10,16 +10,16 @@
 
 // The invariants, in the order in which Check returns them.
 const (
-	FeedsStayConnected      = "feeds stay connected"
-	NoForeignPackets        = "no packet reaches another service"
-	AnswersAreWhole         = "responses are complete and match their requests"
-	NotRunIsTrue            = "requests reported as not run did not run"
-	AtMostOnce              = "requests run at most once"
-	LeavingGetsNoNewWork    = "a draining target gets no new connections"
-	PlannedStopCutsNothing  = "a draining target finishes its requests"
-	ConfigurationIsInForce  = "accepted configurations become active and never revert"
-	requiredSettleTime      = 5 * time.Second
-	maximumViolationsListed = 20
+	FeedsStayConnected     = "feeds stay connected"
+	NoForeignPackets       = "no packet reaches another service"
+	AnswersAreWhole        = "responses are complete and match their requests"
+	NotRunIsTrue           = "requests reported as not run did not run"
+	AtMostOnce             = "requests run at most once"
+	LeavingGetsNoNewWork   = "a draining target gets no new connections"
+	PlannedStopCutsNothing = "a draining target finishes its requests"
+	ConfigurationIsInForce = "accepted configurations become active and never revert"
+	maxSettleTime          = 5 * time.Second
+	maxViolationsListed    = 20
 )
 
 // Verdict is the result of checking one invariant.
@@ -35,10 +35,10 @@
 // Holds reports whether the invariant was never violated.
 func (v *Verdict) Holds() bool { return v.Total == 0 }
 
-func (v *Verdict) violate(at int64, format string, values ...any) {
+func (v *Verdict) addViolation(at int64, format string, args ...any) {
 	v.Total++
-	if len(v.Violations) < maximumViolationsListed {
-		v.Violations = append(v.Violations, fmt.Sprintf("%8.3fs ", time.Duration(at).Seconds())+fmt.Sprintf(format, values...))
+	if len(v.Violations) < maxViolationsListed {
+		v.Violations = append(v.Violations, fmt.Sprintf("%8.3fs ", time.Duration(at).Seconds())+fmt.Sprintf(format, args...))
 	}
 }
 
@@ -70,7 +70,7 @@
 			crashed[event.Target] = true
 		case FeedBroken:
 			if !crashed[event.Target] {
-				verdict.violate(event.At, "feed %s on %s broke: %s", event.Request, event.Target, event.Detail)
+				verdict.addViolation(event.At, "feed %s on %s broke: %s", event.Request, event.Target, event.Detail)
 			}
 		}
 	}
@@ -84,7 +84,7 @@
 		case ConnectionOpened:
 			verdict.Checked++
 		case PacketForeign:
-			verdict.violate(event.At, "packet for %s reached target %s of another service", event.Service, event.Target)
+			verdict.addViolation(event.At, "packet for %s reached target %s of another service", event.Service, event.Target)
 		}
 	}
 	return verdict
@@ -101,7 +101,7 @@
 			verdict.Checked++
 		case OutcomeWrong:
 			verdict.Checked++
-			verdict.violate(event.At, "request %s: %s", event.Request, event.Detail)
+			verdict.addViolation(event.At, "request %s: %s", event.Request, event.Detail)
 		}
 	}
 	return verdict
@@ -122,8 +122,8 @@
 			continue
 		}
 		verdict.Checked++
-		if target, did := ran[event.Request+"/"+event.Detail]; did {
-			verdict.violate(event.At, "request %s was reported as not run but ran on %s", event.Request, target)
+		if target, hasRun := ran[event.Request+"/"+event.Detail]; hasRun {
+			verdict.addViolation(event.At, "request %s was reported as not run but ran on %s", event.Request, target)
 		}
 	}
 	return verdict
@@ -137,11 +137,11 @@
 		case RequestRun:
 			runs[event.Request] = append(runs[event.Request], event.Target)
 			if len(runs[event.Request]) == 2 {
-				verdict.violate(event.At, "request %s ran more than once, on %v", event.Request, runs[event.Request])
+				verdict.addViolation(event.At, "request %s ran more than once, on %v", event.Request, runs[event.Request])
 			}
 		case CallReturned:
 			if event.Outcome == OutcomeAnswered && len(runs[event.Request]) == 0 {
-				verdict.violate(event.At, "request %s was answered but never ran", event.Request)
+				verdict.addViolation(event.At, "request %s was answered but never ran", event.Request)
 			}
 		}
 	}
@@ -149,19 +149,19 @@
 	return verdict
 }
 
-// checkLeaving checks that a target accepts no connections once requiredSettleTime has passed since
+// checkLeaving checks that a target accepts no connections once maxSettleTime has passed since
 // its drain was accepted.
 func checkLeaving(events []Event) Verdict {
 	verdict := Verdict{Invariant: LeavingGetsNoNewWork}
-	drained := map[string]int64{}
+	draining := map[string]int64{}
 	for _, event := range events {
 		switch event.Kind {
 		case TargetDrained:
 			verdict.Checked++
-			drained[event.Target] = event.At
+			draining[event.Target] = event.At
 		case ConnectionOpened:
-			if since, leaving := drained[event.Target]; leaving && event.At > since+int64(requiredSettleTime) {
-				verdict.violate(event.At, "%s accepted a new connection %.1f s after it began to drain", event.Target, time.Duration(event.At-since).Seconds())
+			if since, isDraining := draining[event.Target]; isDraining && event.At > since+int64(maxSettleTime) {
+				verdict.addViolation(event.At, "%s accepted a new connection %.1f s after it began to drain", event.Target, time.Duration(event.At-since).Seconds())
 			}
 		}
 	}
@@ -171,15 +171,15 @@
 // checkPlannedStop checks that a draining target can send the responses to all its requests.
 func checkPlannedStop(events []Event) Verdict {
 	verdict := Verdict{Invariant: PlannedStopCutsNothing}
-	drained := map[string]bool{}
+	draining := map[string]bool{}
 	for _, event := range events {
 		switch event.Kind {
 		case TargetDrained:
-			drained[event.Target] = true
+			draining[event.Target] = true
 			verdict.Checked++
 		case RequestCut:
-			if drained[event.Target] {
-				verdict.violate(event.At, "draining target %s could not respond to request %s: %s", event.Target, event.Request, event.Detail)
+			if draining[event.Target] {
+				verdict.addViolation(event.At, "draining target %s could not respond to request %s: %s", event.Target, event.Request, event.Detail)
 			}
 		}
 	}
@@ -187,7 +187,7 @@
 }
 
 // checkConfiguration checks that each accepted revision, or a later one, becomes active within
-// requiredSettleTime on all daemons that are running and reachable throughout, and that no daemon
+// maxSettleTime on all daemons that are running and reachable throughout, and that no daemon
 // goes back to an older revision.
 func checkConfiguration(events []Event) Verdict {
 	verdict := Verdict{Invariant: ConfigurationIsInForce}
@@ -202,29 +202,29 @@
 		}
 		switch event.Kind {
 		case DaemonStarted:
-			*daemon = daemonHistory{started: event.At, disturbed: event.At}
+			*daemon = daemonHistory{startedAt: event.At, reachableSince: event.At}
 		case DaemonStopped:
-			daemon.stopped = event.At
+			daemon.stoppedAt = event.At
 		case DaemonsCut:
-			daemon.cut = true
+			daemon.isCut = true
 		case DaemonsJoined:
-			daemon.cut = false
-			daemon.disturbed = event.At
+			daemon.isCut = false
+			daemon.reachableSince = event.At
 		case ConfigurationApplied:
-			if event.Revision < daemon.highest() {
-				verdict.violate(event.At, "%s went back from revision %d to %d", event.Daemon, daemon.highest(), event.Revision)
+			if event.Revision < daemon.lastRevision() {
+				verdict.addViolation(event.At, "%s went back from revision %d to %d", event.Daemon, daemon.lastRevision(), event.Revision)
 			}
 			daemon.applied = append(daemon.applied, event)
 		}
 	}
 	for _, event := range events {
-		if event.Kind != ConfigurationAccepted || event.At+int64(requiredSettleTime) > end {
+		if event.Kind != ConfigurationAccepted || event.At+int64(maxSettleTime) > end {
 			continue
 		}
 		verdict.Checked++
 		for _, name := range slices.Sorted(maps.Keys(daemons)) {
-			if lag, late := daemons[name].lagOf(event); late {
-				verdict.violate(event.At, "revision %d was still not active on %s after %.1f s", event.Revision, name, lag.Seconds())
+			if lag, isLate := daemons[name].lagOf(event); isLate {
+				verdict.addViolation(event.At, "revision %d was still not active on %s after %.1f s", event.Revision, name, lag.Seconds())
 			}
 		}
 	}
@@ -232,14 +232,14 @@
 }
 
 type daemonHistory struct {
-	started   int64
-	stopped   int64
-	disturbed int64
-	cut       bool
-	applied   []Event
+	startedAt      int64
+	stoppedAt      int64
+	reachableSince int64
+	isCut          bool
+	applied        []Event
 }
 
-func (d *daemonHistory) highest() uint64 {
+func (d *daemonHistory) lastRevision() uint64 {
 	if len(d.applied) == 0 {
 		return 0
 	}
@@ -249,9 +249,9 @@
 // lagOf returns the delay until an accepted revision or a later one was active on this daemon, and
 // whether it was too long. It is measured from when the daemon was running and reachable.
 func (d *daemonHistory) lagOf(accepted Event) (time.Duration, bool) {
-	from := max(accepted.At, d.started, d.disturbed)
-	deadline := from + int64(requiredSettleTime)
-	if d.cut || (d.stopped != 0 && d.stopped < deadline) {
+	from := max(accepted.At, d.startedAt, d.reachableSince)
+	deadline := from + int64(maxSettleTime)
+	if d.isCut || (d.stoppedAt != 0 && d.stoppedAt < deadline) {
 		return 0, false
 	}
 	for _, event := range d.applied {
@@ -259,5 +259,5 @@
 			return time.Duration(event.At - from), event.At > deadline
 		}
 	}
-	return requiredSettleTime, true
+	return maxSettleTime, true
 }
--- a/internal/lab/history/check_test.go
+++ b/internal/lab/history/check_test.go
@@ -33,7 +33,7 @@
 		assert.Assert(t, verdict.Holds(), "%s: %v", verdict.Invariant, verdict.Violations)
 		assert.Assert(t, verdict.Checked > 0, "%s was not exercised", verdict.Invariant)
 	}
-	for invariant, bad := range map[string]Event{
+	for invariant, violation := range map[string]Event{
 		FeedsStayConnected:     at(7, Event{Kind: FeedBroken, Request: "feed", Target: "roster-1"}),
 		NoForeignPackets:       at(7, Event{Kind: PacketForeign, Service: "ledger", Target: "roster-1"}),
 		AnswersAreWhole:        at(7, Event{Kind: CallReturned, Request: "mark", Outcome: OutcomeWrong}),
@@ -43,13 +43,13 @@
 		PlannedStopCutsNothing: at(7, Event{Kind: RequestCut, Request: "mark", Target: "roster-1"}),
 		ConfigurationIsInForce: at(7, Event{Kind: ConfigurationApplied, Daemon: "d1", Revision: 1}),
 	} {
-		for _, verdict := range Check(append(good[:len(good):len(good)], bad)) {
+		for _, verdict := range Check(append(good[:len(good):len(good)], violation)) {
 			assert.Equal(t, verdict.Holds(), verdict.Invariant != invariant, "verdict of %q when violating %q: %v", verdict.Invariant, invariant, verdict.Violations)
 		}
 	}
 }
 
-func TestASlowDaemonIsFound(t *testing.T) {
+func TestLateConfigurationIsDetected(t *testing.T) {
 	verdict := checkConfiguration([]Event{
 		at(0, Event{Kind: DaemonStarted, Daemon: "d1"}),
 		at(1, Event{Kind: ConfigurationAccepted, Revision: 2}),
@@ -59,7 +59,7 @@
 	assert.Equal(t, verdict.Total, 1)
 }
 
-func TestAStoredHistoryIsTheSame(t *testing.T) {
+func TestSaveAndLoadRoundTrip(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "history.cbor")
 	log := NewLog()
 	log.Add(Event{Kind: FeedOpened, Request: "feed", Target: "roster-1"})
