--- a/internal/lab/report/collector.go
+++ b/internal/lab/report/collector.go
@@ -1,5 +1,5 @@
-// Package report gathers a run's measurements and prints them: a table for a
-// person, JSON for scripts, a page with plots.
+// Package report collects the measurements of a run and writes them as a text table,
+// as JSON or as an HTML page with plots.
 package report
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/passtray/passtray/internal/statistics"
 )
 
-// TargetLoad is one target's load at one moment.
+// TargetLoad is the load of one target at one time.
 type TargetLoad struct {
 	Target      string
 	Connections int
@@ -20,14 +20,14 @@
 	Accepted    uint64
 }
 
-// sample is the imbalance of one service at one moment.
+// sample is the imbalance of one service at one time.
 type sample struct {
 	at          time.Duration
 	connections statistics.Imbalance
 	busy        statistics.Imbalance
 }
 
-// Collector gathers measurements. It is safe for concurrent use.
+// Collector collects measurements. It is safe for concurrent use.
 type Collector struct {
 	mutex     sync.Mutex
 	mode      string
@@ -51,10 +51,9 @@
 	lowestLatency  = 1           // microseconds
 	highestLatency = 120_000_000 // microseconds
 	latencyDigits  = 3
-	minimumMean    = 0.5 // below it a ratio to the mean says nothing
+	minimumMean    = 0.5 // below it, imbalance is not meaningful
 )
 
-// NewCollector makes a collector.
 func NewCollector(mode string, seed uint64) *Collector {
 	return &Collector{
 		mode: mode, seed: seed,
@@ -63,7 +62,7 @@
 	}
 }
 
-// Latency records how long something took.
+// Latency records one duration in a class's latency histogram.
 func (c *Collector) Latency(service, class string, took time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -73,7 +72,7 @@
 		histogram = hdrhistogram.New(lowestLatency, highestLatency, latencyDigits)
 		c.latencies[key] = histogram
 	}
-	// Longer than the longest is recorded as the longest.
+	// Durations beyond the histogram's range are recorded as its maximum.
 	_ = histogram.RecordValue(min(took.Microseconds(), highestLatency))
 }
 
@@ -91,7 +90,7 @@
 	c.samples[service] = append(c.samples[service], sample{at: at, connections: telling(connections), busy: telling(busy)})
 }
 
-// telling returns the imbalance of values that are enough to say something.
+// telling returns the imbalance of values, or the zero value if their mean is too low.
 func telling(values []float64) statistics.Imbalance {
 	imbalance, mean := statistics.ImbalanceOf(values)
 	if mean < minimumMean {
@@ -100,18 +99,19 @@
 	return imbalance
 }
 
-// DaemonCost is what one daemon spent over the run.
+// DaemonCost is the resource usage of one daemon over the run.
 type DaemonCost struct {
 	ControlBytesPerSecond float64
-	// CoreShare and ResidentBytes are 0 for a daemon that shares its process.
+	// CoreShare is the processor time divided by the run's duration. CoreShare and ResidentBytes
+	// are 0 if the daemon runs inside the lab's process.
 	CoreShare     float64
 	ResidentBytes float64
 }
 
-// stallFloor is the lateness that any machine shows now and then.
+// stallFloor is the timer delay below which a stall isn't recorded.
 const stallFloor = 20 * time.Millisecond
 
-// Stall records by how much a timer of the lab came late.
+// Stall records the delay of one of the lab's timers.
 func (c *Collector) Stall(late time.Duration) {
 	if late < stallFloor {
 		return
@@ -122,14 +122,14 @@
 	c.stalled += late
 }
 
-// Cost records one daemon's cost.
+// Cost records the resource usage of one daemon.
 func (c *Collector) Cost(cost DaemonCost) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.costs = append(c.costs, cost)
 }
 
-// Daemon adds one daemon's counters.
+// Daemon adds one daemon's packet counters to the totals.
 func (c *Collector) Daemon(actions, drops map[string]uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -141,17 +141,17 @@
 	}
 }
 
-// Totals are what the run itself counted.
+// Totals are measurements of the whole run.
 type Totals struct {
 	Span        time.Duration
 	Processor   time.Duration
 	Dials       uint64
 	FailedDials uint64
-	// Attempts are the handshakes begun at targets.
+	// Attempts is the number of handshakes begun at targets.
 	Attempts uint64
 }
 
-// Finish judges the history and makes the report.
+// Finish checks the history's invariants and returns the report.
 func (c *Collector) Finish(totals Totals, events []history.Event) *Report {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -34,11 +34,11 @@
 	Source template.URL
 }
 
-// WriteHTML writes a page with the table and plots.
+// WriteHTML writes a page with the table and plots to a file.
 func (r *Report) WriteHTML(path string) error {
 	var table bytes.Buffer
 	if err := r.WriteTable(&table); err != nil {
-		return eris.Wrap(err, "report")
+		return eris.Wrap(err, "write table of report")
 	}
 	content := struct {
 		Table string
@@ -47,7 +47,7 @@
 	for _, build := range []func() (string, *plot.Plot, error){r.plotImbalance, r.plotLoads} {
 		title, drawn, err := build()
 		if err != nil {
-			return eris.Wrap(err, "plot")
+			return eris.Wrap(err, "build plot")
 		}
 		source, err := embed(drawn)
 		if err != nil {
@@ -57,19 +57,19 @@
 	}
 	file, err := os.Create(path)
 	if err != nil {
-		return eris.Wrap(err, "report")
+		return eris.Wrap(err, "create report file")
 	}
 	defer func() { _ = file.Close() }()
 	if err := page.Execute(file, content); err != nil {
-		return eris.Wrap(err, "report")
+		return eris.Wrap(err, "write report")
 	}
-	return eris.Wrap(file.Close(), "report")
+	return eris.Wrap(file.Close(), "close report file")
 }
 
 func (r *Report) plotImbalance() (string, *plot.Plot, error) {
 	drawn := plot.New()
-	drawn.X.Label.Text = "seconds"
-	drawn.Y.Label.Text = "busiest target / mean"
+	drawn.X.Label.Text = "time (s)"
+	drawn.Y.Label.Text = "connections, max/mean of targets"
 	drawn.Legend.Top = true
 	for index, service := range slices.Sorted(maps.Keys(r.samples)) {
 		points := plotter.XYs{}
@@ -89,12 +89,12 @@
 		drawn.Add(line)
 		drawn.Legend.Add(service, line)
 	}
-	return "Imbalance of connections over time", drawn, nil
+	return "Connection imbalance over time", drawn, nil
 }
 
 func (r *Report) plotLoads() (string, *plot.Plot, error) {
 	drawn := plot.New()
-	drawn.Y.Label.Text = "connections accepted"
+	drawn.Y.Label.Text = "accepted connections"
 	var values plotter.Values
 	var names []string
 	for _, service := range slices.Sorted(maps.Keys(r.lastLoads)) {
@@ -104,7 +104,7 @@
 		}
 	}
 	if len(values) == 0 {
-		return "Connections accepted by target", drawn, nil
+		return "Accepted connections by target", drawn, nil
 	}
 	bars, err := plotter.NewBarChart(values, vg.Points(8))
 	if err != nil {
@@ -114,17 +114,17 @@
 	drawn.NominalX(names...)
 	drawn.X.Tick.Label.Rotation = 1.2
 	drawn.X.Tick.Label.XAlign = -1
-	return "Connections accepted by target", drawn, nil
+	return "Accepted connections by target", drawn, nil
 }
 
 func embed(drawn *plot.Plot) (template.URL, error) {
 	writer, err := drawn.WriterTo(plotWidth, plotHeight, "png")
 	if err != nil {
-		return "", eris.Wrap(err, "plot")
+		return "", eris.Wrap(err, "render plot")
 	}
 	var encoded bytes.Buffer
 	if _, err := writer.WriteTo(&encoded); err != nil {
-		return "", eris.Wrap(err, "plot")
+		return "", eris.Wrap(err, "encode plot")
 	}
 	return template.URL("data:image/png;base64," + base64.StdEncoding.EncodeToString(encoded.Bytes())), nil
 }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -15,7 +15,7 @@
 	"github.com/passtray/passtray/internal/statistics"
 )
 
-// Latency is one class's distribution in milliseconds.
+// Latency is the latency distribution of one class of requests.
 type Latency struct {
 	Service string  `json:"service"`
 	Class   string  `json:"class"`
@@ -26,14 +26,14 @@
 	Highest float64 `json:"max_ms"`
 }
 
-// ServiceImbalance is a service's imbalance, the mean over the run's samples.
+// ServiceImbalance is the imbalance over a service's targets, averaged over the run's samples.
 type ServiceImbalance struct {
 	Service     string               `json:"service"`
 	Connections statistics.Imbalance `json:"connections"`
 	BusySlots   statistics.Imbalance `json:"busy_slots"`
 }
 
-// Runs counts requests by how often they ran against what callers were told.
+// Runs counts attempts by their outcome, and requests by how often they ran.
 type Runs struct {
 	Answered   int `json:"answered"`
 	NotRun     int `json:"not_run"`
@@ -44,7 +44,7 @@
 	UnknownRan int `json:"unknown_that_ran"`
 }
 
-// Report is everything a run showed.
+// Report is the result of a run.
 type Report struct {
 	Mode              string             `json:"mode"`
 	Seed              uint64             `json:"seed"`
@@ -59,19 +59,19 @@
 	Runs              Runs               `json:"runs"`
 	Latencies         []Latency          `json:"latencies"`
 	Imbalance         []ServiceImbalance `json:"imbalance"`
-	// ControlBytesPerSecond is per daemon; the mean and the highest.
+	// ControlBytesPerSecond and ControlBytesPerSecondMax are the mean and maximum over the daemons.
 	ControlBytesPerSecond    float64 `json:"control_bytes_per_second_mean"`
 	ControlBytesPerSecondMax float64 `json:"control_bytes_per_second_max"`
-	// CoreShareMax and ResidentBytesMax are of the costliest daemon, forwarding
-	// and control together; 0 where daemons share the lab's process.
+	// CoreShareMax and ResidentBytesMax are maxima over the daemons, 0 if daemons run inside the
+	// lab's process.
 	CoreShareMax     float64 `json:"daemon_core_share_max"`
 	ResidentBytesMax float64 `json:"daemon_resident_bytes_max"`
-	// LongestStall is how late a timer of the lab came at worst, StalledSeconds
-	// the sum of all that was above the ordinary: what the machine, not passtray,
-	// held back.
+	// LongestStall and StalledSeconds are the maximum and the sum of delays of the lab's timers.
+	// They show how much the measurements suffered from an overloaded machine.
 	LongestStall   float64 `json:"longest_stall_seconds"`
 	StalledSeconds float64 `json:"stalled_seconds"`
-	// ProcessCPUSeconds is of the whole process: daemons, targets and callers.
+	// ProcessCPUSeconds is the processor time of the lab's process, which includes targets, callers
+	// and any daemons inside it.
 	ProcessCPUSeconds float64           `json:"process_cpu_seconds"`
 	Actions           map[string]uint64 `json:"actions"`
 	Drops             map[string]uint64 `json:"drops"`
@@ -81,7 +81,7 @@
 	lastLoads map[string][]TargetLoad
 }
 
-// Holds reports whether every invariant holds.
+// Holds reports whether no invariant was violated.
 func (r *Report) Holds() bool {
 	for index := range r.Verdicts {
 		if !r.Verdicts[index].Holds() {
@@ -91,8 +91,8 @@
 	return true
 }
 
-// StrayHandshakes is how many handshakes were begun at targets and not ended
-// there, per thousand dials.
+// StrayHandshakes returns the number of handshakes that were begun but not completed at a target,
+// per thousand dials.
 func (r *Report) StrayHandshakes() float64 {
 	if r.Dials == 0 || r.Attempts <= uint64(r.AcceptedByTargets) {
 		return 0
@@ -173,7 +173,7 @@
 	}
 }
 
-// accumulate adds a sample that says something and returns 1, else 0.
+// accumulate adds a sample to a sum and returns 1, or returns 0 if the sample is empty.
 func accumulate(sum *statistics.Imbalance, one statistics.Imbalance) int {
 	if one.MaximumToMean == 0 {
 		return 0
@@ -199,27 +199,26 @@
 	}
 }
 
-// WriteJSON writes the report for scripts.
 func (r *Report) WriteJSON(out io.Writer) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(r)
 }
 
-// WriteTable writes the report for a person.
+// WriteTable writes the report as text.
 func (r *Report) WriteTable(out io.Writer) error {
 	writer := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	line := func(format string, values ...any) { _, _ = fmt.Fprintf(writer, format+"\n", values...) }
 	line("mode %s, seed %d, %.1f s", r.Mode, r.Seed, r.Seconds)
 	line("feeds opened %d, broken %d; foreign packets %d", r.FeedsOpened, r.FeedsBroken, r.ForeignPackets)
-	line("dials %d, failed %d; stray half-handshakes per 1,000 dials %.1f", r.Dials, r.FailedDials, r.StrayHandshakes())
+	line("dials %d, failed %d; incomplete handshakes at targets per 1,000 dials %.1f", r.Dials, r.FailedDials, r.StrayHandshakes())
 	line("requests: answered %d, not run %d, unknown %d (of which ran %d), wrong %d; ran once %d, more than once %d",
 		r.Runs.Answered, r.Runs.NotRun, r.Runs.Unknown, r.Runs.UnknownRan, r.Runs.Wrong, r.Runs.RanOnce, r.Runs.RanMore)
-	line("control bytes/s per daemon: mean %.0f, highest %.0f; processor time of the whole run %.1f s",
+	line("control traffic per daemon in bytes/s: mean %.0f, max %.0f; processor time of the lab %.1f s",
 		r.ControlBytesPerSecond, r.ControlBytesPerSecondMax, r.ProcessCPUSeconds)
-	line("the machine stalled the lab for %.2f s in all, %.2f s at the longest", r.StalledSeconds, r.LongestStall)
+	line("lab timers were late by %.2f s in total, by %.2f s at most", r.StalledSeconds, r.LongestStall)
 	if r.CoreShareMax > 0 {
-		line("costliest daemon process: %.1f %% of a core, %.0f MiB resident", 100*r.CoreShareMax, r.ResidentBytesMax/(1<<20))
+		line("max per daemon process: %.1f %% of a core, %.0f MiB resident", 100*r.CoreShareMax, r.ResidentBytesMax/(1<<20))
 	}
 	line("packets: %s; dropped: %s", counts(r.Actions), counts(r.Drops))
 	line("")
@@ -251,7 +250,7 @@
 func word(verdict *history.Verdict) string {
 	switch {
 	case !verdict.Holds():
-		return fmt.Sprintf("BROKEN %d times", verdict.Total)
+		return fmt.Sprintf("VIOLATED %d times", verdict.Total)
 	case verdict.Checked == 0:
 		return "not exercised"
 	}
