--- a/internal/lab/report/collector.go
+++ b/internal/lab/report/collector.go
@@ -29,17 +29,17 @@
 
 // Collector collects measurements. It is safe for concurrent use.
 type Collector struct {
-	mutex     sync.Mutex
-	mode      string
-	seed      uint64
-	latencies map[latencyKey]*hdrhistogram.Histogram
-	samples   map[string][]sample
-	last      map[string][]TargetLoad
-	costs     []DaemonCost
-	stall     time.Duration
-	stalled   time.Duration
-	actions   map[string]uint64
-	drops     map[string]uint64
+	mutex        sync.Mutex
+	mode         string
+	seed         uint64
+	latencies    map[latencyKey]*hdrhistogram.Histogram
+	samples      map[string][]sample
+	latestLoads  map[string][]TargetLoad
+	costs        []DaemonCost
+	longestStall time.Duration
+	totalStall   time.Duration
+	actions      map[string]uint64
+	drops        map[string]uint64
 }
 
 type latencyKey struct {
@@ -48,32 +48,32 @@
 }
 
 const (
-	lowestLatency  = 1           // microseconds
-	highestLatency = 120_000_000 // microseconds
-	latencyDigits  = 3
-	minimumMean    = 0.5 // below it, imbalance is not meaningful
+	minLatency    = 1           // microseconds
+	maxLatency    = 120_000_000 // microseconds
+	latencyDigits = 3
+	minMean       = 0.5 // below it, imbalance is not meaningful
 )
 
 func NewCollector(mode string, seed uint64) *Collector {
 	return &Collector{
 		mode: mode, seed: seed,
 		latencies: map[latencyKey]*hdrhistogram.Histogram{}, samples: map[string][]sample{},
-		last: map[string][]TargetLoad{}, actions: map[string]uint64{}, drops: map[string]uint64{},
+		latestLoads: map[string][]TargetLoad{}, actions: map[string]uint64{}, drops: map[string]uint64{},
 	}
 }
 
 // Latency records one duration in a class's latency histogram.
-func (c *Collector) Latency(service, class string, took time.Duration) {
+func (c *Collector) Latency(service, class string, duration time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	key := latencyKey{service, class}
 	histogram := c.latencies[key]
 	if histogram == nil {
-		histogram = hdrhistogram.New(lowestLatency, highestLatency, latencyDigits)
+		histogram = hdrhistogram.New(minLatency, maxLatency, latencyDigits)
 		c.latencies[key] = histogram
 	}
 	// Durations beyond the histogram's range are recorded as its maximum.
-	_ = histogram.RecordValue(min(took.Microseconds(), highestLatency))
+	_ = histogram.RecordValue(min(duration.Microseconds(), maxLatency))
 }
 
 // Load records the loads of one service's targets.
@@ -86,14 +86,14 @@
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.last[service] = loads
-	c.samples[service] = append(c.samples[service], sample{at: at, connections: telling(connections), busy: telling(busy)})
+	c.latestLoads[service] = loads
+	c.samples[service] = append(c.samples[service], sample{at: at, connections: imbalanceOf(connections), busy: imbalanceOf(busy)})
 }
 
-// telling returns the imbalance of values, or the zero value if their mean is too low.
-func telling(values []float64) statistics.Imbalance {
+// imbalanceOf returns the imbalance of values, or the zero value if their mean is too low.
+func imbalanceOf(values []float64) statistics.Imbalance {
 	imbalance, mean := statistics.ImbalanceOf(values)
-	if mean < minimumMean {
+	if mean < minMean {
 		return statistics.Imbalance{}
 	}
 	return imbalance
@@ -108,18 +108,18 @@
 	ResidentBytes float64
 }
 
-// stallFloor is the timer delay below which a stall isn't recorded.
-const stallFloor = 20 * time.Millisecond
+// minStall is the timer delay below which a stall isn't recorded.
+const minStall = 20 * time.Millisecond
 
 // Stall records the delay of one of the lab's timers.
-func (c *Collector) Stall(late time.Duration) {
-	if late < stallFloor {
+func (c *Collector) Stall(delay time.Duration) {
+	if delay < minStall {
 		return
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.stall = max(c.stall, late)
-	c.stalled += late
+	c.longestStall = max(c.longestStall, delay)
+	c.totalStall += delay
 }
 
 // Cost records the resource usage of one daemon.
@@ -155,17 +155,17 @@
 func (c *Collector) Finish(totals Totals, events []history.Event) *Report {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	made := &Report{
+	r := &Report{
 		Mode: c.mode, Seed: c.seed, Seconds: totals.Span.Seconds(),
 		Dials: totals.Dials, FailedDials: totals.FailedDials, Attempts: totals.Attempts,
 		ProcessCPUSeconds: totals.Processor.Seconds(),
-		LongestStall:      c.stall.Seconds(), StalledSeconds: c.stalled.Seconds(),
+		LongestStall:      c.longestStall.Seconds(), StalledSeconds: c.totalStall.Seconds(),
 		Actions: c.actions, Drops: c.drops,
-		Verdicts: history.Check(events), samples: c.samples, lastLoads: c.last,
+		Verdicts: history.Check(events), samples: c.samples, lastLoads: c.latestLoads,
 	}
-	made.countEvents(events)
-	made.addLatencies(c.latencies)
-	made.addImbalance(c.samples)
-	made.addCosts(c.costs)
-	return made
+	r.countEvents(events)
+	r.addLatencies(c.latencies)
+	r.addImbalance(c.samples)
+	r.addDaemonCosts(c.costs)
+	return r
 }
--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -45,11 +45,11 @@
 		Plots []pagePlot
 	}{Table: table.String()}
 	for _, build := range []func() (string, *plot.Plot, error){r.plotImbalance, r.plotLoads} {
-		title, drawn, err := build()
+		title, p, err := build()
 		if err != nil {
 			return eris.Wrap(err, "build plot")
 		}
-		source, err := embed(drawn)
+		source, err := dataURL(p)
 		if err != nil {
 			return err
 		}
@@ -67,15 +67,15 @@
 }
 
 func (r *Report) plotImbalance() (string, *plot.Plot, error) {
-	drawn := plot.New()
-	drawn.X.Label.Text = "time (s)"
-	drawn.Y.Label.Text = "connections, max/mean of targets"
-	drawn.Legend.Top = true
+	p := plot.New()
+	p.X.Label.Text = "time (s)"
+	p.Y.Label.Text = "connections, max/mean of targets"
+	p.Legend.Top = true
 	for index, service := range slices.Sorted(maps.Keys(r.samples)) {
 		points := plotter.XYs{}
-		for _, one := range r.samples[service] {
-			if one.connections.MaximumToMean > 0 {
-				points = append(points, plotter.XY{X: one.at.Seconds(), Y: one.connections.MaximumToMean})
+		for _, s := range r.samples[service] {
+			if s.connections.MaximumToMean > 0 {
+				points = append(points, plotter.XY{X: s.at.Seconds(), Y: s.connections.MaximumToMean})
 			}
 		}
 		if len(points) == 0 {
@@ -86,15 +86,15 @@
 			return "", nil, err
 		}
 		line.Color = plotutil.Color(index)
-		drawn.Add(line)
-		drawn.Legend.Add(service, line)
+		p.Add(line)
+		p.Legend.Add(service, line)
 	}
-	return "Connection imbalance over time", drawn, nil
+	return "Connection imbalance over time", p, nil
 }
 
 func (r *Report) plotLoads() (string, *plot.Plot, error) {
-	drawn := plot.New()
-	drawn.Y.Label.Text = "accepted connections"
+	p := plot.New()
+	p.Y.Label.Text = "accepted connections"
 	var values plotter.Values
 	var names []string
 	for _, service := range slices.Sorted(maps.Keys(r.lastLoads)) {
@@ -104,21 +104,21 @@
 		}
 	}
 	if len(values) == 0 {
-		return "Accepted connections by target", drawn, nil
+		return "Accepted connections by target", p, nil
 	}
 	bars, err := plotter.NewBarChart(values, vg.Points(8))
 	if err != nil {
 		return "", nil, err
 	}
-	drawn.Add(bars)
-	drawn.NominalX(names...)
-	drawn.X.Tick.Label.Rotation = 1.2
-	drawn.X.Tick.Label.XAlign = -1
-	return "Accepted connections by target", drawn, nil
+	p.Add(bars)
+	p.NominalX(names...)
+	p.X.Tick.Label.Rotation = 1.2
+	p.X.Tick.Label.XAlign = -1
+	return "Accepted connections by target", p, nil
 }
 
-func embed(drawn *plot.Plot) (template.URL, error) {
-	writer, err := drawn.WriterTo(plotWidth, plotHeight, "png")
+func dataURL(p *plot.Plot) (template.URL, error) {
+	writer, err := p.WriterTo(plotWidth, plotHeight, "png")
 	if err != nil {
 		return "", eris.Wrap(err, "render plot")
 	}
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -66,7 +66,7 @@
 	// lab's process.
 	CoreShareMax     float64 `json:"daemon_core_share_max"`
 	ResidentBytesMax float64 `json:"daemon_resident_bytes_max"`
-	// LongestStall and StalledSeconds are the maximum and the sum of delays of the lab's timers.
+	// LongestStall and StalledSeconds are the maximum and the sum of larger delays of the lab's timers.
 	// They show how much the measurements suffered from an overloaded machine.
 	LongestStall   float64 `json:"longest_stall_seconds"`
 	StalledSeconds float64 `json:"stalled_seconds"`
@@ -163,9 +163,9 @@
 	for _, service := range slices.Sorted(maps.Keys(samples)) {
 		mean := ServiceImbalance{Service: service}
 		connectionSamples, busySamples := 0, 0
-		for _, one := range samples[service] {
-			connectionSamples += accumulate(&mean.Connections, one.connections)
-			busySamples += accumulate(&mean.BusySlots, one.busy)
+		for _, s := range samples[service] {
+			connectionSamples += accumulate(&mean.Connections, s.connections)
+			busySamples += accumulate(&mean.BusySlots, s.busy)
 		}
 		divide(&mean.Connections, connectionSamples)
 		divide(&mean.BusySlots, busySamples)
@@ -174,12 +174,12 @@
 }
 
 // accumulate adds a sample to a sum and returns 1, or returns 0 if the sample is empty.
-func accumulate(sum *statistics.Imbalance, one statistics.Imbalance) int {
-	if one.MaximumToMean == 0 {
+func accumulate(sum *statistics.Imbalance, sample statistics.Imbalance) int {
+	if sample.MaximumToMean == 0 {
 		return 0
 	}
-	sum.MaximumToMean += one.MaximumToMean
-	sum.Variation += one.Variation
+	sum.MaximumToMean += sample.MaximumToMean
+	sum.Variation += sample.Variation
 	return 1
 }
 
@@ -190,7 +190,7 @@
 	}
 }
 
-func (r *Report) addCosts(costs []DaemonCost) {
+func (r *Report) addDaemonCosts(costs []DaemonCost) {
 	for _, cost := range costs {
 		r.ControlBytesPerSecond += cost.ControlBytesPerSecond / float64(len(costs))
 		r.ControlBytesPerSecondMax = max(r.ControlBytesPerSecondMax, cost.ControlBytesPerSecond)
@@ -208,7 +208,7 @@
 // WriteTable writes the report as text.
 func (r *Report) WriteTable(out io.Writer) error {
 	writer := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	line := func(format string, values ...any) { _, _ = fmt.Fprintf(writer, format+"\n", values...) }
+	line := func(format string, args ...any) { _, _ = fmt.Fprintf(writer, format+"\n", args...) }
 	line("mode %s, seed %d, %.1f s", r.Mode, r.Seed, r.Seconds)
 	line("feeds opened %d, broken %d; foreign packets %d", r.FeedsOpened, r.FeedsBroken, r.ForeignPackets)
 	line("dials %d, failed %d; incomplete handshakes at targets per 1,000 dials %.1f", r.Dials, r.FailedDials, r.StrayHandshakes())
@@ -220,7 +220,7 @@
 	if r.CoreShareMax > 0 {
 		line("max per daemon process: %.1f %% of a core, %.0f MiB resident", 100*r.CoreShareMax, r.ResidentBytesMax/(1<<20))
 	}
-	line("packets: %s; dropped: %s", counts(r.Actions), counts(r.Drops))
+	line("packets: %s; dropped: %s", formatCounts(r.Actions), formatCounts(r.Drops))
 	line("")
 	line("SERVICE\tCLASS\tCOUNT\tP50 ms\tP90 ms\tP99 ms\tMAX ms")
 	for _, latency := range r.Latencies {
@@ -229,15 +229,15 @@
 	}
 	line("")
 	line("SERVICE\tCONNECTIONS max/mean\tCV\tBUSY SLOTS max/mean\tCV")
-	for _, one := range r.Imbalance {
-		line("%s\t%.2f\t%.2f\t%.2f\t%.2f", one.Service, one.Connections.MaximumToMean, one.Connections.Variation,
-			one.BusySlots.MaximumToMean, one.BusySlots.Variation)
+	for _, imbalance := range r.Imbalance {
+		line("%s\t%.2f\t%.2f\t%.2f\t%.2f", imbalance.Service, imbalance.Connections.MaximumToMean, imbalance.Connections.Variation,
+			imbalance.BusySlots.MaximumToMean, imbalance.BusySlots.Variation)
 	}
 	line("")
 	line("INVARIANT\tCHECKED\tVERDICT")
 	for index := range r.Verdicts {
 		verdict := &r.Verdicts[index]
-		line("%s\t%d\t%s", verdict.Invariant, verdict.Checked, word(verdict))
+		line("%s\t%d\t%s", verdict.Invariant, verdict.Checked, verdictText(verdict))
 	}
 	for index := range r.Verdicts {
 		for _, violation := range r.Verdicts[index].Violations {
@@ -247,7 +247,7 @@
 	return writer.Flush()
 }
 
-func word(verdict *history.Verdict) string {
+func verdictText(verdict *history.Verdict) string {
 	switch {
 	case !verdict.Holds():
 		return fmt.Sprintf("VIOLATED %d times", verdict.Total)
@@ -257,7 +257,7 @@
 	return "holds"
 }
 
-func counts(values map[string]uint64) string {
+func formatCounts(values map[string]uint64) string {
 	text := ""
 	for _, name := range slices.Sorted(maps.Keys(values)) {
 		if text != "" {
