--- a/internal/lab/labctl/soak.go
+++ b/internal/lab/labctl/soak.go
@@ -15,27 +15,27 @@
 
 type soakCommand struct {
 	program   *program
-	Seeds     int           `long:"seeds" default:"10" description:"how many schedules"`
-	First     *uint64       `long:"first" description:"the first seed; without it 1, with a store drawn ones"`
-	Parallel  int           `long:"parallel" default:"2" description:"how many runs at once"`
-	Duration  time.Duration `long:"duration" default:"14s" description:"replaces the scenario's duration"`
-	Directory string        `long:"directory" default:"lab-out" description:"where failing histories go; with a store, settings and logs of the daemons"`
-	Source    string        `long:"source" choice:"fleet" choice:"store" default:"fleet" description:"where the configuration comes from, as for passtrayd"`
-	Binary    string        `long:"binary" default:".bin/passtrayd" description:"with a store: the daemon's program"`
-	Seed      *uint64       `long:"seed" description:"with a store: play just this schedule"`
-	Large     int           `long:"large-every" default:"10" description:"with a store: each run of so many has as many daemons as half of the memory holds; 0 is none"`
+	Seeds     int           `long:"seeds" default:"10" description:"number of schedules"`
+	First     *uint64       `long:"first" description:"first seed; without it, seeds start at 1, or are random with --source store"`
+	Parallel  int           `long:"parallel" default:"2" description:"number of concurrent runs"`
+	Duration  time.Duration `long:"duration" default:"14s" description:"override the scenario's duration"`
+	Directory string        `long:"directory" default:"lab-out" description:"directory for histories of failed runs; with --source store, for settings and logs of the daemons"`
+	Source    string        `long:"source" choice:"fleet" choice:"store" default:"fleet" description:"source of the configuration, as for passtrayd"`
+	Binary    string        `long:"binary" default:".bin/passtrayd" description:"with --source store: path of the daemon's executable"`
+	Seed      *uint64       `long:"seed" description:"with --source store: run only this schedule"`
+	Large     int           `long:"large-every" default:"10" description:"with --source store: every n-th run has as many daemons as fit into half of the memory; 0 disables this"`
 	Args      struct {
 		Scenario string `positional-arg-name:"SCENARIO"`
 	} `positional-args:"true"`
 }
 
-// Execute serves go-flags.
+// Execute implements flags.Commander.
 func (c *soakCommand) Execute([]string) error {
 	if c.Source == sourceStore {
 		return c.soakStore()
 	}
 	if c.Args.Scenario == "" {
-		return eris.New("SCENARIO: is needed where the fleet agrees on its configuration")
+		return eris.New("SCENARIO is required with --source fleet")
 	}
 	scenario, err := lab.LoadScenario(c.Args.Scenario)
 	if err != nil {
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// seedsFrom returns a number of seeds in a row.
+// seedsFrom returns consecutive seeds.
 func seedsFrom(first uint64, count int) []uint64 {
 	seeds := make([]uint64, count)
 	for index := range seeds {
@@ -78,14 +78,14 @@
 	return seeds
 }
 
-// print says what became of one seed and reports whether all held.
+// print prints the result of one seed and reports whether all invariants hold.
 func (c *soakCommand) print(result *lab.SoakResult) bool {
 	if result.Err != nil {
-		_, _ = fmt.Fprintf(c.program.out, "seed %d: could not run: %s\n", result.Seed, result.Err)
+		_, _ = fmt.Fprintf(c.program.out, "seed %d: run failed: %s\n", result.Seed, result.Err)
 		return false
 	}
 	made := result.Report
-	_, _ = fmt.Fprintf(c.program.out, "seed %d: %v: dials %d, failed %d, feeds broken %d, unknown %d, not run %d; machine stalled %.2f s\n",
+	_, _ = fmt.Fprintf(c.program.out, "seed %d: %v: dials %d, failed %d, feeds broken %d, unknown %d, not run %d; late timers %.2f s\n",
 		result.Seed, result.Faults, made.Dials, made.FailedDials, made.FeedsBroken, made.Runs.Unknown, made.Runs.NotRun, made.StalledSeconds)
 	if made.Holds() {
 		return true
@@ -95,6 +95,6 @@
 			_, _ = fmt.Fprintf(c.program.out, "  %s: %s\n", made.Verdicts[index].Invariant, violation)
 		}
 	}
-	_, _ = fmt.Fprintf(c.program.out, "  shortest schedule that still failed: %v\n", result.Shortest)
+	_, _ = fmt.Fprintf(c.program.out, "  minimized schedule that still fails: %v\n", result.Shortest)
 	return false
 }
--- a/internal/lab/labctl/soak_test.go
+++ b/internal/lab/labctl/soak_test.go
@@ -8,7 +8,7 @@
 	"github.com/passtray/passtray/internal/lab/storelab"
 )
 
-// "--first 502 --seeds 9" played the kept seeds and nine drawn ones without a word.
+// --first must select exactly the given seeds, without the regression seeds and random ones.
 func TestWhichSeedsASoakBesideAStorePlays(t *testing.T) {
 	first := uint64(502)
 	assert.DeepEqual(t, (&soakCommand{First: &first, Seeds: 3}).storeSeeds(), []uint64{502, 503, 504})
--- a/internal/lab/labctl/soakstore.go
+++ b/internal/lab/labctl/soakstore.go
@@ -12,10 +12,10 @@
 	"github.com/passtray/passtray/internal/lab/storelab"
 )
 
-// sourceStore is the name of a configuration that lies in a store.
+// sourceStore is the value of --source for a configuration in a store.
 const sourceStore = "store"
 
-// soakStore plays daemons as processes that follow a store, one schedule after the other.
+// soakStore runs the schedules of storelab.
 func (c *soakCommand) soakStore() error {
 	if err := os.MkdirAll(c.Directory, 0o755); err != nil {
 		return err
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// playStore plays the schedules, several at once, and hands over the results one at a time. A large
-// run is played alone.
+// playStore runs several schedules concurrently and calls take for each result, one at a time. A
+// large run runs alone.
 func (c *soakCommand) playStore(ctx context.Context, take func(result *storelab.Result, err error)) {
 	var taking sync.Mutex
 	var waiting sync.WaitGroup
@@ -79,7 +79,7 @@
 	waiting.Wait()
 }
 
-// storeConfig returns how a schedule is played. The kept ones are played as they were drawn.
+// storeConfig returns the configuration of a run. Regression seeds keep their number of series.
 func (c *soakCommand) storeConfig(index int, seed uint64) (config storelab.Config, isLarge bool, err error) {
 	config = storelab.DefaultConfig()
 	isLarge = c.Large > 0 && (index+1)%c.Large == 0
@@ -95,8 +95,8 @@
 	return config, isLarge, err
 }
 
-// storeSeeds are the schedules to be played: those that are kept and then fresh ones, unless
-// one is named, or the first of several.
+// storeSeeds returns the seeds to run: the regression seeds and then random ones, unless --seed or
+// --first is given.
 func (c *soakCommand) storeSeeds() []uint64 {
 	if c.Seed != nil {
 		return []uint64{*c.Seed}
@@ -123,7 +123,7 @@
 			_, _ = fmt.Fprintf(c.program.out, "  %s: %s\n", verdict.Invariant, violation)
 		}
 		if verdict.Checked == 0 {
-			_, _ = fmt.Fprintf(c.program.out, "  nothing to look at for: %s\n", verdict.Invariant)
+			_, _ = fmt.Fprintf(c.program.out, "  not exercised: %s\n", verdict.Invariant)
 		}
 	}
 }
