--- a/internal/lab/labctl/balance.go
+++ b/internal/lab/labctl/balance.go
@@ -25,7 +25,7 @@
 
 // Execute implements flags.Commander.
 func (c *balanceCommand) Execute([]string) error {
-	writer := tabwriter.NewWriter(c.program.out, 0, 4, 2, ' ', 0)
+	writer := tabwriter.NewWriter(c.program.stdout, 0, 4, 2, ' ', 0)
 	_, _ = fmt.Fprintln(writer, "POLICY\tCONNECTIONS max/mean\tCV\tBUSY max/mean\tWAITED %")
 	for _, policy := range simulation.BalancePolicies() {
 		var sum simulation.BalanceResult
--- a/internal/lab/labctl/soak.go
+++ b/internal/lab/labctl/soak.go
@@ -54,17 +54,17 @@
 	if c.First != nil {
 		first = *c.First
 	}
-	held, broken := 0, 0
+	passed, failed := 0, 0
 	lab.Soak(ctx, scenario, seedsFrom(first, c.Seeds), c.Parallel, c.Directory, func(result lab.SoakResult) {
 		if c.print(&result) {
-			held++
+			passed++
 		} else {
-			broken++
+			failed++
 		}
 	})
-	_, _ = fmt.Fprintf(c.program.out, "%d schedules held, %d did not\n", held, broken)
-	if broken > 0 {
-		c.program.code = ExitBroken
+	_, _ = fmt.Fprintf(c.program.stdout, "%d schedules held, %d did not\n", passed, failed)
+	if failed > 0 {
+		c.program.exitCode = ExitBroken
 	}
 	return nil
 }
@@ -81,20 +81,20 @@
 // print prints the result of one seed and reports whether all invariants hold.
 func (c *soakCommand) print(result *lab.SoakResult) bool {
 	if result.Err != nil {
-		_, _ = fmt.Fprintf(c.program.out, "seed %d: run failed: %s\n", result.Seed, result.Err)
+		_, _ = fmt.Fprintf(c.program.stdout, "seed %d: run failed: %s\n", result.Seed, result.Err)
 		return false
 	}
-	made := result.Report
-	_, _ = fmt.Fprintf(c.program.out, "seed %d: %v: dials %d, failed %d, feeds broken %d, unknown %d, not run %d; late timers %.2f s\n",
-		result.Seed, result.Faults, made.Dials, made.FailedDials, made.FeedsBroken, made.Runs.Unknown, made.Runs.NotRun, made.StalledSeconds)
-	if made.Holds() {
+	r := result.Report
+	_, _ = fmt.Fprintf(c.program.stdout, "seed %d: %v: dials %d, failed %d, feeds broken %d, unknown %d, not run %d; late timers %.2f s\n",
+		result.Seed, result.Faults, r.Dials, r.FailedDials, r.FeedsBroken, r.Runs.Unknown, r.Runs.NotRun, r.StalledSeconds)
+	if r.Holds() {
 		return true
 	}
-	for index := range made.Verdicts {
-		for _, violation := range made.Verdicts[index].Violations {
-			_, _ = fmt.Fprintf(c.program.out, "  %s: %s\n", made.Verdicts[index].Invariant, violation)
+	for index := range r.Verdicts {
+		for _, violation := range r.Verdicts[index].Violations {
+			_, _ = fmt.Fprintf(c.program.stdout, "  %s: %s\n", r.Verdicts[index].Invariant, violation)
 		}
 	}
-	_, _ = fmt.Fprintf(c.program.out, "  minimized schedule that still fails: %v\n", result.Shortest)
+	_, _ = fmt.Fprintf(c.program.stdout, "  minimized schedule that still fails: %v\n", result.Shortest)
 	return false
 }
--- a/internal/lab/labctl/soak_test.go
+++ b/internal/lab/labctl/soak_test.go
@@ -9,11 +9,11 @@
 )
 
 // --first must select exactly the given seeds, without the regression seeds and random ones.
-func TestWhichSeedsASoakBesideAStorePlays(t *testing.T) {
+func TestStoreSeeds(t *testing.T) {
 	first := uint64(502)
 	assert.DeepEqual(t, (&soakCommand{First: &first, Seeds: 3}).storeSeeds(), []uint64{502, 503, 504})
 	assert.DeepEqual(t, (&soakCommand{Seed: &first, Seeds: 3}).storeSeeds(), []uint64{502})
-	drawn := (&soakCommand{Seeds: 3}).storeSeeds()
-	assert.Equal(t, len(drawn), len(storelab.KeptSeeds)+3)
-	assert.Equal(t, drawn[0], storelab.KeptSeeds[0].Seed)
+	seeds := (&soakCommand{Seeds: 3}).storeSeeds()
+	assert.Equal(t, len(seeds), len(storelab.KeptSeeds)+3)
+	assert.Equal(t, seeds[0], storelab.KeptSeeds[0].Seed)
 }
--- a/internal/lab/labctl/soakstore.go
+++ b/internal/lab/labctl/soakstore.go
@@ -22,61 +22,61 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	held, broken, failed := 0, 0, error(nil)
-	c.playStore(ctx, func(result *storelab.Result, err error) {
+	passed, failed, runErr := 0, 0, error(nil)
+	c.runStore(ctx, func(result *storelab.Result, err error) {
 		switch {
 		case ctx.Err() != nil:
 		case err != nil:
-			failed = err
+			runErr = err
 			stop()
 		default:
 			c.printStore(result)
 			if result.Holds() {
-				held++
+				passed++
 			} else {
-				broken++
+				failed++
 			}
 		}
 	})
-	if failed != nil {
-		return failed
+	if runErr != nil {
+		return runErr
 	}
-	_, _ = fmt.Fprintf(c.program.out, "%d schedules held, %d did not\n", held, broken)
-	if broken > 0 {
-		c.program.code = ExitBroken
+	_, _ = fmt.Fprintf(c.program.stdout, "%d schedules held, %d did not\n", passed, failed)
+	if failed > 0 {
+		c.program.exitCode = ExitBroken
 	}
 	return nil
 }
 
-// playStore runs several schedules concurrently and calls take for each result, one at a time. A
+// runStore runs several schedules concurrently and calls handle for each result, one at a time. A
 // large run runs alone.
-func (c *soakCommand) playStore(ctx context.Context, take func(result *storelab.Result, err error)) {
-	var taking sync.Mutex
-	var waiting sync.WaitGroup
-	room := make(chan struct{}, max(1, c.Parallel))
+func (c *soakCommand) runStore(ctx context.Context, handle func(result *storelab.Result, err error)) {
+	var mutex sync.Mutex
+	var wg sync.WaitGroup
+	semaphore := make(chan struct{}, max(1, c.Parallel))
 	for index, seed := range c.storeSeeds() {
 		config, isLarge, err := c.storeConfig(index, seed)
 		if isLarge {
-			waiting.Wait()
+			wg.Wait()
 		}
-		room <- struct{}{}
-		waiting.Add(1)
+		semaphore <- struct{}{}
+		wg.Add(1)
 		go func() {
-			defer waiting.Done()
-			defer func() { <-room }()
+			defer wg.Done()
+			defer func() { <-semaphore }()
 			var result *storelab.Result
 			if err == nil && ctx.Err() == nil {
 				result, err = storelab.Run(ctx, config)
 			}
-			taking.Lock()
-			defer taking.Unlock()
-			take(result, err)
+			mutex.Lock()
+			defer mutex.Unlock()
+			handle(result, err)
 		}()
 		if isLarge {
-			waiting.Wait()
+			wg.Wait()
 		}
 	}
-	waiting.Wait()
+	wg.Wait()
 }
 
 // storeConfig returns the configuration of a run. Regression seeds keep their number of series.
@@ -87,9 +87,9 @@
 		config, err = storelab.LargeConfig()
 	}
 	config.Binary, config.Directory, config.Seed = c.Binary, c.Directory, seed
-	for _, kept := range storelab.KeptSeeds {
-		if kept.Seed == seed {
-			config.Series = kept.Series
+	for _, regression := range storelab.KeptSeeds {
+		if regression.Seed == seed {
+			config.Series = regression.Series
 		}
 	}
 	return config, isLarge, err
@@ -105,8 +105,8 @@
 		return seedsFrom(*c.First, c.Seeds)
 	}
 	var seeds []uint64
-	for _, kept := range storelab.KeptSeeds {
-		seeds = append(seeds, kept.Seed)
+	for _, regression := range storelab.KeptSeeds {
+		seeds = append(seeds, regression.Seed)
 	}
 	for range c.Seeds {
 		seeds = append(seeds, rand.Uint64N(1<<32))
@@ -115,15 +115,15 @@
 }
 
 func (c *soakCommand) printStore(result *storelab.Result) {
-	_, _ = fmt.Fprintf(c.program.out, "seed %d: %v: flows opened %d, requests answered %d, failed %d, flows reset %d\n",
+	_, _ = fmt.Fprintf(c.program.stdout, "seed %d: %v: flows opened %d, requests answered %d, failed %d, flows reset %d\n",
 		result.Seed, result.Faults, result.Count(storelab.FlowOpened), result.Count(storelab.RequestAnswered),
 		result.Count(storelab.RequestFailed), result.Count(storelab.FlowReset))
 	for _, verdict := range result.Verdicts {
 		for _, violation := range verdict.Violations {
-			_, _ = fmt.Fprintf(c.program.out, "  %s: %s\n", verdict.Invariant, violation)
+			_, _ = fmt.Fprintf(c.program.stdout, "  %s: %s\n", verdict.Invariant, violation)
 		}
 		if verdict.Checked == 0 {
-			_, _ = fmt.Fprintf(c.program.out, "  not exercised: %s\n", verdict.Invariant)
+			_, _ = fmt.Fprintf(c.program.stdout, "  not exercised: %s\n", verdict.Invariant)
 		}
 	}
 }
