--- a/internal/lab/daemon.go
+++ b/internal/lab/daemon.go
@@ -10,23 +10,21 @@
 	"github.com/passtray/passtray/internal/settings"
 )
 
-// Daemon is a running daemon as the lab handles it.
+// Daemon is a running daemon that the lab controls.
 type Daemon interface {
 	// Kill ends it at once.
 	Kill()
-	// Drain asks it to leave in order and waits until it may be ended.
+	// Drain makes it leave the fleet gracefully and returns when it may be killed.
 	Drain(ctx context.Context)
-	// Pause freezes it; the function returned wakes it.
+	// Pause suspends it until resume is called.
 	Pause() (resume func(), err error)
-	// Stats reads its counters.
 	Stats() node.Stats
 }
 
-// StartDaemon starts a daemon with settings. Options are for daemons inside
-// this process only.
+// StartDaemon starts a daemon. Options apply only to daemons inside this process.
 type StartDaemon func(name string, given settings.Settings, options node.Options) (Daemon, error)
 
-// inProcess runs daemons as parts of this process.
+// inProcess returns a StartDaemon that runs daemons inside this process.
 func inProcess(log logr.Logger) StartDaemon {
 	return func(name string, given settings.Settings, options node.Options) (Daemon, error) {
 		running, err := node.Start(given, log.WithValues("daemon", name), options)
@@ -39,7 +37,7 @@
 
 type nodeDaemon struct{ *node.Node }
 
-// Pause cannot be done to a part of a process.
+// Pause always fails, as a daemon inside this process can't be suspended.
 func (nodeDaemon) Pause() (func(), error) {
-	return nil, eris.New("only daemons that are processes can be paused; see the end-to-end tests")
+	return nil, eris.New("daemons can only be paused if they run as separate processes, as in the end-to-end tests")
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -13,8 +13,7 @@
 	"github.com/passtray/passtray/internal/node"
 )
 
-// untimed are the invariants whose verdict does not depend on how fast the
-// machine is.
+// untimed are the invariants whose verdict doesn't depend on the speed of the machine.
 var untimed = map[string]bool{
 	history.NoForeignPackets: true, history.AnswersAreWhole: true, history.NotRunIsTrue: true,
 	history.AtMostOnce: true, history.PlannedStopCutsNothing: true, history.FeedsStayConnected: true,
@@ -45,7 +44,7 @@
 	assert.NilError(t, err)
 	offline := history.Check(stored)
 	for index := range offline {
-		assert.Equal(t, offline[index].Total, result.Verdicts[index].Total, "judged offline, %s differs", offline[index].Invariant)
+		assert.Equal(t, offline[index].Total, result.Verdicts[index].Total, "offline check of %s differs", offline[index].Invariant)
 	}
 	return result
 }
@@ -68,11 +67,10 @@
 	assert.NilError(t, result.WriteHTML(filepath.Join(t.TempDir(), "report.html")))
 }
 
-// TestTheCheckerFailsABrokenDaemon routes every packet to a random target, now
-// and then of another service.
+// With random steering, packets also reach targets of other services, which the checks must detect.
 func TestTheCheckerFailsABrokenDaemon(t *testing.T) {
 	result := playSmall(t, smallScenario(t, node.ModeRandom))
-	assert.Assert(t, !result.Holds(), "a daemon that routes at random was not found out")
+	assert.Assert(t, !result.Holds(), "random steering violated no invariant")
 	assert.Assert(t, result.ForeignPackets > 0)
 }
 
--- a/internal/lab/operators.go
+++ b/internal/lab/operators.go
@@ -15,11 +15,11 @@
 	"github.com/passtray/passtray/internal/pki"
 )
 
-// operatorCall is one call of the operators' interface.
+// operatorCall is one call to the operator API.
 type operatorCall func(context.Context, passtrayv1.OperatorClient, *passtrayv1.ChangeOptions) (*passtrayv1.ChangeResponse, error)
 
-// operate makes one operators' call through any running daemon, trying others
-// while the outcome is unknown, with one request identifier.
+// operate makes one call to the operator API of a running daemon. It retries failed calls at other
+// daemons with the same request ID until operatorTimeout has passed.
 func (c *cluster) operate(call operatorCall) error {
 	c.mutex.Lock()
 	c.request++
@@ -31,7 +31,7 @@
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		address, found := c.operatorAddress(attempt)
 		if !found {
-			return eris.New("no daemon runs")
+			return eris.New("no daemon is running")
 		}
 		answer, err := c.callOne(ctx, address, options, call)
 		if err == nil {
@@ -41,7 +41,7 @@
 		last = err
 		time.Sleep(100 * time.Millisecond)
 	}
-	return eris.Wrap(last, "operator's call")
+	return eris.Wrap(last, "call operator API")
 }
 
 func (c *cluster) operatorAddress(attempt int) (netip.AddrPort, bool) {
@@ -67,11 +67,11 @@
 	return call(ctx, passtrayv1.NewOperatorClient(connection), options)
 }
 
-// waitInForce waits until every live daemon has what was declared.
+// waitInForce waits until the latest configuration is active on all live daemons.
 func (c *cluster) waitInForce() error {
 	address, found := c.operatorAddress(0)
 	if !found {
-		return eris.New("no daemon runs")
+		return eris.New("no daemon is running")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
 	defer cancel()
@@ -79,5 +79,5 @@
 		_, err := client.WaitInForce(ctx, &passtrayv1.WaitInForceRequest{})
 		return nil, err
 	})
-	return eris.Wrap(err, "wait until in force")
+	return eris.Wrap(err, "wait until configuration is active")
 }
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -23,23 +23,23 @@
 	sampleInterval   = 250 * time.Millisecond
 	progressInterval = 2 * time.Second
 	stallProbe       = 10 * time.Millisecond
-	// settle is the time after the callers for what is under way.
+	// settle is the time between the end of the load and the collection of results.
 	settle = 2 * time.Second
 )
 
-// Options are what a run is asked for besides the scenario.
+// Options are settings of a run that aren't part of the scenario.
 type Options struct {
 	// StartDaemon starts each daemon; nil runs them inside this process.
 	StartDaemon StartDaemon
 	Logger      logr.Logger
 	Progress    io.Writer
-	// HistoryPath, if set, is where the history is stored.
+	// HistoryPath, if set, is the file to save the history to.
 	HistoryPath string
-	// FailedHistoryPath, if set, is where it is stored if an invariant is broken.
+	// FailedHistoryPath, if set, is the file to save it to if an invariant was violated.
 	FailedHistoryPath string
 }
 
-// Run plays a scenario and reports.
+// Run runs a scenario and returns its report.
 func Run(ctx context.Context, scenario *Scenario, options Options) (*report.Report, error) {
 	events := history.NewLog()
 	if options.StartDaemon == nil {
@@ -75,7 +75,7 @@
 	}
 }
 
-// start runs a task that is waited for at the end.
+// start runs a task in a goroutine that play waits for.
 func (r *run) start(task func()) {
 	r.waiting.Add(1)
 	go func() {
@@ -91,7 +91,7 @@
 			break
 		}
 		if time.Since(started) > formationTimeout {
-			return eris.Errorf("only %d of %d daemons are ready after %s", r.fabric.ReadyCount(), len(r.daemons), formationTimeout)
+			return eris.Errorf("%d of %d daemons are ready after %s", r.fabric.ReadyCount(), len(r.daemons), formationTimeout)
 		}
 		select {
 		case <-time.After(sampleInterval / 5):
@@ -99,12 +99,12 @@
 			return ctx.Err()
 		}
 	}
-	r.say("%d daemons formed one group in %.1f s", len(r.daemons), time.Since(started).Seconds())
+	r.say("%d daemons ready after %.1f s", len(r.daemons), time.Since(started).Seconds())
 	declared := time.Now()
 	if err := r.declare(); err != nil {
 		return err
 	}
-	r.say("%d targets declared in %.1f s", len(r.runningTargets()), time.Since(declared).Seconds())
+	r.say("%d targets added in %.1f s", len(r.runningTargets()), time.Since(declared).Seconds())
 	return nil
 }
 
@@ -146,13 +146,13 @@
 		}
 		r.say("%6.1fs fault %s", time.Since(r.began).Seconds(), faults[index])
 		if err := r.do(ctx, &faults[index], r.start); err != nil {
-			// A call that no leader could commit changes nothing; the run goes on.
-			r.say("%6.1fs fault %s: %s", time.Since(r.began).Seconds(), faults[index], err)
+			// The run continues: a fault that failed, such as for lack of a leader, changes nothing.
+			r.say("%6.1fs fault %s failed: %s", time.Since(r.began).Seconds(), faults[index], err)
 		}
 	}
 }
 
-// sample looks at the targets' loads now and then.
+// sample records the targets' loads every sampleInterval.
 func (r *run) sample(ctx context.Context) {
 	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
@@ -167,7 +167,7 @@
 		loads := map[string][]report.TargetLoad{}
 		for _, target := range r.runningTargets() {
 			if target.IsDraining() {
-				continue // What is left on it says nothing of how flows are spread.
+				continue // its load doesn't result from balancing
 			}
 			connections, busy := target.Load()
 			loads[target.Service()] = append(loads[target.Service()], report.TargetLoad{
@@ -184,8 +184,8 @@
 	}
 }
 
-// watchStalls notes how late this process was let run at worst. A run on a
-// machine that stalls says little of how fast anything was.
+// watchStalls measures delays of a ticker, which show whether the machine was too busy for
+// meaningful latency measurements.
 func (r *run) watchStalls(ctx context.Context) {
 	ticker := time.NewTicker(stallProbe)
 	defer ticker.Stop()
