--- a/internal/lab/daemon.go
+++ b/internal/lab/daemon.go
@@ -22,12 +22,12 @@
 }
 
 // StartDaemon starts a daemon. Options apply only to daemons inside this process.
-type StartDaemon func(name string, given settings.Settings, options node.Options) (Daemon, error)
+type StartDaemon func(name string, config settings.Settings, options node.Options) (Daemon, error)
 
 // inProcess returns a StartDaemon that runs daemons inside this process.
 func inProcess(log logr.Logger) StartDaemon {
-	return func(name string, given settings.Settings, options node.Options) (Daemon, error) {
-		running, err := node.Start(given, log.WithValues("daemon", name), options)
+	return func(name string, config settings.Settings, options node.Options) (Daemon, error) {
+		running, err := node.Start(config, log.WithValues("daemon", name), options)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -13,8 +13,8 @@
 	"github.com/passtray/passtray/internal/node"
 )
 
-// untimed are the invariants whose verdict doesn't depend on the speed of the machine.
-var untimed = map[string]bool{
+// timingIndependent are the invariants whose verdict doesn't depend on the speed of the machine.
+var timingIndependent = map[string]bool{
 	history.NoForeignPackets: true, history.AnswersAreWhole: true, history.NotRunIsTrue: true,
 	history.AtMostOnce: true, history.PlannedStopCutsNothing: true, history.FeedsStayConnected: true,
 }
@@ -35,30 +35,30 @@
 	return scenario
 }
 
-func playSmall(t *testing.T, scenario *Scenario) *report.Report {
+func runSmall(t *testing.T, scenario *Scenario) *report.Report {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "history.cbor")
 	result, err := Run(t.Context(), scenario, Options{Logger: logr.Discard(), HistoryPath: path})
 	assert.NilError(t, err)
-	stored, err := history.Load(path)
+	events, err := history.Load(path)
 	assert.NilError(t, err)
-	offline := history.Check(stored)
+	offline := history.Check(events)
 	for index := range offline {
 		assert.Equal(t, offline[index].Total, result.Verdicts[index].Total, "offline check of %s differs", offline[index].Invariant)
 	}
 	return result
 }
 
-func TestADeploymentSurvivesAKillAJoinAndADrain(t *testing.T) {
+func TestKillJoinAndDrainViolateNoInvariant(t *testing.T) {
 	scenario := smallScenario(t, node.ModeOwner)
 	for _, text := range []string{"kill:1s:1", "join:2s", "drain:3s:roster/roster-2"} {
 		fault, err := ParseFault(text)
 		assert.NilError(t, err)
 		scenario.Faults = append(scenario.Faults, fault)
 	}
-	result := playSmall(t, scenario)
+	result := runSmall(t, scenario)
 	for _, verdict := range result.Verdicts {
-		if untimed[verdict.Invariant] {
+		if timingIndependent[verdict.Invariant] {
 			assert.Assert(t, verdict.Holds(), "%s: %v", verdict.Invariant, verdict.Violations)
 		}
 	}
@@ -68,13 +68,13 @@
 }
 
 // With random steering, packets also reach targets of other services, which the checks must detect.
-func TestTheCheckerFailsABrokenDaemon(t *testing.T) {
-	result := playSmall(t, smallScenario(t, node.ModeRandom))
+func TestRandomSteeringViolatesInvariants(t *testing.T) {
+	result := runSmall(t, smallScenario(t, node.ModeRandom))
 	assert.Assert(t, !result.Holds(), "random steering violated no invariant")
 	assert.Assert(t, result.ForeignPackets > 0)
 }
 
-func TestFaultsAreReadBackAsWritten(t *testing.T) {
+func TestParseFault(t *testing.T) {
 	for _, text := range []string{"kill:5s:2", "join:8s", "drain:10s:roster/roster-3", "add:1s:sala", "pause:3s:0"} {
 		fault, err := ParseFault(text)
 		assert.NilError(t, err)
--- a/internal/lab/operators.go
+++ b/internal/lab/operators.go
@@ -22,26 +22,26 @@
 // daemons with the same request ID until operatorTimeout has passed.
 func (c *cluster) operate(call operatorCall) error {
 	c.mutex.Lock()
-	c.request++
-	options := &passtrayv1.ChangeOptions{RequestId: fmt.Sprintf("lab-%d", c.request)}
+	c.lastRequest++
+	options := &passtrayv1.ChangeOptions{RequestId: fmt.Sprintf("lab-%d", c.lastRequest)}
 	c.mutex.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
 	defer cancel()
-	var last error
+	var lastErr error
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		address, found := c.operatorAddress(attempt)
 		if !found {
 			return eris.New("no daemon is running")
 		}
-		answer, err := c.callOne(ctx, address, options, call)
+		response, err := c.callDaemon(ctx, address, options, call)
 		if err == nil {
-			c.history.Add(history.Event{Kind: history.ConfigurationAccepted, Revision: answer.GetRevision()})
+			c.history.Add(history.Event{Kind: history.ConfigurationAccepted, Revision: response.GetRevision()})
 			return nil
 		}
-		last = err
+		lastErr = err
 		time.Sleep(100 * time.Millisecond)
 	}
-	return eris.Wrap(last, "call operator API")
+	return eris.Wrap(lastErr, "call operator API")
 }
 
 func (c *cluster) operatorAddress(attempt int) (netip.AddrPort, bool) {
@@ -56,7 +56,7 @@
 	return netip.AddrPort{}, false
 }
 
-func (c *cluster) callOne(ctx context.Context, address netip.AddrPort, options *passtrayv1.ChangeOptions, call operatorCall) (*passtrayv1.ChangeResponse, error) {
+func (c *cluster) callDaemon(ctx context.Context, address netip.AddrPort, options *passtrayv1.ChangeOptions, call operatorCall) (*passtrayv1.ChangeResponse, error) {
 	config := c.credentials.Client(address.Addr().String(), pki.RoleDaemon)
 	config.NextProtos = []string{"h2"}
 	connection, err := grpc.NewClient("passthrough:///"+address.String(), grpc.WithTransportCredentials(credentials.NewTLS(config)))
@@ -67,15 +67,15 @@
 	return call(ctx, passtrayv1.NewOperatorClient(connection), options)
 }
 
-// waitInForce waits until the latest configuration is active on all live daemons.
-func (c *cluster) waitInForce() error {
+// waitActive waits until the latest configuration is active on all live daemons.
+func (c *cluster) waitActive() error {
 	address, found := c.operatorAddress(0)
 	if !found {
 		return eris.New("no daemon is running")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
 	defer cancel()
-	_, err := c.callOne(ctx, address, nil, func(ctx context.Context, client passtrayv1.OperatorClient, _ *passtrayv1.ChangeOptions) (*passtrayv1.ChangeResponse, error) {
+	_, err := c.callDaemon(ctx, address, nil, func(ctx context.Context, client passtrayv1.OperatorClient, _ *passtrayv1.ChangeOptions) (*passtrayv1.ChangeResponse, error) {
 		_, err := client.WaitInForce(ctx, &passtrayv1.WaitInForceRequest{})
 		return nil, err
 	})
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	formationTimeout = 30 * time.Second
-	sampleInterval   = 250 * time.Millisecond
-	progressInterval = 2 * time.Second
-	stallProbe       = 10 * time.Millisecond
-	// settle is the time between the end of the load and the collection of results.
-	settle = 2 * time.Second
+	startupTimeout     = 30 * time.Second
+	sampleInterval     = 250 * time.Millisecond
+	progressInterval   = 2 * time.Second
+	stallProbeInterval = 10 * time.Millisecond
+	// settleTime is the time between the end of the load and the collection of results.
+	settleTime = 2 * time.Second
 )
 
 // Options are settings of a run that aren't part of the scenario.
@@ -45,53 +45,53 @@
 	if options.StartDaemon == nil {
 		options.StartDaemon = inProcess(options.Logger)
 	}
-	built, err := newCluster(scenario, options.StartDaemon, events)
+	c, err := newCluster(scenario, options.StartDaemon, events)
 	if err != nil {
 		return nil, err
 	}
-	defer built.close()
-	run := &run{cluster: built, options: options, collector: report.NewCollector(string(scenario.Mode), scenario.Seed)}
+	defer c.close()
+	run := &run{cluster: c, options: options, collector: report.NewCollector(string(scenario.Mode), scenario.Seed)}
 	if err := run.prepare(ctx); err != nil {
 		return nil, err
 	}
-	run.play(ctx)
+	run.generateLoad(ctx)
 	return run.finish(ctx)
 }
 
 type run struct {
 	*cluster
-	options   Options
-	collector *report.Collector
-	callers   []*workload.Callers
-	waiting   sync.WaitGroup
-	began     time.Time
-	before    map[string]node.Stats
-	processor time.Duration
+	options         Options
+	collector       *report.Collector
+	callers         []*workload.Callers
+	wg              sync.WaitGroup
+	startedAt       time.Time
+	statsBefore     map[string]node.Stats
+	processorBefore time.Duration
 }
 
-func (r *run) say(format string, values ...any) {
+func (r *run) printProgress(format string, args ...any) {
 	if r.options.Progress != nil {
-		_, _ = fmt.Fprintf(r.options.Progress, format+"\n", values...)
+		_, _ = fmt.Fprintf(r.options.Progress, format+"\n", args...)
 	}
 }
 
-// start runs a task in a goroutine that play waits for.
+// start runs a task in a goroutine that generateLoad waits for.
 func (r *run) start(task func()) {
-	r.waiting.Add(1)
+	r.wg.Add(1)
 	go func() {
-		defer r.waiting.Done()
+		defer r.wg.Done()
 		task()
 	}()
 }
 
 func (r *run) prepare(ctx context.Context) error {
-	started := time.Now()
+	start := time.Now()
 	for {
 		if ready := r.fabric.ReadyCount(); ready == len(r.daemons) {
 			break
 		}
-		if time.Since(started) > formationTimeout {
-			return eris.Errorf("%d of %d daemons are ready after %s", r.fabric.ReadyCount(), len(r.daemons), formationTimeout)
+		if time.Since(start) > startupTimeout {
+			return eris.Errorf("%d of %d daemons are ready after %s", r.fabric.ReadyCount(), len(r.daemons), startupTimeout)
 		}
 		select {
 		case <-time.After(sampleInterval / 5):
@@ -99,21 +99,21 @@
 			return ctx.Err()
 		}
 	}
-	r.say("%d daemons ready after %.1f s", len(r.daemons), time.Since(started).Seconds())
-	declared := time.Now()
-	if err := r.declare(); err != nil {
+	r.printProgress("%d daemons ready after %.1f s", len(r.daemons), time.Since(start).Seconds())
+	addStart := time.Now()
+	if err := r.addServicesAndTargets(); err != nil {
 		return err
 	}
-	r.say("%d targets added in %.1f s", len(r.runningTargets()), time.Since(declared).Seconds())
+	r.printProgress("%d targets added in %.1f s", len(r.runningTargets()), time.Since(addStart).Seconds())
 	return nil
 }
 
-func (r *run) play(ctx context.Context) {
-	playing, cancel := context.WithTimeout(ctx, r.scenario.Duration)
+func (r *run) generateLoad(ctx context.Context) {
+	loadCtx, cancel := context.WithTimeout(ctx, r.scenario.Duration)
 	defer cancel()
-	r.began = time.Now()
-	r.before = r.daemonStats()
-	r.processor = resource.ProcessorTime()
+	r.startedAt = time.Now()
+	r.statsBefore = r.daemonStats()
+	r.processorBefore = resource.ProcessorTime()
 	for index := range r.scenario.Services {
 		service := &r.scenario.Services[index]
 		callers := workload.NewCallers(workload.CallerConfig{
@@ -121,33 +121,33 @@
 			OncePerSecond: service.OncePerSecond, Feeds: service.Feeds, UploadsPerSecond: service.UploadsPerSecond,
 			UploadBytes: service.UploadBytes, AnswerBytes: service.AnswerBytes,
 			Deadline: service.Deadline, FeedStall: service.FeedStall,
-			History: r.history, Record: func(class workload.Class, took time.Duration) {
-				r.collector.Latency(service.Name, string(class), took)
+			History: r.history, Record: func(class workload.Class, duration time.Duration) {
+				r.collector.Latency(service.Name, string(class), duration)
 			},
 		}, r.scenario.Seed+uint64(index))
 		r.callers = append(r.callers, callers)
-		callers.Run(playing, r.start)
+		callers.Run(loadCtx, r.start)
 	}
-	r.start(func() { r.sample(playing) })
-	r.start(func() { r.watchStalls(playing) })
-	r.playFaults(playing)
-	<-playing.Done()
-	r.waiting.Wait()
+	r.start(func() { r.sample(loadCtx) })
+	r.start(func() { r.watchStalls(loadCtx) })
+	r.injectFaults(loadCtx)
+	<-loadCtx.Done()
+	r.wg.Wait()
 }
 
-func (r *run) playFaults(ctx context.Context) {
+func (r *run) injectFaults(ctx context.Context) {
 	faults := slices.Clone(r.scenario.Faults)
 	slices.SortStableFunc(faults, func(a, b Fault) int { return int(a.At - b.At) })
 	for index := range faults {
 		select {
-		case <-time.After(time.Until(r.began.Add(faults[index].At))):
+		case <-time.After(time.Until(r.startedAt.Add(faults[index].At))):
 		case <-ctx.Done():
 			return
 		}
-		r.say("%6.1fs fault %s", time.Since(r.began).Seconds(), faults[index])
-		if err := r.do(ctx, &faults[index], r.start); err != nil {
+		r.printProgress("%6.1fs fault %s", time.Since(r.startedAt).Seconds(), faults[index])
+		if err := r.inject(ctx, &faults[index], r.start); err != nil {
 			// The run continues: a fault that failed, such as for lack of a leader, changes nothing.
-			r.say("%6.1fs fault %s failed: %s", time.Since(r.began).Seconds(), faults[index], err)
+			r.printProgress("%6.1fs fault %s failed: %s", time.Since(r.startedAt).Seconds(), faults[index], err)
 		}
 	}
 }
@@ -163,7 +163,7 @@
 		case <-ctx.Done():
 			return
 		}
-		at := time.Since(r.began)
+		at := time.Since(r.startedAt)
 		loads := map[string][]report.TargetLoad{}
 		for _, target := range r.runningTargets() {
 			if target.IsDraining() {
@@ -179,7 +179,7 @@
 		}
 		if time.Since(lastProgress) >= progressInterval {
 			lastProgress = time.Now()
-			r.sayProgress(at)
+			r.printStatus(at)
 		}
 	}
 }
@@ -187,7 +187,7 @@
 // watchStalls measures delays of a ticker, which show whether the machine was too busy for
 // meaningful latency measurements.
 func (r *run) watchStalls(ctx context.Context) {
-	ticker := time.NewTicker(stallProbe)
+	ticker := time.NewTicker(stallProbeInterval)
 	defer ticker.Stop()
 	last := time.Now()
 	for {
@@ -197,12 +197,12 @@
 			return
 		}
 		now := time.Now()
-		r.collector.Stall(now.Sub(last) - stallProbe)
+		r.collector.Stall(now.Sub(last) - stallProbeInterval)
 		last = now
 	}
 }
 
-func (r *run) sayProgress(at time.Duration) {
+func (r *run) printStatus(at time.Duration) {
 	answered, refused, unknown, feeds := uint64(0), uint64(0), uint64(0), int64(0)
 	for _, callers := range r.callers {
 		answered += callers.Answered.Load()
@@ -210,7 +210,7 @@
 		unknown += callers.Unknown.Load()
 		feeds += callers.OpenFeed.Load()
 	}
-	r.say("%6.1fs answered %d, not run %d, unknown %d, feeds open %d, daemons ready %d",
+	r.printProgress("%6.1fs answered %d, not run %d, unknown %d, feeds open %d, daemons ready %d",
 		at.Seconds(), answered, refused, unknown, feeds, r.fabric.ReadyCount())
 }
 
@@ -224,15 +224,15 @@
 
 func (r *run) finish(ctx context.Context) (*report.Report, error) {
 	select {
-	case <-time.After(settle):
+	case <-time.After(settleTime):
 	case <-ctx.Done():
 	}
-	span := time.Since(r.began)
+	span := time.Since(r.startedAt)
 	for name, stats := range r.daemonStats() {
-		if before, ranBefore := r.before[name]; ranBefore && stats.ControlBytes >= before.ControlBytes {
+		if statsBefore, ranBefore := r.statsBefore[name]; ranBefore && stats.ControlBytes >= statsBefore.ControlBytes {
 			r.collector.Cost(report.DaemonCost{
-				ControlBytesPerSecond: float64(stats.ControlBytes-before.ControlBytes) / span.Seconds(),
-				CoreShare:             (stats.CPUSeconds - before.CPUSeconds) / span.Seconds(),
+				ControlBytesPerSecond: float64(stats.ControlBytes-statsBefore.ControlBytes) / span.Seconds(),
+				CoreShare:             (stats.CPUSeconds - statsBefore.CPUSeconds) / span.Seconds(),
 				ResidentBytes:         stats.ResidentBytes,
 			})
 		}
@@ -245,7 +245,7 @@
 			return nil, err
 		}
 	}
-	attempts := r.ended.attempts
+	attempts := r.endedTargets.attempts
 	for _, target := range r.runningTargets() {
 		attempts += target.Attempts()
 	}
@@ -254,11 +254,11 @@
 		dials += callers.Dials.Load()
 		failed += callers.Failed.Load()
 	}
-	made := r.collector.Finish(report.Totals{
-		Span: span, Processor: resource.ProcessorTime() - r.processor, Dials: dials, FailedDials: failed, Attempts: attempts,
+	result := r.collector.Finish(report.Totals{
+		Span: span, Processor: resource.ProcessorTime() - r.processorBefore, Dials: dials, FailedDials: failed, Attempts: attempts,
 	}, events)
-	if r.options.FailedHistoryPath != "" && !made.Holds() {
-		return made, history.Save(r.options.FailedHistoryPath, events)
+	if r.options.FailedHistoryPath != "" && !result.Holds() {
+		return result, history.Save(r.options.FailedHistoryPath, events)
 	}
-	return made, nil
+	return result, nil
 }
