--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -146,7 +146,7 @@
 		}
 		r.printProgress("%6.1fs fault %s", time.Since(r.startedAt).Seconds(), faults[index])
 		if err := r.inject(ctx, &faults[index], r.start); err != nil {
-			// The run continues: a fault that failed, such as for lack of a leader, changes nothing.
+			// The run continues: a change that no leader could commit has no effect.
 			r.printProgress("%6.1fs fault %s failed: %s", time.Since(r.startedAt).Seconds(), faults[index], err)
 		}
 	}
--- a/internal/lab/storelab/caller.go
+++ b/internal/lab/storelab/caller.go
@@ -113,8 +113,8 @@
 type callerFlow struct {
 	name  Flow
 	inbox chan received
-	// token is the last one received; next and awaited are the sequence numbers of the
-	// next byte to send and to receive.
+	// token is the last one received; nextSend and nextReceive are the sequence numbers of
+	// the next byte to send and to receive.
 	token                 uint32
 	nextSend, nextReceive uint32
 }
--- a/internal/lab/storelab/check.go
+++ b/internal/lab/storelab/check.go
@@ -58,7 +58,8 @@
 type checker struct {
 	bounds   Bounds
 	verdicts map[string]*Verdict
-	// removedAt is when a pair that was once allowed was removed, negative while it is allowed.
+	// removedAt is when a service was removed from a route, negative while the route has it.
+	// Services that a route never had are missing.
 	removedAt     map[routeService]time.Duration
 	drainingSince map[uint64]time.Duration
 	endedAt       map[uint64]time.Duration
--- a/internal/lab/storelab/fault.go
+++ b/internal/lab/storelab/fault.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// restartGracefully restarts a daemon gracefully. It isn't recorded as a fault, since no flow may be lost by it.
+// restartGracefully isn't recorded as a fault, since no flow may be lost by it.
 func (s *site) restartGracefully(d *daemon) {
 	s.recorder.Note(Event{Kind: DaemonSignalled, Detail: d.name})
 	<-d.terminate(syscall.SIGTERM)
@@ -166,7 +166,7 @@
 	}
 }
 
-// muteOpenConnections makes all open connections to the store unresponsive for the rest of their lifetime.
+// muteOpenConnections makes all open connections to the store unresponsive until they are closed.
 func (s *site) muteOpenConnections(*rand.Rand) {
 	s.noteFault(0, "open connections to the store are unresponsive")
 	for _, d := range s.daemons {
--- a/internal/lab/storelab/large.go
+++ b/internal/lab/storelab/large.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// daemonBytes is the approximate memory per daemon, including the test process's part for it.
+	// daemonBytes is the approximate memory per daemon, including this process's state for it.
 	daemonBytes = 48 << 20
-	// maxDaemons is limited by the addresses of a /24 network.
+	// maxDaemons is limited by the addresses in the daemons' /24 network.
 	maxDaemons = 200
 
 	memoryFile  = "/proc/meminfo"
--- a/internal/lab/storelab/router.go
+++ b/internal/lab/storelab/router.go
@@ -26,7 +26,7 @@
 
 	mutex      sync.Mutex
 	inRotation []netip.AddrPort
-	// pinned are the daemons that flows of forwardPinned are pinned to.
+	// pinned holds the processes to which forwardPinned sends open flows.
 	pinned map[Flow]daemonProcess
 	// processAt returns the number of the process at a data address, 0 if there is none.
 	processAt func(data netip.AddrPort) int
@@ -45,7 +45,7 @@
 	failures int
 }
 
-// probe probes the daemons' readiness until ctx is done.
+// probe checks the daemons' readiness every probeInterval until ctx is done.
 func (r *router) probe(ctx context.Context) {
 	client := &http.Client{Timeout: probeInterval}
 	for index := range r.daemons {
@@ -120,7 +120,8 @@
 	_, _ = r.socket.WriteToUDPAddrPort(datagram, pinned.data)
 }
 
-// selectDaemon returns the daemon that a flow's hash selects, or an invalid address if none is in rotation.
+// selectDaemon returns the daemon that a flow's hash selects, or an invalid address if none is in
+// rotation.
 func (r *router) selectDaemon(flow Flow) netip.AddrPort {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(flow.Caller.String() + flow.Route.String()))
--- a/internal/lab/storelab/run.go
+++ b/internal/lab/storelab/run.go
@@ -134,7 +134,7 @@
 	}
 }
 
-// inject injects the faults at their times and returns when all are over.
+// inject starts the faults at their times and returns when all are over.
 func (s *site) inject(ctx context.Context, faults []Fault) {
 	start := time.Now()
 	var wg sync.WaitGroup
--- a/internal/lab/storelab/site.go
+++ b/internal/lab/storelab/site.go
@@ -63,7 +63,7 @@
 	// restoreMutex is held from a restore of the store until the lost entries are written again.
 	restoreMutex sync.Mutex
 
-	// lastVersion, identifier, host and lastRequest are the last ones assigned.
+	// identifier and host are the last ones assigned to a target.
 	mutex       sync.Mutex
 	routes      map[netip.AddrPort]string
 	lastVersion uint64
@@ -170,7 +170,8 @@
 	return s.daemons[host-1].currentProcess()
 }
 
-// handleUnexpectedExit records an unexpected exit of a daemon and restarts it, as a service manager does.
+// handleUnexpectedExit records an unexpected exit of a daemon and restarts it, as a service manager
+// does.
 func (s *site) handleUnexpectedExit(d *daemon, state string) {
 	s.recorder.Note(Event{Kind: DaemonEnded, Detail: fmt.Sprintf("%s exited unexpectedly: %s", d.name, state)})
 	time.AfterFunc(restartDelay, func() { s.startDaemon(d) })
