--- a/internal/lab/environment/fabric.go
+++ b/internal/lab/environment/fabric.go
@@ -51,8 +51,9 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
-	// Sprayed and Returned count datagrams to daemons and to callers.
-	Sprayed  atomic.Uint64
+	// Sprayed counts datagrams to daemons.
+	Sprayed atomic.Uint64
+	// Returned counts datagrams to callers.
 	Returned atomic.Uint64
 }
 
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -45,8 +45,7 @@
 	TargetDrained
 	// TargetCrashed: a target stopped without draining.
 	TargetCrashed
-	// DaemonsCut and DaemonsJoined: a daemon was paused or partitioned from the others, or is no
-	// longer.
+	// DaemonsCut and DaemonsJoined: a pause or network partition of a daemon began or ended.
 	DaemonsCut
 	DaemonsJoined
 	RunEnded
--- a/internal/lab/storelab/check.go
+++ b/internal/lab/storelab/check.go
@@ -9,10 +9,10 @@
 
 // Bounds are the time limits of the invariants.
 type Bounds struct {
-	// Converge is the maximum time until a new configuration is active, Leave the maximum
-	// time for which a draining target may get new flows.
+	// The maximum times until a new configuration is active, and for which a draining target
+	// may get new flows.
 	Converge, Leave time.Duration
-	// Settle is the time after a fault during which Converge and Leave aren't checked.
+	// Settle is the time after a fault during which the bounds above aren't checked.
 	Settle time.Duration
 	// Answer is the time after a fault until requests on open flows must be answered again.
 	Answer time.Duration
--- a/internal/lab/storelab/events.go
+++ b/internal/lab/storelab/events.go
@@ -18,10 +18,9 @@
 	// TargetLeaving: the target's entry in the store was marked as draining or removed.
 	TargetLeaving
 	TargetEnded
-	// Disturbed: a fault began that lasts for Span.
+	// Disturbed: a fault began.
 	Disturbed
-	// OpeningTaken: a target accepted the first packet of a flow. Span is the time since its
-	// caller sent it, if known.
+	// OpeningTaken: a target accepted the first packet of a flow.
 	OpeningTaken
 	// FlowOpened: the handshake of a flow is complete at its target.
 	FlowOpened
@@ -52,8 +51,9 @@
 	Request uint64
 	// MayRepeat says that the request is idempotent and may run more than once.
 	MayRepeat bool
-	Span      time.Duration
-	Detail    string
+	// Span is the duration of a fault, or the age of the first packet of a flow if known.
+	Span   time.Duration
+	Detail string
 }
 
 // Recorder collects events. It is safe for concurrent use.
--- a/internal/lab/storelab/run.go
+++ b/internal/lab/storelab/run.go
@@ -23,13 +23,14 @@
 	// Targets is the number of targets per service, Callers the number of client hosts.
 	Targets int
 	Callers int
-	// Faults is the number of faults drawn over Span. After them and the planned maintenance that
-	// follows, callers continue for Calm.
+	// Faults is the number of faults to draw.
 	Faults int
-	Span   time.Duration
-	Calm   time.Duration
-	// Series is the number of series of signals, restarts and changes that are drawn over Span in
-	// addition to the faults.
+	// Span is the period over which faults and series are distributed.
+	Span time.Duration
+	// Calm is how long callers continue after the faults and the planned maintenance.
+	Calm time.Duration
+	// Series is the number of series of signals, restarts and changes to draw in addition to the
+	// faults.
 	Series int
 	Bounds Bounds
 }
--- a/internal/lab/storelab/site.go
+++ b/internal/lab/storelab/site.go
@@ -46,7 +46,7 @@
 	routeExtra = netip.MustParseAddrPort("198.18.0.3:443")
 )
 
-// drainMargin is how much longer than Bounds.Leave a draining target runs.
+// drainMargin is how long a draining target runs after it must get no more new flows.
 const drainMargin = time.Second
 
 // site holds the daemons and the simulated environment of one run.
@@ -277,7 +277,7 @@
 	return routes
 }
 
-// drain marks a target as draining and ends it after Bounds.Leave and drainMargin.
+// drain marks a target as draining and ends it drainMargin after it must get no more new flows.
 func (s *site) drain(leaving *target) {
 	s.mutex.Lock()
 	s.putTarget(leaving, true)
--- a/internal/lab/workload/caller.go
+++ b/internal/lab/workload/caller.go
@@ -49,13 +49,15 @@
 	config CallerConfig
 	random *rand.Rand
 	number atomic.Uint64
-	// Dials and Failed count connection attempts, Answered, Refused and Unknown attempts
-	// at requests by outcome.
-	Dials    atomic.Uint64
-	Failed   atomic.Uint64
+	// Dials counts connection attempts.
+	Dials atomic.Uint64
+	// Failed counts connection attempts that failed.
+	Failed atomic.Uint64
+	// The number of attempts at requests by outcome.
 	Answered atomic.Uint64
 	Refused  atomic.Uint64
 	Unknown  atomic.Uint64
+	// OpenFeed is the current number of open feeds.
 	OpenFeed atomic.Int64
 }
 
