--- a/internal/lab/report/collector.go
+++ b/internal/lab/report/collector.go
@@ -1,5 +1,5 @@
-// Package report gathers a run's measurements and prints them: a table for a
-// person, JSON for scripts, a page with plots.
+// Package report collects the measurements of a run and writes them as a text table,
+// as JSON or as an HTML page with plots.
 package report
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/passtray/passtray/internal/statistics"
 )
 
-// TargetLoad is one target's load at one moment.
+// TargetLoad is the load of one target at one time.
 type TargetLoad struct {
 	Target      string
 	Connections int
@@ -20,26 +20,26 @@
 	Accepted    uint64
 }
 
-// sample is the imbalance of one service at one moment.
+// sample is the imbalance of one service at one time.
 type sample struct {
 	at          time.Duration
 	connections statistics.Imbalance
 	busy        statistics.Imbalance
 }
 
-// Collector gathers measurements. It is safe for concurrent use.
+// Collector collects measurements. It is safe for concurrent use.
 type Collector struct {
-	mutex     sync.Mutex
-	mode      string
-	seed      uint64
-	latencies map[latencyKey]*hdrhistogram.Histogram
-	samples   map[string][]sample
-	last      map[string][]TargetLoad
-	costs     []DaemonCost
-	stall     time.Duration
-	stalled   time.Duration
-	actions   map[string]uint64
-	drops     map[string]uint64
+	mutex        sync.Mutex
+	mode         string
+	seed         uint64
+	latencies    map[latencyKey]*hdrhistogram.Histogram
+	samples      map[string][]sample
+	latestLoads  map[string][]TargetLoad
+	costs        []DaemonCost
+	longestStall time.Duration
+	totalStall   time.Duration
+	actions      map[string]uint64
+	drops        map[string]uint64
 }
 
 type latencyKey struct {
@@ -48,33 +48,32 @@
 }
 
 const (
-	lowestLatency  = 1           // microseconds
-	highestLatency = 120_000_000 // microseconds
-	latencyDigits  = 3
-	minimumMean    = 0.5 // below it a ratio to the mean says nothing
+	minLatency    = 1           // microseconds
+	maxLatency    = 120_000_000 // microseconds
+	latencyDigits = 3
+	minMean       = 0.5 // below it, imbalance is not meaningful
 )
 
-// NewCollector makes a collector.
 func NewCollector(mode string, seed uint64) *Collector {
 	return &Collector{
 		mode: mode, seed: seed,
 		latencies: map[latencyKey]*hdrhistogram.Histogram{}, samples: map[string][]sample{},
-		last: map[string][]TargetLoad{}, actions: map[string]uint64{}, drops: map[string]uint64{},
+		latestLoads: map[string][]TargetLoad{}, actions: map[string]uint64{}, drops: map[string]uint64{},
 	}
 }
 
-// Latency records how long something took.
-func (c *Collector) Latency(service, class string, took time.Duration) {
+// Latency records one duration in a class's latency histogram.
+func (c *Collector) Latency(service, class string, duration time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	key := latencyKey{service, class}
 	histogram := c.latencies[key]
 	if histogram == nil {
-		histogram = hdrhistogram.New(lowestLatency, highestLatency, latencyDigits)
+		histogram = hdrhistogram.New(minLatency, maxLatency, latencyDigits)
 		c.latencies[key] = histogram
 	}
-	// Longer than the longest is recorded as the longest.
-	_ = histogram.RecordValue(min(took.Microseconds(), highestLatency))
+	// Durations beyond the histogram's range are recorded as its maximum.
+	_ = histogram.RecordValue(min(duration.Microseconds(), maxLatency))
 }
 
 // Load records the loads of one service's targets.
@@ -87,49 +86,50 @@
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.last[service] = loads
-	c.samples[service] = append(c.samples[service], sample{at: at, connections: telling(connections), busy: telling(busy)})
+	c.latestLoads[service] = loads
+	c.samples[service] = append(c.samples[service], sample{at: at, connections: imbalanceOf(connections), busy: imbalanceOf(busy)})
 }
 
-// telling returns the imbalance of values that are enough to say something.
-func telling(values []float64) statistics.Imbalance {
+// imbalanceOf returns the imbalance of values, or the zero value if their mean is too low.
+func imbalanceOf(values []float64) statistics.Imbalance {
 	imbalance, mean := statistics.ImbalanceOf(values)
-	if mean < minimumMean {
+	if mean < minMean {
 		return statistics.Imbalance{}
 	}
 	return imbalance
 }
 
-// DaemonCost is what one daemon spent over the run.
+// DaemonCost is the resource usage of one daemon over the run.
 type DaemonCost struct {
 	ControlBytesPerSecond float64
-	// CoreShare and ResidentBytes are 0 for a daemon that shares its process.
+	// CoreShare is the processor time divided by the run's duration. CoreShare and ResidentBytes
+	// are 0 if the daemon runs inside the lab's process.
 	CoreShare     float64
 	ResidentBytes float64
 }
 
-// stallFloor is the lateness that any machine shows now and then.
-const stallFloor = 20 * time.Millisecond
+// minStall is the timer delay below which a stall isn't recorded.
+const minStall = 20 * time.Millisecond
 
-// Stall records by how much a timer of the lab came late.
-func (c *Collector) Stall(late time.Duration) {
-	if late < stallFloor {
+// Stall records the delay of one of the lab's timers.
+func (c *Collector) Stall(delay time.Duration) {
+	if delay < minStall {
 		return
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.stall = max(c.stall, late)
-	c.stalled += late
+	c.longestStall = max(c.longestStall, delay)
+	c.totalStall += delay
 }
 
-// Cost records one daemon's cost.
+// Cost records the resource usage of one daemon.
 func (c *Collector) Cost(cost DaemonCost) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.costs = append(c.costs, cost)
 }
 
-// Daemon adds one daemon's counters.
+// Daemon adds one daemon's packet counters to the totals.
 func (c *Collector) Daemon(actions, drops map[string]uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -141,31 +141,31 @@
 	}
 }
 
-// Totals are what the run itself counted.
+// Totals are measurements of the whole run.
 type Totals struct {
 	Span        time.Duration
 	Processor   time.Duration
 	Dials       uint64
 	FailedDials uint64
-	// Attempts are the handshakes begun at targets.
+	// Attempts is the number of handshakes begun at targets.
 	Attempts uint64
 }
 
-// Finish judges the history and makes the report.
+// Finish checks the history's invariants and returns the report.
 func (c *Collector) Finish(totals Totals, events []history.Event) *Report {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	made := &Report{
+	r := &Report{
 		Mode: c.mode, Seed: c.seed, Seconds: totals.Span.Seconds(),
 		Dials: totals.Dials, FailedDials: totals.FailedDials, Attempts: totals.Attempts,
 		ProcessCPUSeconds: totals.Processor.Seconds(),
-		LongestStall:      c.stall.Seconds(), StalledSeconds: c.stalled.Seconds(),
+		LongestStall:      c.longestStall.Seconds(), StalledSeconds: c.totalStall.Seconds(),
 		Actions: c.actions, Drops: c.drops,
-		Verdicts: history.Check(events), samples: c.samples, lastLoads: c.last,
+		Verdicts: history.Check(events), samples: c.samples, lastLoads: c.latestLoads,
 	}
-	made.countEvents(events)
-	made.addLatencies(c.latencies)
-	made.addImbalance(c.samples)
-	made.addCosts(c.costs)
-	return made
+	r.countEvents(events)
+	r.addLatencies(c.latencies)
+	r.addImbalance(c.samples)
+	r.addDaemonCosts(c.costs)
+	return r
 }
