--- a/internal/lab/labctl/balance.go
+++ b/internal/lab/labctl/balance.go
@@ -10,17 +10,17 @@
 
 type balanceCommand struct {
 	program  *program
-	Daemons  int           `long:"daemons" default:"6" description:"number of daemons that choose targets"`
-	Targets  int           `long:"targets" default:"15" description:"number of targets of the service"`
-	Feeds    float64       `long:"feeds-per-second" default:"4" description:"rate at which long-lived feeds are opened"`
-	Life     time.Duration `long:"feed-life" default:"60s" description:"mean duration of a feed"`
-	Requests float64       `long:"requests-per-second" default:"1200" description:"rate of short requests"`
-	Work     time.Duration `long:"work" default:"12ms" description:"mean processing time of a request"`
-	Interval time.Duration `long:"report-interval" default:"200ms" description:"interval of load reports on a feed"`
-	Lag      time.Duration `long:"report-lag" default:"2ms" description:"age of a load report when it is received"`
-	Liars    int           `long:"liars" default:"0" description:"number of targets that always report a load of 0"`
-	Span     time.Duration `long:"span" default:"240s" description:"simulated time, of which the second half is measured"`
-	Seeds    int           `long:"seeds" default:"3" description:"number of seeds to average over"`
+	Daemons  int           `long:"daemons" default:"6" description:"daemons that pick"`
+	Targets  int           `long:"targets" default:"15" description:"targets of the service"`
+	Feeds    float64       `long:"feeds-per-second" default:"4" description:"long feeds opened"`
+	Life     time.Duration `long:"feed-life" default:"60s" description:"mean life of a feed"`
+	Requests float64       `long:"requests-per-second" default:"1200" description:"short requests"`
+	Work     time.Duration `long:"work" default:"12ms" description:"mean work of a request"`
+	Interval time.Duration `long:"report-interval" default:"200ms" description:"how often a feed brings a report"`
+	Lag      time.Duration `long:"report-lag" default:"2ms" description:"age of a report when it comes"`
+	Liars    int           `long:"liars" default:"0" description:"targets that report an empty house"`
+	Span     time.Duration `long:"span" default:"240s" description:"virtual time; the second half is measured"`
+	Seeds    int           `long:"seeds" default:"3" description:"seeds averaged"`
 }
 
 // Execute implements flags.Commander.
--- a/internal/lab/labctl/soak.go
+++ b/internal/lab/labctl/soak.go
@@ -15,15 +15,15 @@
 
 type soakCommand struct {
 	program   *program
-	Seeds     int           `long:"seeds" default:"10" description:"number of schedules"`
-	First     *uint64       `long:"first" description:"first seed; without it, seeds start at 1, or are random with --source store"`
-	Parallel  int           `long:"parallel" default:"2" description:"number of concurrent runs"`
-	Duration  time.Duration `long:"duration" default:"14s" description:"override the scenario's duration"`
-	Directory string        `long:"directory" default:"lab-out" description:"directory for histories of failed runs; with --source store, for settings and logs of the daemons"`
-	Source    string        `long:"source" choice:"fleet" choice:"store" default:"fleet" description:"source of the configuration, as for passtrayd"`
-	Binary    string        `long:"binary" default:".bin/passtrayd" description:"with --source store: path of the daemon's executable"`
-	Seed      *uint64       `long:"seed" description:"with --source store: run only this schedule"`
-	Large     int           `long:"large-every" default:"10" description:"with --source store: every n-th run has as many daemons as fit into half of the memory; 0 disables this"`
+	Seeds     int           `long:"seeds" default:"10" description:"how many schedules"`
+	First     *uint64       `long:"first" description:"the first seed; without it 1, with a store drawn ones"`
+	Parallel  int           `long:"parallel" default:"2" description:"how many runs at once"`
+	Duration  time.Duration `long:"duration" default:"14s" description:"replaces the scenario's duration"`
+	Directory string        `long:"directory" default:"lab-out" description:"where failing histories go; with a store, settings and logs of the daemons"`
+	Source    string        `long:"source" choice:"fleet" choice:"store" default:"fleet" description:"where the configuration comes from, as for passtrayd"`
+	Binary    string        `long:"binary" default:".bin/passtrayd" description:"with a store: the daemon's program"`
+	Seed      *uint64       `long:"seed" description:"with a store: play just this schedule"`
+	Large     int           `long:"large-every" default:"10" description:"with a store: each run of so many has as many daemons as half of the memory holds; 0 is none"`
 	Args      struct {
 		Scenario string `positional-arg-name:"SCENARIO"`
 	} `positional-args:"true"`
