--- a/internal/ctl/apply.go
+++ b/internal/ctl/apply.go
@@ -96,8 +96,8 @@
 type applyCommand struct {
 	program *program
 	File    string `short:"f" long:"file" required:"true" description:"declaration (YAML)"`
-	Wait    bool   `long:"wait" description:"wait until all changes are active on every live daemon"`
-	DryRun  bool   `long:"dry-run" description:"print the changes without making them"`
+	Wait    bool   `long:"wait" description:"return only when all is in force on every live daemon"`
+	DryRun  bool   `long:"dry-run" description:"print what would be done and change nothing"`
 }
 
 // plannedChange is a call of apply to the operator API.
--- a/internal/ctl/changes.go
+++ b/internal/ctl/changes.go
@@ -7,8 +7,8 @@
 )
 
 type limitFlags struct {
-	Flows       uint32 `long:"new-flows-per-second" description:"limit over the whole region; 0 means no limit"`
-	Connections uint32 `long:"connections-per-target" description:"maximum number of open connections per target; 0 means 2,000"`
+	Flows       uint32 `long:"new-flows-per-second" description:"limit over the whole region; 0 is none"`
+	Connections uint32 `long:"connections-per-target" description:"open connections a target may hold; 0 is 2,000"`
 }
 
 func (f *limitFlags) limits() *passtrayv1.Limits {
@@ -19,7 +19,7 @@
 	program *program
 	ChangeFlags
 	limitFlags
-	Address  string `long:"address" required:"true" description:"IP:port that callers connect to"`
+	Address  string `long:"address" required:"true" description:"IP:port that callers use"`
 	Protocol string `long:"protocol" default:"quic" description:"quic or udp"`
 	Priority string `long:"priority" required:"true" description:"critical, standard or bulk"`
 	Name     struct {
@@ -50,7 +50,7 @@
 	program *program
 	ChangeFlags
 	limitFlags
-	Priority string `long:"priority" description:"critical, standard or bulk; unchanged if omitted"`
+	Priority string `long:"priority" description:"critical, standard or bulk; kept if not given"`
 	Name     struct {
 		Name string `positional-arg-name:"NAME"`
 	} `positional-args:"true" required:"true"`
@@ -102,8 +102,8 @@
 	ChangeFlags
 	targetNames
 	Address string `long:"address" required:"true" description:"IP:port the target listens on"`
-	Zone    string `long:"zone" required:"true" description:"the target's zone"`
-	Weight  uint32 `long:"weight" default:"100" description:"relative share of new flows, 0 to 1000"`
+	Zone    string `long:"zone" required:"true" description:"where it stands"`
+	Weight  uint32 `long:"weight" default:"100" description:"its share of new flows, 0 to 1000"`
 }
 
 // Execute implements flags.Commander.
@@ -120,7 +120,7 @@
 	program *program
 	ChangeFlags
 	targetNames
-	Weight uint32 `long:"weight" required:"true" description:"relative share of new flows, 0 to 1000"`
+	Weight uint32 `long:"weight" required:"true" description:"its share of new flows, 0 to 1000"`
 }
 
 // Execute implements flags.Commander.
