--- a/backend/backend.go
+++ b/backend/backend.go
@@ -38,7 +38,7 @@
 	// empty, every source is trusted, which is safe only on an isolated network.
 	Daemons []netip.Prefix
 	// Load, if set, overrides the counted load in reports. It is called for every datagram sent
-	// and must not block.
+	// and must be fast.
 	Load func(busySlots uint16, connections uint32) (uint16, uint32)
 	// Trace, if set, is called for every valid datagram received, with the service address that
 	// the caller used and whether the datagram was accepted. It must not block.
@@ -125,7 +125,7 @@
 	}, nil
 }
 
-// Attempts returns the number of handshakes started by clients, including rejected and incomplete
+// Attempts returns the number of handshakes started by callers, including rejected and incomplete
 // ones.
 func (l *Listener) Attempts() uint64 { return l.attempts.Load() }
 
--- a/internal/coldshare/coldshare.go
+++ b/internal/coldshare/coldshare.go
@@ -19,7 +19,7 @@
 	// membership, as in a partition, may allocate it twice.
 	allocatedFraction = 0.5
 	// minShare is the minimum share of a daemon in flows per second. More of smaller shares would
-	// stay unused, since clients are not spread evenly.
+	// stay unused, since callers are not spread evenly.
 	minShare = 2
 )
 
--- a/internal/dissemination/store.go
+++ b/internal/dissemination/store.go
@@ -164,7 +164,8 @@
 	return true, nil
 }
 
-// Since returns the update from the version have to the local one; false if have is not older.
+// Since returns an update that brings a daemon forward from the version have, by a limited number
+// of entries or by a snapshot; false if have is not older.
 func (s *Store) Since(have Version) (Update, bool) {
 	if s.version.Against(have) != Newer {
 		return Update{}, false
--- a/internal/forwarding/worker.go
+++ b/internal/forwarding/worker.go
@@ -130,7 +130,7 @@
 	for len(pending) > 0 {
 		sent, err := batch.socket.WriteBatch(pending, 0)
 		if err != nil {
-			// The error concerns the first datagram, for example a port that nobody listens on. It is dropped, and
+			// The error concerns the first datagram, for example one sent to a closed port. It is dropped, and
 			// the rest of the batch is sent.
 			w.counters.SendError.Add(1)
 			sent = 1
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -101,8 +101,8 @@
 }
 
 // Totals returns the number of open flows at each target according to all valid reports. It
-// reports false if some daemon has more targets than it can report; then the totals would be
-// incomplete, and a daemon has enough flows of its own to judge by.
+// reports false if some daemon has more targets than it can report: the totals then lack that
+// daemon's flows, and a daemon's own counts, which are high in this case, are the better measure.
 func (e *Exchange) Totals(now time.Time) (totals map[Mark]int, areComplete bool) {
 	totals = map[Mark]int{}
 	for _, held := range e.reports {
--- a/internal/node/data.go
+++ b/internal/node/data.go
@@ -135,7 +135,8 @@
 	}
 }
 
-// resendHandovers steers packets again whose owner did not acknowledge them in time; they go to the next owner.
+// resendHandovers steers again the handovers that were not acknowledged in time: to the next owner, or to the same one
+// if that has missed only a single acknowledgement.
 func (n *Node) resendHandovers(backend forwarding.Socket) {
 	defer n.Waiting.Done()
 	worker := forwarding.NewWorker(backend, backendHandler{n.plane}, &n.plane.counters.Counters)
--- a/internal/ownership/peers.go
+++ b/internal/ownership/peers.go
@@ -9,7 +9,7 @@
 
 const (
 	// ackTimeout is how long handovers may be unacknowledged before their peer is avoided: many
-	// round trips within a region, and well below a client's first retransmission timeout.
+	// round trips within a region, and well below a caller's first retransmission timeout.
 	ackTimeout = 100 * time.Millisecond
 	// minUnacknowledged is the number of handovers that must be unacknowledged, so that one lost
 	// acknowledgement does not count.
@@ -77,7 +77,7 @@
 	p.sent = 0
 }
 
-// TakeSilent returns the handovers to send elsewhere if the peer did not acknowledge in time, and
+// TakeSilent returns the handovers to send again if the peer did not acknowledge in time, and
 // ends the avoidance of a peer that is due to be tried again.
 func (p *Peer) TakeSilent(now time.Time) []Handover {
 	p.mutex.Lock()
--- a/internal/ownership/pins.go
+++ b/internal/ownership/pins.go
@@ -48,7 +48,7 @@
 }
 
 // NewTable returns a table of at most capacity pins, which expire lifetime after their last use.
-// Answers can be recorded in it with MarkAnswered.
+// It supports MarkAnswered.
 func NewTable(capacity int, lifetime time.Duration) *Table {
 	table := NewFlowTable(capacity, lifetime)
 	for index := range table.shards {
@@ -101,7 +101,7 @@
 }
 
 // MarkAnswered records that a target answered a caller and reports whether this was the first
-// answer.
+// response.
 func (t *Table) MarkAnswered(service uint32, caller netip.AddrPort, target uint32) bool {
 	shard := t.shardOf(service, caller)
 	shard.mutex.Lock()
--- a/internal/steering/decide.go
+++ b/internal/steering/decide.go
@@ -52,7 +52,7 @@
 // String returns the reason's metric label.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Packet is a packet from a caller (client).
+// Packet is a packet from a caller.
 type Packet struct {
 	Service netip.AddrPort
 	Caller  netip.AddrPort
--- a/internal/targetspeed/estimate.go
+++ b/internal/targetspeed/estimate.go
@@ -23,7 +23,7 @@
 type Estimate struct {
 	// Speed is relative to the usual speed: 0.5 is half as fast.
 	Speed float64
-	// Observations is the number of answers behind the estimate, decayed with age.
+	// Observations is the number of responses behind the estimate, decayed with age.
 	Observations float64
 }
 
--- a/internal/targetspeed/exchange.go
+++ b/internal/targetspeed/exchange.go
@@ -43,7 +43,7 @@
 	sent int
 }
 
-// reporterID is a daemon's IPv4 address and port packed into six bytes, to save memory.
+// reporterID is a daemon's IPv4 address and port in the lower six bytes, to save memory.
 type reporterID uint64
 
 func reporterIDOf(address netip.AddrPort) reporterID {
@@ -81,7 +81,7 @@
 	}
 }
 
-// Note records the latency ratio of an answer: its time to first byte over the usual one of its
+// Note records the latency ratio of a response: its time to first byte over the usual one of its
 // route.
 func (e *Exchange) Note(now time.Time, target loadshare.Mark, ratio float64) {
 	e.meter.Note(now, target, ratio)
--- a/internal/targetspeed/meter.go
+++ b/internal/targetspeed/meter.go
@@ -1,7 +1,7 @@
 // Package targetspeed estimates the speed of targets, relative to others of their service, from the
-// time to first byte of their answers.
+// time to first byte of their responses.
 //
-// Each daemon sees few answers per target, so the daemons of a zone gossip their observations
+// Each daemon sees few responses per target, so the daemons of a zone gossip their observations
 // (Exchange). An estimate is the weighted median over daemons, so that no single one dominates.
 // Observations decay, and an unknown target is assumed to have the usual speed. The package does no
 // I/O and has no clock.
@@ -20,7 +20,7 @@
 	// maxTargets is the maximum number of targets in memory.
 	maxTargets = 16384
 	// maxLogRatio limits the logarithm of one latency ratio, to a factor of 4.5, so that a lost packet
-	// or an idle client does not dominate.
+	// or an idle caller does not dominate.
 	maxLogRatio = 1.5
 	// minWeight is the weight below which observations are dropped.
 	minWeight = 0.25
@@ -31,7 +31,7 @@
 	at     time.Time
 	weight float64
 	sum    float64
-	// unreported counts the answers since the target was last reported.
+	// unreported counts the responses since the target was last reported.
 	unreported int
 }
 
@@ -49,7 +49,7 @@
 
 func NewMeter() *Meter { return &Meter{targets: map[loadshare.Mark]*decayedSum{}} }
 
-// Note records the latency ratio of an answer: its time to first byte over the usual one of its
+// Note records the latency ratio of a response: its time to first byte over the usual one of its
 // route.
 func (m *Meter) Note(now time.Time, target loadshare.Mark, ratio float64) {
 	if !(ratio > 0) {
--- a/internal/targetspeed/targetspeed_test.go
+++ b/internal/targetspeed/targetspeed_test.go
@@ -20,7 +20,7 @@
 	return netip.MustParseAddrPort(fmt.Sprintf("192.0.2.%d:7000", number))
 }
 
-// note records answers of one target.
+// note records responses of one target.
 func note(exchange *Exchange, now time.Time, target loadshare.Mark, count int, ratio float64) {
 	for range count {
 		exchange.Note(now, target, ratio)
@@ -53,7 +53,7 @@
 	t.Run("doubled latency gives nearly half the speed", func(t *testing.T) {
 		assertNear(t, speedOf(receiveReports(t, testNow, 2, 2, 2, 2), testNow, slowTarget), 0.55)
 	})
-	t.Run("few answers have little effect", func(t *testing.T) {
+	t.Run("few responses have little effect", func(t *testing.T) {
 		exchange := NewExchange(daemonAt(1), 0)
 		note(exchange, testNow, slowTarget, 1, 4)
 		assert.Assert(t, speedOf(exchange, testNow, slowTarget) > 0.75)
@@ -74,7 +74,7 @@
 		}
 		assert.Assert(t, speedOf(exchange, testNow.Add(2*decayTime), slowTarget) > 0.8)
 	})
-	t.Run("the effect of a single answer is bounded", func(t *testing.T) {
+	t.Run("the effect of a single response is bounded", func(t *testing.T) {
 		exchange := NewExchange(daemonAt(1), 0)
 		note(exchange, testNow, usualTarget, 20, 1)
 		note(exchange, testNow, usualTarget, 1, 1e12)
