--- a/backend/backend.go
+++ b/backend/backend.go
@@ -24,7 +24,7 @@
 
 // Config configures a target.
 type Config struct {
-	// Service and Target are the names configured through the operators' API. Datagrams for
+	// Service and Target are the names configured through the operator API. Datagrams for
 	// other targets are dropped.
 	Service string
 	Target  string
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -52,7 +52,7 @@
 		assert.Equal(t, len(totals(t, third, testStart.Add(2*time.Second))), 1)
 		assert.Equal(t, len(totals(t, third, testStart.Add(ReportInterval+lifetime))), 0)
 	})
-	t.Run("reports of the own address are ignored", func(t *testing.T) {
+	t.Run("reports of its own address are ignored", func(t *testing.T) {
 		again := New(address(2), 0)
 		again.Hear(testStart, one.Message(testStart))
 		assert.Equal(t, totals(t, again, testStart)[9], 0)
