--- a/internal/steering/token/binding.go
+++ b/internal/steering/token/binding.go
@@ -14,6 +14,7 @@
 // before a route changed.
 //
 // It is an unkeyed hash that catches mistakes, not a defence against callers that compute tokens.
+// Those cannot open a flow with a token.
 type binding uint32
 
 // bindingOf returns the binding of the address and port that callers send to, the same on every
--- a/internal/steering/token/service.go
+++ b/internal/steering/token/service.go
@@ -14,7 +14,7 @@
 	maximumFlows uint32
 	coldRate     float64
 	// eligible holds the targets that accept new flows. leaving holds targets that are draining or
-	// gone: they serve for a while longer and are used when no other target is left.
+	// gone: they still serve for a grace period and are used when no other target is left.
 	eligible, leaving balance.Pool[*Target]
 	// evacuated is the number of targets in evacuated zones.
 	evacuated int
