--- a/internal/liveness/config.go
+++ b/internal/liveness/config.go
@@ -40,7 +40,7 @@
 	MostJudges  int
 }
 
-// DefaultConfig suits targets that acknowledge within 100 ms and clients that retransmit
+// DefaultConfig suits targets that acknowledge within 100 ms and callers that retransmit
 // after 200 ms.
 func DefaultConfig() Config {
 	return Config{
@@ -48,14 +48,14 @@
 		Flows:     2,
 		Sends:     3,
 
-		LeastSilence: 400 * time.Millisecond, // two retransmissions of a client
+		LeastSilence: 400 * time.Millisecond, // two retransmissions of a caller
 		MostSilence:  700 * time.Millisecond,
 		SignsMissed:  3,
 		ObjectFor:    150 * time.Millisecond, // three daemon ticks
 		EarlyProbes:  2,
 		EarlyBurst:   16,
 		ZoneProbes:   4,
-		Window:       3 * time.Second, // clients retransmit after 0.2, 0.6, 1.4 and 3 s
+		Window:       3 * time.Second, // callers retransmit after 0.2, 0.6, 1.4 and 3 s
 		HoldFor:      3 * time.Second,
 		RepeatAfter:  100 * time.Millisecond,
 
--- a/internal/liveness/detector.go
+++ b/internal/liveness/detector.go
@@ -1,15 +1,16 @@
-// Package liveness is a distributed failure detector for targets. A daemon whose clients
+// Package liveness is a distributed failure detector for targets. A daemon whose callers
 // retransmit data that a target does not acknowledge reports this to a few judges, daemons
 // chosen per target. A judge with enough evidence suspects the target: it broadcasts the
 // suspicion and probes the target itself. Any daemon that has seen activity since refutes the
 // suspicion (as in SWIM); otherwise the judge declares the target dead until activity is seen.
 //
 // Zones are judged in the same way. An unresponsive zone does not make its targets dead, since
-// idle ones may be up, but lets a daemon decide on its own about targets that it has clients at.
+// idle ones may be up, but lets a daemon decide on its own about targets that it has callers at.
 //
-// Slow or overloaded targets still acknowledge data and are not suspected. If no request that a
-// daemon forwarded since the silence began was answered, the daemon has probably lost its own
-// path, and neither reports nor judges.
+// Slow or overloaded targets still acknowledge data and are not suspected. A target that only some
+// daemons cannot reach answers the judge's probe, or daemons that see its activity refute the
+// suspicion. If no request that a daemon forwarded since the silence began was answered, the daemon
+// has probably lost its own path, and neither reports nor judges.
 //
 // The package has no clock, socket or randomness, and is not safe for concurrent use.
 package liveness
@@ -92,7 +93,7 @@
 // self stands for this daemon as a reporter.
 var self netip.AddrPort
 
-// Observe records that a client retransmitted data on a flow that the target has not
+// Observe records that a caller retransmitted data on a flow that the target has not
 // acknowledged since the given time. Resulting reports are returned by the next Tick.
 func (d *Detector) Observe(now time.Time, directory Directory, target, flow uint64, since time.Time) {
 	zone, found := directory.ZoneOf(target)
--- a/internal/liveness/detector_test.go
+++ b/internal/liveness/detector_test.go
@@ -122,12 +122,12 @@
 	return g
 }
 
-// retransmit simulates a client retransmitting now what it sent 200 ms before.
+// retransmit simulates a caller retransmitting now what it sent 200 ms before.
 func (g *group) retransmit(daemon int, flow uint64) {
 	g.detectors[daemon].Observe(g.now, g.directories[daemon], target, flow, g.now.Add(-200*time.Millisecond))
 }
 
-// stopResponding simulates retransmissions of three clients at two daemons, the minimum for a verdict.
+// stopResponding simulates retransmissions of three callers at two daemons, the minimum for a verdict.
 func (g *group) stopResponding() {
 	g.retransmit(0, 1)
 	g.retransmit(1, 2)
@@ -259,7 +259,7 @@
 	assert.Equal(t, len(group.verdicts), 4)
 }
 
-// Only the two daemons that cannot reach the target have clients there.
+// Only the two daemons that cannot reach the target have callers there.
 func TestAnsweredProbePreventsVerdict(t *testing.T) {
 	group := newGroup(5)
 	group.answersProbes = true
@@ -339,7 +339,7 @@
 	}
 	group.advance(700 * time.Millisecond)
 	assert.Equal(t, len(group.zones), 5)
-	assert.Equal(t, len(group.verdicts), 3, "daemons with a client at a target decide locally")
+	assert.Equal(t, len(group.verdicts), 3, "daemons with a caller at a target decide locally")
 }
 
 // In an unresponsive zone, a target is declared dead only if a probe of it fails.
--- a/internal/liveness/early.go
+++ b/internal/liveness/early.go
@@ -40,7 +40,7 @@
 }
 
 // reportEarlyFailure reports a failed early probe to the other judges, once. The report counts as that
-// of a daemon without clients. It is sent only if this daemon's path has worked since the
+// of a daemon without callers. It is sent only if this daemon's path has worked since the
 // probe began, as a lost path would explain the failure.
 func (d *Detector) reportEarlyFailure(now time.Time, directory Directory, subject Subject, suspected *suspect, output *Output) {
 	if suspected.early != probeFailed || suspected.earlyReported || !hasWorkingPath(directory, suspected.earlyAt) {
@@ -64,7 +64,7 @@
 	return others, flows
 }
 
-// isEarlySufficient reports whether this daemon's early probe failed and clients of another daemon
+// isEarlySufficient reports whether this daemon's early probe failed and callers of another daemon
 // are not acknowledged, which suffices for a suspicion.
 func (s *suspect) isEarlySufficient() bool {
 	_, flows := s.otherReporters()
--- a/internal/liveness/early_test.go
+++ b/internal/liveness/early_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// One daemon's client and failed probes of others suffice without a second daemon's clients.
+// One daemon's caller and failed probes of others suffice without a second daemon's callers.
 func TestEarlyVerdictFromOneReporter(t *testing.T) {
 	group := newGroup(5)
 	group.retransmit(0, 1)
@@ -46,16 +46,16 @@
 	}
 }
 
-// An early verdict needs evidence from clients, another daemon's failed probe and a working path
+// An early verdict needs evidence from callers, another daemon's failed probe and a working path
 // of the judge.
 func TestEarlyVerdictNeedsThreeDaemons(t *testing.T) {
 	suspected, now := newSuspect(), testStart
 	suspected.early, suspected.earlyAt = probeFailed, testStart.Add(-time.Millisecond)
 	directory := &fakeDirectory{now: &now}
 	suspected.evidence[addressOf(1)] = evidence{flows: 1, retransmissions: 1}
-	assert.Assert(t, !suspected.isEarlyConfirmed(directory), "clients of one daemon only")
+	assert.Assert(t, !suspected.isEarlyConfirmed(directory), "callers of one daemon only")
 	suspected.evidence[self] = evidence{flows: 1, retransmissions: 1}
-	assert.Assert(t, !suspected.isEarlyConfirmed(directory), "clients of one daemon and of the judge")
+	assert.Assert(t, !suspected.isEarlyConfirmed(directory), "callers of one daemon and of the judge")
 	suspected.evidence[addressOf(2)] = evidence{}
 	assert.Assert(t, suspected.isEarlyConfirmed(directory), "with another daemon's failed probe")
 	suspected.earlyAt = now
@@ -63,7 +63,7 @@
 	suspected.earlyAt = testStart.Add(-time.Millisecond)
 	delete(suspected.evidence, addressOf(1))
 	suspected.evidence[addressOf(3)] = evidence{}
-	assert.Assert(t, !suspected.isEarlyConfirmed(directory), "failed probes only, no clients")
+	assert.Assert(t, !suspected.isEarlyConfirmed(directory), "failed probes only, no callers")
 }
 
 // Packet loss at one daemon, which makes it report many targets, must not cause a flood of probes.
@@ -83,7 +83,7 @@
 	assert.Assert(t, group.probes > 0 && float64(group.probes) <= maxProbes, "%d probes, %v allowed", group.probes, maxProbes)
 }
 
-// A judge's failed probe must not count as a daemon with clients.
+// A judge's failed probe must not count as a daemon with callers.
 func TestNoVerdictFromLostPathAndLostProbe(t *testing.T) {
 	const reporter, other = 4, 3
 	group := newGroup(5)
--- a/internal/liveness/judge.go
+++ b/internal/liveness/judge.go
@@ -76,9 +76,9 @@
 	}
 }
 
-// evaluateLocally declares a target of an unresponsive zone dead on local evidence: a client's
-// retransmission and a failed probe of that target. This is needed where clients are so few that
-// no target has clients at several daemons.
+// evaluateLocally declares a target of an unresponsive zone dead on local evidence: a caller's
+// retransmission and a failed probe of that target. This is needed where callers are so few that
+// no target has callers at several daemons.
 func (d *Detector) evaluateLocally(now time.Time, directory Directory, subject Subject, suspected *suspect, output *Output) {
 	own, hasOwn := suspected.evidence[self]
 	if !hasOwn || d.pause.MayBeOld(now) || suspected.isDead(now) || !d.isInUnresponsiveZone(now, directory, subject) || !hasWorkingPath(directory, own.since) {
@@ -129,8 +129,8 @@
 	return suspected.isEarlySufficient() || d.hasSeveralReporters(suspected)
 }
 
-// hasSeveralReporters reports whether clients of several daemons are affected. A judge that only
-// had a failed probe has no clients and does not count.
+// hasSeveralReporters reports whether callers of several daemons are affected. A judge that only
+// had a failed probe has no callers and does not count.
 func (d *Detector) hasSeveralReporters(suspected *suspect) bool {
 	flows, retransmissions, _ := suspected.sumEvidence()
 	daemons := 0
--- a/internal/liveness/report.go
+++ b/internal/liveness/report.go
@@ -11,7 +11,7 @@
 
 // Kinds are sent between daemons; do not renumber them.
 const (
-	// Silent reports to judges that clients of the sender retransmit unacknowledged data.
+	// Silent reports to judges that callers of the sender retransmit unacknowledged data.
 	Silent Kind = 1
 	// Asked broadcasts a suspicion, which any daemon that has seen activity since refutes.
 	Asked Kind = 2
--- a/internal/liveness/suspect.go
+++ b/internal/liveness/suspect.go
@@ -58,7 +58,7 @@
 }
 
 // addEvidence records another daemon's evidence. A report of a failed probe (without
-// retransmissions) only extends what the daemon reported on its clients.
+// retransmissions) only extends what the daemon reported on its callers.
 func (s *suspect) addEvidence(report *Received, update evidence) {
 	if known, found := s.evidence[report.From]; found && report.Sends == 0 {
 		known.until = update.until
