--- a/internal/storeview/config.go
+++ b/internal/storeview/config.go
@@ -10,8 +10,9 @@
 	// state that is newer than the backup is kept. It must give writers time to rewrite their
 	// entries, and entries of ended targets time to expire.
 	RestoredFor time.Duration
-	// RewrittenWithin is how long after the restore an entry may be missing from the store before
-	// its target counts as removed. A live writer rewrites its entry sooner.
+	// RewrittenWithin is how long after the store's return, from a restore or an outage, an entry
+	// may be missing from it before its target counts as removed. A live writer rewrites its entry
+	// sooner.
 	RewrittenWithin time.Duration
 }
 
--- a/internal/storeview/restoregrace.go
+++ b/internal/storeview/restoregrace.go
@@ -122,7 +122,7 @@
 	return entries
 }
 
-// dropMissing removes entries of earlier epochs that the restored store lacks and nobody has
+// dropMissing removes entries of earlier epochs that the restored store lacks and that were not
 // written again.
 func (r *lwwMap[K]) dropMissing(now time.Time, change *Change) {
 	for _, key := range slices.Sorted(maps.Keys(r.byKey)) {
