--- a/internal/overload/answerlengths.go
+++ b/internal/overload/answerlengths.go
@@ -3,16 +3,16 @@
 import "slices"
 
 const (
-	// shortRatio is the fraction of a route's usual answer length below which an answer is short,
+	// shortRatio is the fraction of a route's usual response length below which a response is short,
 	// as rejections are.
 	shortRatio = 1.0 / 3
-	// initialAnswers is the number of answers from which the usual length is initialized, as their
-	// upper quartile, since most of a daemon's first answers may be rejections.
+	// initialAnswers is the number of responses from which the usual length is initialized, as their
+	// upper quartile, since most of a daemon's first responses may be rejections.
 	initialAnswers = 16
 	// riseStep and fallStep are the relative steps by which the usual length moves up for a longer
-	// answer and down for a shorter one. Their ratio makes it track the length that one answer in
+	// response and down for a shorter one. Their ratio makes it track the length that one response in
 	// six exceeds (Robbins, Monro, "A Stochastic Approximation Method", 1951), so that it
-	// withstands five rejections in six answers. relearnStep is the step for a short answer.
+	// withstands five rejections in six responses. relearnStep is the step for a short response.
 	riseStep    = 0.05
 	fallStep    = 0.01
 	relearnStep = 0.0005
@@ -21,31 +21,31 @@
 )
 
 const (
-	// currentWindow is the window, in answers, of the current share of short answers.
+	// currentWindow is the window, in responses, of the current share of short responses.
 	currentWindow = 64
 	// baselineWindow is the window of the baseline share, limitedBaselineWindow that while the
 	// limit is active: minutes of rejections must not become the baseline.
 	baselineWindow        = 4096
 	limitedBaselineWindow = 32768
-	// maxInitialBaseline caps the baseline initialized from the first currentWindow answers, so
+	// maxInitialBaseline caps the baseline initialized from the first currentWindow responses, so
 	// that a daemon that starts during overload detects it.
 	maxInitialBaseline = 0.25
-	// Short answers count as rejections while their current share exceeds baselineFactor times the
-	// baseline plus baselineMargin. The factor absorbs the variance of currentWindow answers, the
+	// Short responses count as rejections while their current share exceeds baselineFactor times the
+	// baseline plus baselineMargin. The factor absorbs the variance of currentWindow responses, the
 	// margin a few failing targets; the margin must be below Config.Rejected, at which the limit is
 	// stable.
 	baselineFactor = 2
 	baselineMargin = 0.05
 )
 
-// answerLengths tells a route's rejections from its other answers: rejections are short, and there
-// are more short answers than in the baseline.
+// answerLengths tells a route's rejections from its other responses: rejections are short, and there
+// are more short responses than in the baseline.
 type answerLengths struct {
-	// initial holds the answer lengths from which the usual length is initialized.
+	// initial holds the response lengths from which the usual length is initialized.
 	initial []uint32
 	// usualLength is the usual length in bytes, an estimate of a high quantile.
 	usualLength float64
-	// count is the number of classified answers; currentShare and baselineShare are the current and
+	// count is the number of classified responses; currentShare and baselineShare are the current and
 	// the baseline share of short ones, as EWMAs.
 	count                       int
 	currentShare, baselineShare float64
@@ -63,8 +63,8 @@
 	return lengths
 }
 
-// observe handles an answer. It returns its contribution to the evidence of overload, negative if
-// there are no more short answers than in the baseline, and whether it counts as a rejection.
+// observe handles a response. It returns its contribution to the evidence of overload, negative if
+// there are no more short responses than in the baseline, and whether it counts as a rejection.
 // window is the window of the baseline share.
 func (l *answerLengths) observe(length uint32, window float64) (excess float64, isRejection bool) {
 	if l.usualLength == 0 {
@@ -81,12 +81,12 @@
 	return excess, isShort && l.isOverBaseline()
 }
 
-// isOverBaseline reports whether short answers currently count as rejections.
+// isOverBaseline reports whether short responses currently count as rejections.
 func (l *answerLengths) isOverBaseline() bool {
 	return l.count > currentWindow && l.currentShare > baselineFactor*l.baselineShare+baselineMargin
 }
 
-// collectInitial collects the first answers and initializes the usual length from them.
+// collectInitial collects the first responses and initializes the usual length from them.
 func (l *answerLengths) collectInitial(length uint32) {
 	l.initial = append(l.initial, length)
 	if len(l.initial) < initialAnswers {
@@ -109,7 +109,7 @@
 	}
 }
 
-// updateShares updates the shares of short answers.
+// updateShares updates the shares of short responses.
 func (l *answerLengths) updateShares(isShort bool, window float64) {
 	hit := 0.0
 	if isShort {
--- a/internal/overload/answerlengths_test.go
+++ b/internal/overload/answerlengths_test.go
@@ -12,9 +12,9 @@
 // mixedLoad is ten minutes of 100 requests per second that take 200 ms each at targets without a
 // limit of their own.
 type mixedLoad struct {
-	// shortShare is the share of short answers.
+	// shortShare is the share of short responses.
 	shortShare float64
-	// From overloadFrom until overloadUntil four in five answers are rejections.
+	// From overloadFrom until overloadUntil four in five responses are rejections.
 	overloadFrom, overloadUntil time.Duration
 	seed                        uint64
 }
@@ -70,7 +70,7 @@
 // maxChanceRejections is how many of the 60,000 requests of a mixedLoad may be rejected by chance.
 const maxChanceRejections = 30
 
-// Many routes have answers of two lengths, which must not activate the limit.
+// Many routes have responses of two lengths, which must not activate the limit.
 func TestRegularShortAnswersDoNotActivateLimit(t *testing.T) {
 	for _, oneIn := range []int{3, 4, 5, 6, 8, 20, 50} {
 		t.Run(fmt.Sprint("one in ", oneIn), func(t *testing.T) {
@@ -83,7 +83,7 @@
 	}
 }
 
-// The limit must end after a minute of rejections, also on routes with regular short answers.
+// The limit must end after a minute of rejections, also on routes with regular short responses.
 func TestLimitEndsAfterOverloadDespiteShortAnswers(t *testing.T) {
 	for _, oneIn := range []int{3, 5, 8, 20} {
 		t.Run(fmt.Sprint("one in ", oneIn), func(t *testing.T) {
@@ -97,7 +97,7 @@
 	}
 }
 
-// The short error answers of one failing target in a hundred must not activate the limit.
+// The short error responses of one failing target in a hundred must not activate the limit.
 func TestOneFailingTargetDoesNotActivateLimit(t *testing.T) {
 	const answers, pause = 300000, 2 * time.Millisecond
 	for seed := range uint64(5) {
@@ -121,7 +121,7 @@
 }
 
 // A daemon that starts during overload must detect rejections, although more than half of its
-// answers, including the first, are rejections.
+// responses, including the first, are rejections.
 func TestDetectsRejectionsWhenStartedDuringOverload(t *testing.T) {
 	for seed := range uint64(5) {
 		random := rand.New(rand.NewPCG(seed, 2))
@@ -141,7 +141,7 @@
 	}
 }
 
-// A moderate increase of short answers is no overload and becomes the baseline, without the limit
+// A moderate increase of short responses is no overload and becomes the baseline, without the limit
 // being activated again and again.
 func TestModerateIncreaseOfShortAnswersRarelyActivatesLimit(t *testing.T) {
 	activations := 0
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -1,7 +1,7 @@
 // Package overload is an adaptive concurrency limiter with priorities. A Controller limits one
 // daemon's requests in progress at one service, where a request runs from the caller's data, or the
-// first packet of its flow, to the first byte of the answer. The limit adapts to the share of
-// rejections among the targets' answers, which is the same at all daemons, so that they need no
+// first packet of its flow, to the first byte of the response. The limit adapts to the share of
+// rejections among the targets' responses, which is the same at all daemons, so that they need no
 // coordination; it is never below the daemon's fair share of the targets' slots. While targets
 // reject nothing there is no limit. The package does no I/O and reads no clock.
 package overload
@@ -37,10 +37,10 @@
 type Config struct {
 	Enabled bool
 	// PerSlot is the number of requests in progress per target slot that all daemons together
-	// always admit. It should be above 1 to keep slots busy while answers are in transit; if it is
+	// always admit. It should be above 1 to keep slots busy while responses are in transit; if it is
 	// too high, targets reject requests before the limit takes effect.
 	PerSlot float64
-	// Rejected is the share of rejections among answers at which the limit is stable. If it is too
+	// Rejected is the share of rejections among responses at which the limit is stable. If it is too
 	// low, targets idle between requests; if too high, callers wait for targets only to be
 	// rejected.
 	Rejected float64
@@ -53,7 +53,7 @@
 	// halve it.
 	limitStep = 0.1
 	// evidenceDecay is the decay time of the evidence of overload while there is no limit,
-	// minEvidence the evidence that activates the limit, as a few short answers may be regular
+	// minEvidence the evidence that activates the limit, as a few short responses may be regular
 	// ones.
 	evidenceDecay = time.Second
 	minEvidence   = 5
@@ -88,8 +88,8 @@
 	limit     float64
 	isLimited bool
 
-	// rejectionShare is the share of rejections among recent answers, an EWMA over currentWindow
-	// answers.
+	// rejectionShare is the share of rejections among recent responses, an EWMA over currentWindow
+	// responses.
 	rejectionShare float64
 
 	evidence          float64
@@ -218,7 +218,7 @@
 // gradually.
 const roundingSlack = 0.5
 
-// NoteAnswer handles the length, in bytes, of the beginning of a route's answer and reports whether
+// NoteAnswer handles the length, in bytes, of the beginning of a route's response and reports whether
 // the target rejected the request.
 func (c *Controller) NoteAnswer(now time.Time, route uint32, length uint32) (isRejection bool) {
 	if c == nil || !c.config.Enabled {
@@ -261,8 +261,8 @@
 	c.limit = max(c.fairShare, c.InProgress(now, Preferred)+c.InProgress(now, Ordinary))
 }
 
-// addEvidence accumulates the excess of short answers over the baseline while there is no limit,
-// as a decaying cumulative sum (CUSUM: Page, "Continuous Inspection Schemes", 1954). Short answers
+// addEvidence accumulates the excess of short responses over the baseline while there is no limit,
+// as a decaying cumulative sum (CUSUM: Page, "Continuous Inspection Schemes", 1954). Short responses
 // from before the route's share exceeds its threshold are part of the evidence.
 func (c *Controller) addEvidence(now time.Time, excess float64) {
 	faded := c.evidence * math.Exp(-float64(now.Sub(c.evidenceAt))/float64(evidenceDecay))
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -15,7 +15,7 @@
 	rejectSize = 150
 )
 
-// newLearnedController returns a controller with learned answer lengths, at one of ten daemons that
+// newLearnedController returns a controller with learned response lengths, at one of ten daemons that
 // share 20 slots.
 func newLearnedController(t *testing.T) *Controller {
 	t.Helper()
@@ -27,7 +27,7 @@
 	return controller
 }
 
-// answersBelowThreshold is the number of short answers before the share of short ones exceeds the
+// answersBelowThreshold is the number of short responses before the share of short ones exceeds the
 // threshold, from a baseline of 0.
 const answersBelowThreshold = 3
 
