--- a/internal/balance/pool.go
+++ b/internal/balance/pool.go
@@ -184,7 +184,7 @@
 	// watchInterval is how long the number of ejected candidates is cached.
 	watchInterval = 50 * time.Millisecond
 	// emptyTTL is how long a list without eligible entries is not searched again, since a full
-	// scan is expensive and many clients of a service without capacity arrive at once.
+	// scan is expensive and many callers of a service without capacity arrive at once.
 	emptyTTL = 10 * time.Millisecond
 )
 
--- a/internal/balance/slowness.go
+++ b/internal/balance/slowness.go
@@ -10,7 +10,7 @@
 	// slownessStep is the smoothing factor of the average.
 	slownessStep = 0.3
 	// slownessDecay is the time constant with which the average decays to 1 without new
-	// answers, so that an avoided target is tried again.
+	// responses, so that an avoided target is tried again.
 	slownessDecay = 4 * time.Second
 	// slownessTolerance is the average up to which there is no penalty, since requests differ;
 	// maxSlowness is the upper bound of the average.
@@ -19,20 +19,20 @@
 )
 
 // slowness is a peak EWMA (Eriksen, "Your Server as a Function", 2013) of the time to first byte of
-// a target's answers, as a multiple of the usual one. An overdue answer raises it at once. The zero
-// value is an unknown target. It must not be updated concurrently.
+// a target's responses, as a multiple of the usual one. An overdue response raises it at once. The
+// zero value is an unknown target. It must not be updated concurrently.
 type slowness struct {
 	at      atomic.Int64
 	average atomic.Uint64 // float64 bits
 }
 
-// record records the latency of an answer, as a multiple of the usual one.
+// record records the latency of a response, as a multiple of the usual one.
 func (s *slowness) record(now time.Time, ratio float64) {
 	average := s.value(now)
 	s.set(now, average+(min(ratio, maxSlowness)-average)*slownessStep)
 }
 
-// recordAtLeast records that an answer has not come after the given multiple of the usual time.
+// recordAtLeast records that a response has not come after the given multiple of the usual time.
 func (s *slowness) recordAtLeast(now time.Time, ratio float64) {
 	if ratio = min(ratio, maxSlowness); ratio > s.value(now) {
 		s.set(now, ratio)
--- a/internal/balance/slowstart_test.go
+++ b/internal/balance/slowstart_test.go
@@ -54,7 +54,7 @@
 	assert.Assert(t, len(pickFor(5*time.Second, slowStartCandidates(time.Second))) > 100)
 }
 
-// If all targets are at their limit, the client must be queued, not rejected.
+// If all targets are at their limit, the caller must be queued, not rejected.
 func TestAtLimitIfAllSlowStartSharesAreUsed(t *testing.T) {
 	targets := slowStartCandidates(time.Minute)[:1]
 	request := requestAt(testNow)
--- a/internal/balance/speed.go
+++ b/internal/balance/speed.go
@@ -30,7 +30,7 @@
 	return math.Float64frombits(s.speed.ratio.Load())
 }
 
-// slowPenalty returns the divisor of the target's share of flows for answers that are slower than
+// slowPenalty returns the divisor of the target's share of flows for responses that are slower than
 // its speed explains, so that a known low speed is not counted twice.
 func (s *Signal) slowPenalty(now time.Time) float64 {
 	return max(1, s.slowness.penalty(now)*min(1, s.Speed(now)))
--- a/internal/membership/broadcast.go
+++ b/internal/membership/broadcast.go
@@ -17,14 +17,14 @@
 	size      int
 }
 
-// isRefutation reports whether the update is a member's refutation of its own suspicion.
+// isRefutation reports whether the update is a member's refutation of a suspicion against it.
 func (b *broadcast) isRefutation() bool {
 	return b.member != nil && b.member.Status == Alive && b.member.Incarnation > 0
 }
 
-// class is the broadcast's priority class, lower first. Refutations precede all else: they must
-// reach every member before the suspicion times out, also when updates of a mass failure fill the
-// messages, or live members declare each other dead.
+// class is the broadcast's priority class, lower first. Refutations precede all else, since they must
+// reach every member before the suspicion times out, even when updates of a mass failure fill the
+// messages. Otherwise live members would declare each other dead.
 func (b *broadcast) class() int {
 	if b.isRefutation() {
 		return 0
