--- a/internal/consensus/message.go
+++ b/internal/consensus/message.go
@@ -5,6 +5,7 @@
 // In place of stable storage (section 3.8), a replica gets a new identity at every start: a restarted
 // replica, which has lost its votes and log, is no voter under its new identity. One replica founds a
 // group as its only voter; the group grows by single-server changes (section 4.1).
+// Committed entries are returned at once, as there is nothing to persist first.
 package consensus
 
 import (
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -26,8 +26,8 @@
 	FormationDelay time.Duration
 	// FormationRetry is the period of a founder's grant requests.
 	FormationRetry time.Duration
-	// PullDelay is how long a daemon that is behind waits for gossip before it pulls, PullTimeout the
-	// minimum time between two pulls unless the first is answered.
+	// PullDelay is how long a daemon that is behind waits for gossip before it pulls, PullTimeout how
+	// long it waits for the answer before it pulls again.
 	PullDelay   time.Duration
 	PullTimeout time.Duration
 	// RenewalInterval is how often the leader issues a lease renewal, LeaseDuration how long a lease
