--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -103,11 +103,11 @@
 	opening   [rankCount]float64
 	openingAt [rankCount]time.Time
 
-	answerLengths map[uint32]*answerLengths
+	responseLengths map[uint32]*responseLengths
 }
 
 func New(config Config) *Controller {
-	return &Controller{config: config, answerLengths: map[uint32]*answerLengths{}}
+	return &Controller{config: config, responseLengths: map[uint32]*responseLengths{}}
 }
 
 // SetShare sets the number of slots of the service's live targets and of the daemons that share
@@ -229,7 +229,7 @@
 	if c.isLimited {
 		window = limitedBaselineWindow
 	}
-	excess, isRejection := c.answerLengthsOf(route).observe(length, window)
+	excess, isRejection := c.responseLengthsOf(route).observe(length, window)
 	if !c.isLimited {
 		c.addEvidence(now, excess)
 	}
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -21,22 +21,22 @@
 	t.Helper()
 	controller := New(DefaultConfig())
 	controller.SetShare(20, 10)
-	for range initialAnswers + 2*currentWindow {
+	for range initialResponses + 2*currentWindow {
 		assert.Assert(t, !controller.NoteAnswer(start, route, answerSize))
 	}
 	return controller
 }
 
-// answersBelowThreshold is the number of short responses before the share of short ones exceeds the
+// responsesBelowThreshold is the number of short responses before the share of short ones exceeds the
 // threshold, from a baseline of 0.
-const answersBelowThreshold = 3
+const responsesBelowThreshold = 3
 
 // newOverloadedController returns a controller whose targets rejected count requests.
 func newOverloadedController(t *testing.T, count int) *Controller {
 	t.Helper()
 	controller := newLearnedController(t)
 	for index := range count {
-		if index < answersBelowThreshold {
+		if index < responsesBelowThreshold {
 			assert.Assert(t, !controller.NoteAnswer(start, route, rejectSize), "a few short answers are not rejections")
 			continue
 		}
@@ -148,7 +148,7 @@
 }
 
 func TestRejectionsDoNotBecomeBaseline(t *testing.T) {
-	controller := newOverloadedController(t, answersBelowThreshold)
+	controller := newOverloadedController(t, responsesBelowThreshold)
 	for range 1000 {
 		assert.Assert(t, controller.NoteAnswer(start, route, rejectSize))
 	}
@@ -234,7 +234,7 @@
 	for range 100 {
 		assert.Assert(t, !controller.NoteAnswer(start, route, rejectSize))
 	}
-	assert.Equal(t, len(controller.answerLengths), 0)
+	assert.Equal(t, len(controller.responseLengths), 0)
 	var none *Controller
 	assert.Assert(t, !none.NoteAnswer(start, route, rejectSize))
 }
--- a/internal/overload/answerlengths.go
+++ b/internal/overload/responselengths.go
@@ -6,9 +6,9 @@
 	// shortRatio is the fraction of a route's usual response length below which a response is short,
 	// as rejections are.
 	shortRatio = 1.0 / 3
-	// initialAnswers is the number of responses from which the usual length is initialized, as their
+	// initialResponses is the number of responses from which the usual length is initialized, as their
 	// upper quartile, since most of a daemon's first responses may be rejections.
-	initialAnswers = 16
+	initialResponses = 16
 	// riseStep and fallStep are the relative steps by which the usual length moves up for a longer
 	// response and down for a shorter one. Their ratio makes it track the length that one response in
 	// six exceeds (Robbins, Monro, "A Stochastic Approximation Method", 1951), so that it
@@ -38,9 +38,9 @@
 	baselineMargin = 0.05
 )
 
-// answerLengths tells a route's rejections from its other responses: rejections are short, and there
+// responseLengths tells a route's rejections from its other responses: rejections are short, and there
 // are more short responses than in the baseline.
-type answerLengths struct {
+type responseLengths struct {
 	// initial holds the response lengths from which the usual length is initialized.
 	initial []uint32
 	// usualLength is the usual length in bytes, an estimate of a high quantile.
@@ -51,14 +51,14 @@
 	currentShare, baselineShare float64
 }
 
-func (c *Controller) answerLengthsOf(route uint32) *answerLengths {
-	lengths := c.answerLengths[route]
+func (c *Controller) responseLengthsOf(route uint32) *responseLengths {
+	lengths := c.responseLengths[route]
 	if lengths == nil {
-		if len(c.answerLengths) >= maxRoutes {
-			clear(c.answerLengths) // routes in use are learned again
+		if len(c.responseLengths) >= maxRoutes {
+			clear(c.responseLengths) // routes in use are learned again
 		}
-		lengths = &answerLengths{}
-		c.answerLengths[route] = lengths
+		lengths = &responseLengths{}
+		c.responseLengths[route] = lengths
 	}
 	return lengths
 }
@@ -66,7 +66,7 @@
 // observe handles a response. It returns its contribution to the evidence of overload, negative if
 // there are no more short responses than in the baseline, and whether it counts as a rejection.
 // window is the window of the baseline share.
-func (l *answerLengths) observe(length uint32, window float64) (excess float64, isRejection bool) {
+func (l *responseLengths) observe(length uint32, window float64) (excess float64, isRejection bool) {
 	if l.usualLength == 0 {
 		l.collectInitial(length)
 		return 0, false
@@ -82,23 +82,23 @@
 }
 
 // isOverBaseline reports whether short responses currently count as rejections.
-func (l *answerLengths) isOverBaseline() bool {
+func (l *responseLengths) isOverBaseline() bool {
 	return l.count > currentWindow && l.currentShare > baselineFactor*l.baselineShare+baselineMargin
 }
 
 // collectInitial collects the first responses and initializes the usual length from them.
-func (l *answerLengths) collectInitial(length uint32) {
+func (l *responseLengths) collectInitial(length uint32) {
 	l.initial = append(l.initial, length)
-	if len(l.initial) < initialAnswers {
+	if len(l.initial) < initialResponses {
 		return
 	}
 	slices.Sort(l.initial)
-	l.usualLength = max(1, float64(l.initial[initialAnswers*3/4]))
+	l.usualLength = max(1, float64(l.initial[initialResponses*3/4]))
 	l.initial = nil
 }
 
 // updateUsualLength updates the usual length.
-func (l *answerLengths) updateUsualLength(length float64, isShort bool) {
+func (l *responseLengths) updateUsualLength(length float64, isShort bool) {
 	switch {
 	case length > l.usualLength:
 		l.usualLength *= 1 + riseStep
@@ -110,7 +110,7 @@
 }
 
 // updateShares updates the shares of short responses.
-func (l *answerLengths) updateShares(isShort bool, window float64) {
+func (l *responseLengths) updateShares(isShort bool, window float64) {
 	hit := 0.0
 	if isShort {
 		hit = 1
