--- a/internal/steering/token/index.go
+++ b/internal/steering/token/index.go
@@ -195,9 +195,9 @@
 }
 
 // isSupersededBy reports whether the target has ended because another one runs at its address. Of
-// two targets in the store the earlier one has ended, since it can't have been written since. A
-// target that is gone has ended only if the present one was written later: otherwise it is the
-// present one that ended, and its removal is not known here yet.
+// two targets in the store the one written earlier has ended, since it can't have been written after
+// the other one started. A target that is gone has ended only if the present one was written later:
+// otherwise it is the present one that ended, and its removal is not known here yet.
 func (t *Target) isSupersededBy(current *Target) bool {
 	switch {
 	case current == nil || current == t:
--- a/internal/steering/token/unrouted.go
+++ b/internal/steering/token/unrouted.go
@@ -10,7 +10,7 @@
 const (
 	// confirmationMargin is how much later than a moment a store confirmation must be to rule out
 	// that the confirmed view is older than that moment. Confirmations are timed by when their
-	// response was processed: a response may be delayed by 0.4 s (followed.Config.Slack), a
+	// answer was processed: an answer may be delayed by 0.4 s (followed.Config.Slack), a
 	// message between daemons by another 0.4 s in a daemon whose pause is too short to be
 	// detected, and 0.2 s are for the network.
 	confirmationMargin = time.Second
--- a/internal/storeview/lwwmap.go
+++ b/internal/storeview/lwwmap.go
@@ -172,9 +172,9 @@
 	}
 }
 
-// hasNewer reports whether a newer state of the key is held than that of a revision. An entry
-// written at that very revision counts as newer, as the removal may be a peer's report of an
-// invalid entry.
+// hasNewer reports whether the state of the key at a revision is held already, or a newer one. A
+// removal at that very revision does not count: a peer that rejected the invalid entry written at
+// that revision reports it as a removal.
 func (r *lwwMap[K]) hasNewer(key string, revision uint64) bool {
 	held, isHeld := r.byKey[key]
 	return isHeld && (held.record().Revision > revision || held.record().Written >= revision)
@@ -190,7 +190,7 @@
 			missing = append(missing, key)
 		}
 	}
-	slices.Sort(missing) // in a fixed order, for seeded runs
+	slices.Sort(missing) // deterministic order for seeded runs
 	for _, key := range missing {
 		if held, isHeld := r.byKey[key]; isHeld {
 			r.markGone(held, revision, at, change)
