--- a/internal/steering/token/builder.go
+++ b/internal/steering/token/builder.go
@@ -103,7 +103,7 @@
 	b.add(current, previous)
 }
 
-// add adds a target to the index. before is its previous state, nil if it was unknown.
+// add adds a target to the index. previous is its earlier state, nil if it was unknown.
 func (b *Builder) add(entry *storeview.KnownTarget, previous *Target) {
 	service := b.services[entry.Service]
 	isEvacuated := b.evacuated[entry.Zone]
--- a/internal/steering/token/unrouted.go
+++ b/internal/steering/token/unrouted.go
@@ -50,7 +50,8 @@
 
 // unroutedFlow holds what is needed to reset a flow.
 type unroutedFlow struct {
-	// openAt is a time at which the flow was open, last the arrival of its latest packet.
+	// openAt is a time at which the flow was open, lastPacketAt when its latest packet
+	// arrived.
 	openAt, lastPacketAt time.Time
 	// head is the latest packet's.
 	head Packet
