--- a/internal/balance/slowness_test.go
+++ b/internal/balance/slowness_test.go
@@ -12,7 +12,7 @@
 		assert.Equal(t, new(slowness).value(now), 1.0)
 		assert.Equal(t, new(slowness).penalty(now), 1.0)
 	})
-	t.Run("a few slow answers count, a single one does not", func(t *testing.T) {
+	t.Run("a few slow responses count, a single one does not", func(t *testing.T) {
 		var average slowness
 		average.record(now, 2)
 		assert.Equal(t, average.penalty(now), 1.0)
@@ -21,7 +21,7 @@
 		}
 		assert.Assert(t, average.penalty(now) > 2)
 	})
-	t.Run("an overdue answer counts at once and never lowers the average", func(t *testing.T) {
+	t.Run("an overdue response counts at once and never lowers the average", func(t *testing.T) {
 		var average slowness
 		average.recordAtLeast(now, 6)
 		assert.Equal(t, average.value(now), 6.0)
--- a/internal/followed/epoch_test.go
+++ b/internal/followed/epoch_test.go
@@ -161,9 +161,9 @@
 	assert.Equal(t, other.Configuration().Version, uint64(2))
 }
 
-// The daemon listed a restored store and received nothing afterwards, neither from the store
-// nor from peers. It must not take the backup's state for current when the writers' time is
-// over: the target had written again meanwhile that it is draining.
+// The daemon listed a restored store and was then cut off from the store and its peers. After the
+// grace period it must keep the earlier state until the store's content is confirmed, since the
+// target may have written again that it is draining.
 func TestRestoredStateIsNotFinalBeforeConfirmation(t *testing.T) {
 	afterRestore := testStart.Add(DefaultConfig().View.RestoredFor)
 	cutOff := func(t *testing.T) *Fleet {
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -37,7 +37,7 @@
 	controller := newLearnedController(t)
 	for index := range count {
 		if index < responsesBelowThreshold {
-			assert.Assert(t, !controller.NoteAnswer(start, route, rejectSize), "a few short answers are not rejections")
+			assert.Assert(t, !controller.NoteAnswer(start, route, rejectSize), "a few short responses are not rejections")
 			continue
 		}
 		assert.Assert(t, controller.NoteAnswer(start, route, rejectSize))
--- a/internal/overload/responselengths_test.go
+++ b/internal/overload/responselengths_test.go
@@ -116,7 +116,7 @@
 				limited++
 			}
 		}
-		assert.Assert(t, limited < answers/20, "limit active for %d of %d answers, seed %d", limited, answers, seed)
+		assert.Assert(t, limited < answers/20, "limit active for %d of %d responses, seed %d", limited, answers, seed)
 	}
 }
 
