--- a/internal/steering/token/openflows.go
+++ b/internal/steering/token/openflows.go
@@ -210,8 +210,8 @@
 func (r *Requests) HeldFlows() HeldFlows { return r.flows.stats() }
 
 // TakeResting removes up to limit open flows whose targets, given by token, are dead, and returns
-// for each the packet head to answer with a reset. Call TakeWaiting first, which takes the
-// flows of waiting callers and ends their pending requests.
+// for each the packet head to answer with a reset. It does not end pending requests:
+// call TakeWaiting before, which takes the flows of waiting callers and ends their requests.
 func (r *Requests) TakeResting(isDead func(target uint32) bool, limit int) []Packet {
 	return r.flows.takeDead(isDead, limit)
 }
