--- a/internal/simulation/calls_test.go
+++ b/internal/simulation/calls_test.go
@@ -9,8 +9,8 @@
 	"github.com/passtray/passtray/internal/followed"
 )
 
-// callsOfOutage returns how many calls daemons make of a store that refuses all for a
-// while, from when it is gone until some time after its return.
+// callsOfOutage returns the number of calls made by the daemons from the start of a store outage
+// until some time after it.
 func callsOfOutage(t *testing.T, daemons int, config followed.FleetConfig) int {
 	t.Helper()
 	run := newFollowedRun(1, NewFollowedFleet(1, daemons, testZones, config, DefaultNetworkConfig()))
@@ -28,19 +28,20 @@
 	acknowledged := run.Store.Revision()
 	run.Clock.Advance(convergeSpan)
 	for index, daemon := range run.Daemons {
-		assert.Assert(t, daemon.Core.View().Revision() >= acknowledged, "daemon %d of %d lacks what was acknowledged %s ago", index, daemons, convergeSpan)
+		assert.Assert(t, daemon.Core.View().Revision() >= acknowledged, "daemon %d of %d lacks a revision acknowledged %s ago", index, daemons, convergeSpan)
 	}
 	return run.Store.Calls - before
 }
 
 const (
 	outageSpan = 7 * time.Second
-	// callsPerSecond is what all daemons together may make of a store that is away:
-	// one each 25 ms by turns, and as many retries at most.
+	// callsPerSecond limits the calls of all daemons to an unavailable store: one every 25 ms in
+	// turn, and at most as many retries.
 	callsPerSecond = 100
 )
 
-// TestAnOutageCostsCallsByItsLength, not by how many daemons there are.
+// TestAnOutageCostsCallsByItsLength checks that the number of calls depends on the duration of an
+// outage, not on the number of daemons.
 func TestAnOutageCostsCallsByItsLength(t *testing.T) {
 	t.Parallel()
 	for _, daemons := range []int{20, 80, 240} {
@@ -53,7 +54,8 @@
 	}
 }
 
-// TestWithoutTurnsAnOutageCostsCallsByDaemons: all of them ask as soon as news is old.
+// TestWithoutTurnsAnOutageCostsCallsByDaemons disables the staggering by rank: all daemons call as
+// soon as their view is stale.
 func TestWithoutTurnsAnOutageCostsCallsByDaemons(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
--- a/internal/simulation/coldstart_test.go
+++ b/internal/simulation/coldstart_test.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// startSpread is within what time the machines of a fleet start; seeds are last.
+	// startSpread is the time over which the machines of a fleet start; seeds start last.
 	startSpread = 300 * time.Millisecond
 
 	largeDaemons = 350
 	largeTargets = 600
 )
 
-// coldStart is a start of a whole fleet from nothing.
+// coldStart is the start of a whole fleet without any state.
 type coldStart struct {
 	*followedRun
 	begun time.Time
 }
 
-// newColdStart starts a fleet in a drawn order, its seeds last, on links of two rates.
+// newColdStart starts a fleet in random order, its seeds last, on links of two rates.
 func newColdStart(seed uint64, daemons, targets int, config followed.FleetConfig) *coldStart {
 	fleet := NewFollowedFleet(seed, daemons, testZones, config, DefaultNetworkConfig())
 	run := &coldStart{followedRun: newFollowedRun(seed, fleet), begun: fleet.Clock.Now()}
@@ -44,8 +44,8 @@
 	return run
 }
 
-// readyAfter returns within what time of the first start a share of the daemons had a
-// configuration; those that have none count as never.
+// readyAfter returns the time from the beginning until a share of the daemons had a configuration.
+// A daemon that has none counts as one hour.
 func (r *coldStart) readyAfter(share float64) time.Duration {
 	var spans []time.Duration
 	for _, daemon := range r.Daemons {
@@ -59,8 +59,8 @@
 	return spans[min(len(spans)-1, int(share*float64(len(spans))))]
 }
 
-// TestALargeFleetStartsFromFewLists: the store's link is shared, and a list takes a tenth
-// of a second on most machines' own.
+// TestALargeFleetStartsFromFewLists shares the store's link; a list takes a tenth of a second on
+// the links of most machines.
 func TestALargeFleetStartsFromFewLists(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
@@ -76,7 +76,6 @@
 	}
 }
 
-// TestWithoutSuppressionManyMoreListsAreBegun, which share the store's link.
 func TestWithoutSuppressionManyMoreListsAreBegun(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
@@ -89,7 +88,7 @@
 		}
 		run := newColdStart(1, largeDaemons, largeTargets, config)
 		run.Clock.Advance(2 * time.Second)
-		// Each daemon's first call only shows how long the list is.
+		// The first call of each daemon only finds out the size of the list.
 		return run.Store.StaleCalls - largeDaemons
 	}
 	with, without := lists(true), lists(false)
@@ -98,23 +97,22 @@
 }
 
 const (
-	// fewTargets are as many as a list of targets alone may have.
+	// fewTargets is the number of targets that still fit into an early list of targets alone.
 	fewTargets = 200
-	// targetsWithin is by when after a daemon's start its targets are to be known: a round
-	// trip to find the content long, 60 KB on a link of 20 Mbit/s, and what of the seeds'
-	// whole lists and of all others' short ones goes over the store's link before.
+	// targetsWithin is the time from a daemon's start until it must have the targets: a round trip
+	// to find that the full list is too large, 60 KB at 20 Mbit/s, and the queue on the store's
+	// link.
 	targetsWithin = 200 * time.Millisecond
 )
 
-// targetsKnownLate returns how many daemons that ran for a while without a configuration
-// did not know the targets by then. The seeds start last.
+// targetsKnownLate counts the daemons that ran for targetsWithin without a configuration, and those
+// of them that lacked the targets.
 func targetsKnownLate(seed uint64, configurationBytes, earlyBytes int64) (late, looked int) {
 	config := followed.DefaultFleetConfig()
 	config.Follower.EarlyBytes = earlyBytes
 	run := newColdStart(seed, 100, fewTargets, config)
 	run.Links.ConfigurationBytes = configurationBytes
-	// Seeds read the whole content at once, and the model's links carry one answer after
-	// the other.
+	// Seeds are excluded: they read the full list at once, and links transfer in FIFO order.
 	for _, daemon := range run.Daemons[len(run.Seeds):] {
 		look := func() {
 			if daemon.Core == nil || daemon.Core.View().Configuration() != nil {
@@ -131,7 +129,7 @@
 	return late, looked
 }
 
-// watchStart calls look a while after a daemon started.
+// watchStart calls look some time after a daemon starts.
 func watchStart(run *coldStart, daemon *FollowedDaemon, after time.Duration, look func()) {
 	if daemon.Core == nil {
 		run.Clock.After(time.Millisecond, func() { watchStart(run, daemon, after, look) })
@@ -140,7 +138,8 @@
 	run.Clock.After(after, look)
 }
 
-// TestTargetsAreKnownBeforeALongConfiguration, however long it is: open flows need no more.
+// TestTargetsAreKnownBeforeALongConfiguration checks that daemons get the targets, which open flows
+// need, ahead of a large configuration.
 func TestTargetsAreKnownBeforeALongConfiguration(t *testing.T) {
 	t.Parallel()
 	earlyBytes := followed.DefaultFleetConfig().Follower.EarlyBytes
@@ -155,15 +154,14 @@
 	}
 }
 
-// TestWithoutEarlyListsTargetsWaitForTheConfiguration.
 func TestWithoutEarlyListsTargetsWaitForTheConfiguration(t *testing.T) {
 	t.Parallel()
 	late, looked := targetsKnownLate(1, 300<<10, 0)
 	assert.Assert(t, looked > 10 && late == looked, "%d of %d late", late, looked)
 }
 
-// startInPages starts 1,000 daemons beside a store whose content is as long as 10,000 targets, in 50 pages,
-// and demands that nine tenths have it within 5 s.
+// startInPages starts 1,000 daemons with a store whose content is as large as 10,000 targets, in 50
+// pages. Nine tenths must have it within 5 s.
 func startInPages(t *testing.T, targetBytes int64) {
 	t.Helper()
 	t.Parallel()
@@ -172,7 +170,7 @@
 	}
 	run := newColdStart(1, 1000, largeTargets, followed.FleetConfigFor(8*time.Second))
 	run.Store.PageLength = 12
-	run.Links.TargetBytes = 16 * targetBytes // 600 targets stand for 10,000
+	run.Links.TargetBytes = 16 * targetBytes // 600 targets are as large as 10,000
 	run.Links.SnapshotBytes = 300 << 10
 	run.Links.ConfigurationBytes = 20 << 10
 	run.Clock.Advance(6 * time.Second)
@@ -180,18 +178,17 @@
 	assert.Assert(t, run.readyAfter(0.9) <= 5*time.Second, "nine tenths %s", run.readyAfter(0.9))
 }
 
-// TestALargeFleetStartsFromFewListsInPages: no page is long for a daemon's link, all of them are,
-// and the store's link would be full for 20 s if every daemon read them.
+// TestALargeFleetStartsFromFewListsInPages uses pages that fit a daemon's link one by one. If every
+// daemon read them all, the store's link would be busy for 20 s.
 func TestALargeFleetStartsFromFewListsInPages(t *testing.T) { startInPages(t, 300) }
 
-// A fleet of 986 daemons was killed and started again. A page of 200 targets has 108 KB, more than is read early of
-// targets: each daemon gave it up, asked for the whole 0.3 s later, was not answered in time as all did ("dial tcp: i/o
-// timeout"), and asked up to six times at once from then on. The store's link was full of answers that nobody
-// awaited: 1,300 calls a second, and nobody served for 18 s.
+// TestALargeFleetStartsFromFewListsInLongPages uses pages larger than the limit of early lists of
+// targets. Daemons must not abort and retry them until the store's link is full of responses that
+// have timed out.
 func TestALargeFleetStartsFromFewListsInLongPages(t *testing.T) { startInPages(t, 542) }
 
-// TestWhoLearnedFromAPeerWaitsForAReader instead of asking the store whether that is the latest:
-// most of a thousand daemons learn before anybody has asked.
+// TestWhoLearnedFromAPeerWaitsForAReader checks that daemons that got a snapshot from a peer don't
+// ask the store whether it is the latest.
 func TestWhoLearnedFromAPeerWaitsForAReader(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
@@ -199,10 +196,10 @@
 	}
 	const daemons = 1000
 	run := newColdStart(1, daemons, largeTargets, followed.FleetConfigFor(8*time.Second))
-	run.Links.TargetBytes = 16 * 300 // as long as 10,000 targets
+	run.Links.TargetBytes = 16 * 300 // as large as 10,000 targets
 	run.Links.SnapshotBytes = 300 << 10
 	run.Links.ConfigurationBytes = 60 << 10
 	run.Clock.Advance(4 * time.Second)
 	exact := run.Store.Calls - run.Store.StaleCalls
-	assert.Assert(t, exact < daemons/2, "%d exact calls of %d daemons", exact, daemons)
+	assert.Assert(t, exact < daemons/2, "%d exact calls by %d daemons", exact, daemons)
 }
--- a/internal/simulation/followed_scale_test.go
+++ b/internal/simulation/followed_scale_test.go
@@ -14,7 +14,7 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// scaleRun is a fleet whose targets change all the time.
+// scaleRun runs a fleet whose targets change continuously.
 type scaleRun struct {
 	*FollowedFleet
 	targets int
@@ -27,7 +27,7 @@
 		FollowedFleet: NewFollowedFleet(1, daemons, zones, followed.FleetConfigFor(8*time.Second), DefaultNetworkConfig()),
 		targets:       targets,
 	}
-	run.Describe = func(daemon int, self *membership.Member) { // one in ten is strong
+	run.Describe = func(daemon int, self *membership.Member) { // one daemon in ten has the capacity for roles
 		self.Link, self.Processor = 20, 192
 		if daemon%10 == 0 {
 			self.Link, self.Processor = 200, 800
@@ -43,7 +43,7 @@
 	return run
 }
 
-// change writes the next target: each drains in every other round.
+// change writes the next target, draining in every second round.
 func (r *scaleRun) change() {
 	number := r.next % r.targets
 	r.Store.Put(storeview.Entry{Key: fmt.Sprintf("target-%05d", number), Target: &storeview.Target{
@@ -53,7 +53,7 @@
 	r.next++
 }
 
-// changeFor lets targets change so often a second for a span.
+// changeFor changes targets at a rate for some time.
 func (r *scaleRun) changeFor(span time.Duration, perSecond int) {
 	pause := time.Second / time.Duration(perSecond)
 	for passed := time.Duration(0); passed < span; passed += pause {
@@ -62,8 +62,7 @@
 	}
 }
 
-// BenchmarkControl is what the control of one daemon takes of a core in a second, while 30 targets
-// of a fleet change in it.
+// BenchmarkControl measures the CPU time per daemon and second while 30 targets change per second.
 func BenchmarkControl(b *testing.B) {
 	for _, daemons := range []int{250, 1000} {
 		b.Run(fmt.Sprint(daemons, " daemons"), func(b *testing.B) {
@@ -82,13 +81,12 @@
 	}
 }
 
-// fleetSize is how many daemons a large fleet has.
 var fleetSize = flag.Int("fleet", 300, "daemons of a large fleet")
 
-// liveView is how the daemons that run see each other.
+// liveView sums up how the running daemons see each other.
 type liveView struct {
-	// missing counts those that run and are held for dead by somebody, remaining those that do
-	// not run and are held for live.
+	// missing counts pairs in which a running daemon isn't a live member for another, remaining
+	// those in which a stopped daemon still is.
 	missing, remaining int
 }
 
@@ -117,8 +115,8 @@
 	return seen
 }
 
-// TestDeathsInALargeFleet: daemons that are killed, as many as that may be, are held for dead by all
-// others soon, and nobody else is; what a daemon sends meanwhile stays bounded.
+// TestDeathsInALargeFleet kills many daemons. All others must detect the failures in time, without
+// false positives and without exceeding the bandwidth bound.
 func TestDeathsInALargeFleet(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
@@ -126,10 +124,10 @@
 	}
 	daemons := *fleetSize
 	const (
-		// soon is by when all know. Gossip tells most within some 15 s; where more dies than its
-		// messages carry, daemons learn the rest as they compare their members, each minute.
+		// soon is the detection bound. Gossip spreads most failures within 15 s; failures that
+		// exceed what its messages carry spread by anti-entropy, once a minute.
 		soon = 75 * time.Second
-		// mostSent is what the users allow a daemon for control.
+		// mostSent is the maximum rate at which a daemon sends, in bytes per second.
 		mostSent = 4 << 10
 	)
 	for _, killed := range []float64{0.08, 0.55} {
@@ -138,7 +136,7 @@
 			run := newScaleRun(daemons, 50)
 			run.Clock.Advance(15 * time.Second)
 			unknown := run.liveView().missing
-			assert.Assert(t, unknown < daemons, "%d of %d pairs do not know each other", unknown, daemons*daemons)
+			assert.Assert(t, unknown < daemons, "%d of %d pairs are not live members of each other", unknown, daemons*daemons)
 			sent := make([]int, daemons)
 			run.OnDatagram = func(from, bytes int) { sent[from] += bytes }
 			for index := range int(killed * float64(daemons)) {
@@ -158,9 +156,9 @@
 				most = max(most, bytes)
 			}
 			perSecond := int(float64(most) / soon.Seconds())
-			t.Logf("%.0f %% of %d killed: known to all within %s, busiest sent %d B/s", 100*killed, daemons, knownBy+time.Second, perSecond)
-			assert.Equal(t, falseDeaths, 0, "held for dead though they run")
-			assert.Assert(t, knownBy < soon-time.Second, "not known to all within %s", soon)
+			t.Logf("%.0f %% of %d killed: detected by all within %s, busiest daemon sent %d B/s", 100*killed, daemons, knownBy+time.Second, perSecond)
+			assert.Equal(t, falseDeaths, 0, "running daemons were declared dead")
+			assert.Assert(t, knownBy < soon-time.Second, "not detected by all within %s", soon)
 			assert.Assert(t, perSecond < mostSent, "%d B/s", perSecond)
 		})
 	}
--- a/internal/simulation/links.go
+++ b/internal/simulation/links.go
@@ -6,14 +6,13 @@
 	"github.com/passtray/passtray/internal/followed"
 )
 
-// link carries bytes at a rate, one after the other.
+// link transfers bytes at a fixed rate, in FIFO order.
 type link struct {
 	bytesPerSecond float64
 	freeAt         time.Time
 }
 
-// carry returns how long from now on it takes until so many bytes have gone over the
-// link, after all that was put on it before.
+// carry queues a transfer and returns the time until it is complete, including queued transfers.
 func (l *link) carry(now time.Time, bytes int64) time.Duration {
 	if l.bytesPerSecond <= 0 {
 		return 0
@@ -25,34 +24,35 @@
 	return l.freeAt.Sub(now)
 }
 
-// backlog is how long the link is busy with what was put on it.
+// backlog returns the time until all queued transfers are complete.
 func (l *link) backlog(now time.Time) time.Duration { return max(0, l.freeAt.Sub(now)) }
 
-// Links gives a fleet's store and daemons links of their own, and answers a length.
+// Links models the network links of the store and of the daemons, and the sizes of responses.
 type Links struct {
-	// Store is the rate of the store's link in bytes a second, Daemon that of a
-	// daemon's.
+	// Store is the rate of the store's link in bytes per second; Daemon returns that of a daemon's
+	// link.
 	Store  float64
 	Daemon func(daemon int) float64
-	// ConfigurationBytes and TargetBytes are how long their entries are in the store's
-	// answers; GivenUpBytes of an answer are on their way before its reader gives it up.
+	// ConfigurationBytes and TargetBytes are the sizes of entries in the store's responses.
+	// GivenUpBytes are transferred of a response that exceeds the reader's limit before the reader
+	// aborts it.
 	ConfigurationBytes int64
 	TargetBytes        int64
 	GivenUpBytes       int64
-	// SnapshotBytes is how long the whole content is between daemons, BusyAfter how
-	// much a daemon's link may have to do for it to answer another peer.
+	// SnapshotBytes is the size of a snapshot sent between daemons. A daemon whose link has a
+	// backlog of at least BusyAfter serves no further peer.
 	SnapshotBytes int64
 	BusyAfter     time.Duration
 
-	// Given counts what daemons gave each other in bytes, by who gave it.
+	// Given counts the snapshot bytes that each daemon sent to peers.
 	Given map[int]int64
 
 	store   link
 	daemons map[int]*link
 }
 
-// NewLinks makes links of a deployment whose machines have one of two rates: every
-// twentieth 200 Mbit/s, the others 20.
+// NewLinks returns links for machines with two rates: every twentieth has 200 Mbit/s, the others 20
+// Mbit/s.
 func NewLinks() *Links {
 	return &Links{
 		Store: 125e6,
@@ -77,7 +77,7 @@
 	return held
 }
 
-// answerBytes is how long an answer of the store is.
+// answerBytes returns the size of a response of the store.
 func (l *Links) answerBytes(answer *followed.Answer) int64 {
 	var bytes int64
 	for index := range answer.Entries {
@@ -90,8 +90,8 @@
 	return bytes
 }
 
-// fetch puts an answer of the store on both links and returns how long it takes. One
-// that is longer than its reader wants is given up.
+// fetch transfers a response of the store over both links and returns the time it takes. A response
+// larger than the call's limit is aborted.
 func (l *Links) fetch(now time.Time, daemon int, call *followed.Call, answer *followed.Answer) time.Duration {
 	l.store.bytesPerSecond = l.Store
 	bytes := l.answerBytes(answer)
@@ -103,12 +103,13 @@
 	return max(l.store.carry(now, bytes), l.of(daemon).carry(now, bytes))
 }
 
-// isBusy reports whether a daemon's link has enough to do.
+// isBusy reports whether a daemon's link is too busy to serve another peer.
 func (l *Links) isBusy(now time.Time, daemon int) bool {
 	return l.of(daemon).backlog(now) >= l.BusyAfter
 }
 
-// give puts a peer's answer on both links and returns how long it takes.
+// give transfers a delta from a peer over both links and returns the time it takes. Only snapshots
+// count.
 func (l *Links) give(now time.Time, from, to int, delta *followed.Delta) time.Duration {
 	if delta.Since > 0 || len(delta.Entries) == 0 {
 		return 0
--- a/internal/simulation/orders_test.go
+++ b/internal/simulation/orders_test.go
@@ -11,7 +11,7 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// evacuatedIn returns the zones that a view holds for evacuated, in order.
+// evacuatedIn returns the zones under an evacuation order in a view.
 func evacuatedIn(view *storeview.View) []string {
 	var zones []string
 	for _, order := range view.Orders() {
@@ -20,7 +20,7 @@
 	return zones
 }
 
-// someOrder evacuates a zone, which may have no targets, or takes that back.
+// someOrder evacuates a random zone, which may have no targets, or withdraws its order.
 func (r *followedRun) someOrder() {
 	zone := append(testZones[:len(testZones):len(testZones)], "nowhere")[r.random.IntN(len(testZones)+1)]
 	switch {
@@ -29,12 +29,12 @@
 	case r.random.IntN(3) > 0:
 		r.Store.Withdraw(zone)
 	default:
-		r.Store.Evacuate(zone) // written once more
+		r.Store.Evacuate(zone) // rewrites the order
 	}
 }
 
-// TestOrdersKeepTheBoundsUnderEverySchedule: orders come and go under all troubles of the
-// store and of membership, and every daemon in touch knows within the bound.
+// TestOrdersKeepTheBoundsUnderEverySchedule writes and withdraws orders under the fault schedules;
+// undisturbed daemons must have them within the bound.
 func TestOrdersKeepTheBoundsUnderEverySchedule(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, first uint64) {
@@ -48,8 +48,8 @@
 	})
 }
 
-// TestADroppedHistoryWithdrawsAnOrder: the withdrawal falls into history that the store
-// drops, so that only a list without the order's key tells of it.
+// TestADroppedHistoryWithdrawsAnOrder compacts the history that holds the withdrawal, so that only
+// a list without the order's key shows it.
 func TestADroppedHistoryWithdrawsAnOrder(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(20) {
@@ -69,7 +69,7 @@
 	}
 }
 
-// TestARestartUnderADeadStoreLearnsOrdersFromPeers, those that were withdrawn among them.
+// TestARestartUnderADeadStoreLearnsOrdersFromPeers includes withdrawn orders.
 func TestARestartUnderADeadStoreLearnsOrdersFromPeers(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(20) {
@@ -92,8 +92,8 @@
 	}
 }
 
-// TestFlowsKeepEvacuationsUnderFaults plays whole flows while zones are evacuated and
-// taken back, under the faults of the other flow schedules.
+// TestFlowsKeepEvacuationsUnderFaults evacuates zones and withdraws the orders during the flow
+// schedules.
 func TestFlowsKeepEvacuationsUnderFaults(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, seed uint64) {
@@ -105,7 +105,7 @@
 	})
 }
 
-// evacuateInTurn evacuates one zone after the other, each for a span, until the run ends.
+// evacuateInTurn evacuates zones one after another until the run ends.
 func (r *flowRun) evacuateInTurn(span time.Duration) {
 	zone := testZones[r.random.IntN(len(testZones))]
 	r.EvacuateZone(zone)
@@ -115,7 +115,7 @@
 	})
 }
 
-// TestTheChecksFindAnEvacuatedZoneThatGetsFlows: an order that nobody is told of.
+// TestTheChecksFindAnEvacuatedZoneThatGetsFlows uses an order that no daemon receives.
 func TestTheChecksFindAnEvacuatedZoneThatGetsFlows(t *testing.T) {
 	t.Parallel()
 	run := startFlowRun(1)
@@ -130,8 +130,8 @@
 	assert.Assert(t, hasViolation(run, "EVAC"), "%v", run.Violations)
 }
 
-// TestAnOrderIsSoonInForceEverywhere measures fleets of two sizes: while all is well, and
-// with whoever reads the store killed or turned away just when the order is written.
+// TestAnOrderIsSoonInForceEverywhere measures fleets of two sizes without faults, and with the
+// reader killed or throttled just before the order is written.
 func TestAnOrderIsSoonInForceEverywhere(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
@@ -157,12 +157,12 @@
 				one.lose(run)
 				longest = max(longest, run.waitForRevision(t, run.Store.Evacuate(testZones[0]), one.within))
 			}
-			t.Logf("known to all after %s at most", longest)
+			t.Logf("reached all daemons after %s at most", longest)
 		})
 	}
 }
 
-// startLargeRun starts a fleet and lets it come to rest.
+// startLargeRun starts a fleet and waits until it has converged.
 func startLargeRun(seed uint64, daemons int) *followedRun {
 	run := newFollowedRun(seed, NewFollowedFleet(seed, daemons, testZones, followed.DefaultFleetConfig(), DefaultNetworkConfig()))
 	run.configure()
@@ -174,7 +174,7 @@
 	return run
 }
 
-// killReaders ends whoever reads the store for all.
+// killReaders stops the daemons that read the store.
 func (r *followedRun) killReaders() {
 	for index, daemon := range r.Daemons {
 		if daemon.Core.IsReading() {
@@ -183,7 +183,7 @@
 	}
 }
 
-// waitForRevision returns how long it takes until every running daemon knows a revision.
+// waitForRevision returns the time until every running daemon has a revision.
 func (r *followedRun) waitForRevision(t *testing.T, revision uint64, within time.Duration) time.Duration {
 	t.Helper()
 	began := r.Clock.Now()
@@ -198,7 +198,7 @@
 		if lacking == 0 {
 			return took
 		}
-		assert.Assert(t, took < within, "%d daemons do not know revision %d after %s", lacking, revision, took)
+		assert.Assert(t, took < within, "%d daemons do not have revision %d after %s", lacking, revision, took)
 		r.Clock.Advance(10 * time.Millisecond)
 	}
 }
--- a/internal/simulation/readers_test.go
+++ b/internal/simulation/readers_test.go
@@ -11,22 +11,21 @@
 )
 
 const (
-	// suppliedWithin is within what time news is in force at every daemon while no
-	// reader was lost, however young the daemons are: the gossip that carries it may
-	// be lost, and a pull that makes up for it may meet a daemon that is down.
+	// suppliedWithin is the time within which an update reaches every daemon while no reader fails,
+	// also right after a start. It allows for the loss of a gossip message and for a pull to a
+	// daemon that is down.
 	suppliedWithin = 1500 * time.Millisecond
-	// replacedWithin is how long after a reader died, froze or lost the store another
-	// one reads at the latest; the bound above holds again from then on.
+	// replacedWithin is the time within which a reader that died, paused or lost the store is
+	// replaced; suppliedWithin applies again from then on.
 	replacedWithin = 2700 * time.Millisecond
-	// newsStep is the time between two changes.
+	// newsStep is the time between two updates.
 	newsStep = 100 * time.Millisecond
 )
 
-// readersRun is a fleet whose store is well, while daemons start, die, freeze and
-// lose the store.
+// readersRun runs a fleet with a healthy store, while daemons start, die, pause and lose the store.
 type readersRun struct {
 	*followedRun
-	// lostAt is when a daemon was last lost, or lost the store.
+	// lostAt is when a daemon was last lost, or lost or regained the store.
 	lostAt time.Time
 }
 
@@ -38,8 +37,8 @@
 
 func (r *readersRun) lose() { r.lostAt = r.Clock.Now() }
 
-// restartSome kills some daemons, which start again together. Where all are killed
-// none is left that waits for a lost reader's word, and the bound holds at once.
+// restartSome kills some daemons and restarts them together. If all are killed, none waits for a
+// lost reader, so the bound applies at once.
 func (r *readersRun) restartSome(share float64) {
 	if share < 1 {
 		r.lose()
@@ -52,7 +51,7 @@
 	}
 }
 
-// disturbOne lets one daemon, at times the reader, freeze or lose the store.
+// disturbOne pauses one daemon, often the reader, or takes the store away from it.
 func (r *readersRun) disturbOne() {
 	daemon := r.random.IntN(len(r.Daemons))
 	for index, other := range r.Daemons {
@@ -75,7 +74,7 @@
 	}
 }
 
-// checkNews holds every daemon that is up and awake to the bounds.
+// checkNews checks suppliedWithin for every daemon that is up and not paused.
 func (r *readersRun) checkNews() {
 	now := r.Clock.Now()
 	if now.Sub(r.lostAt) < replacedWithin+suppliedWithin {
@@ -85,7 +84,7 @@
 	for index, daemon := range r.Daemons {
 		isUp := daemon.Core != nil && now.Sub(daemon.TroubledAt) >= suppliedWithin && !daemon.PausedUntil.After(now)
 		if isUp && daemon.Core.View().Revision() < required {
-			r.violate("daemon %d is at revision %d, but %d was acknowledged %s ago", index, daemon.Core.View().Revision(), required, suppliedWithin)
+			r.violate("daemon %d is at revision %d, but revision %d was acknowledged %s ago", index, daemon.Core.View().Revision(), required, suppliedWithin)
 		}
 	}
 }
@@ -114,8 +113,8 @@
 	}
 }
 
-// TestNewsArrivesWhoeverStartedWhen: all or many daemons start at once, and none of
-// them is old enough to be trusted more than the others.
+// TestNewsArrivesWhoeverStartedWhen restarts many or all daemons at once, so that daemon age
+// doesn't distinguish a reader.
 func TestNewsArrivesWhoeverStartedWhen(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, seed uint64) {
@@ -125,7 +124,7 @@
 	})
 }
 
-// TestNewsArrivesWhileReadersAreLost: readers die, freeze, are refused or cut off by
+// TestNewsArrivesWhileReadersAreLost covers readers that die, pause, or are throttled or cut off by
 // a store that serves the others.
 func TestNewsArrivesWhileReadersAreLost(t *testing.T) {
 	t.Parallel()
@@ -142,7 +141,8 @@
 	})
 }
 
-// TestOneReaderIsLeft: whatever happened, soon one daemon reads for all.
+// TestOneReaderIsLeft checks that exactly one daemon reads on behalf of the group some time after
+// the faults.
 func TestOneReaderIsLeft(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, seed uint64) {
--- a/internal/simulation/restored_test.go
+++ b/internal/simulation/restored_test.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// rewriteSpan is within what time operators and targets write again what a restored store
-	// has lost; expirySpan is when the entry of a target that does not is removed.
+	// rewriteSpan is the time within which operators and targets write again what a restored store
+	// has lost; expirySpan is the time after which the entry of a target that doesn't is removed.
 	rewriteSpan = 1200 * time.Millisecond
 	expirySpan  = 3600 * time.Millisecond
 )
 
-// restoreStore has the store be away for a while and come back from a copy that is older than
-// the outage by age.
+// restoreStore takes the store down for some time and restores it from a backup that was made age
+// before the outage.
 func (r *followedRun) restoreStore(away, age time.Duration) {
 	copiedAt := r.Clock.Now().Add(-age)
 	r.restoredUntil = r.Clock.Now().Add(away + r.rewriteAfter + expirySpan)
@@ -28,15 +28,15 @@
 		for _, lost := range r.Store.Restore(copiedAt) {
 			delay := r.rewriteAfter + time.Duration(r.random.Int64N(int64(rewriteSpan)))
 			if lost.IsRemoval() && !isNoTarget(lost) {
-				delay = expirySpan // a target that has ended writes nothing
+				delay = expirySpan // a stopped target writes nothing; its entry expires
 			}
 			r.Clock.After(delay, func() { r.Store.WriteAgain(lost) })
 		}
 	})
 }
 
-// someRestoration has the store come back from a copy, unless what it lost before is still to be
-// written again.
+// someRestoration restores the store from a backup at random, unless entries lost in the previous
+// restore are still to be written again.
 func (r *followedRun) someRestoration() {
 	if r.Clock.Now().Before(r.restoredUntil) || r.random.IntN(8) > 0 {
 		return
@@ -45,7 +45,7 @@
 	r.restoreStore(away, time.Second+time.Duration(r.random.Int64N(int64(9*time.Second))))
 }
 
-// changeAndLeave puts a version in force and has as many targets as are told leave.
+// changeAndLeave writes a new version, drains a number of targets and returns their keys.
 func (r *followedRun) changeAndLeave(leaving int) []string {
 	keys := append([]string(nil), r.targets[:leaving]...)
 	r.configure()
@@ -55,8 +55,8 @@
 	return keys
 }
 
-// differing returns the daemons that do not have the version in force, or hold a leaving target
-// for open.
+// differing returns the daemons that don't have the latest version, or take a draining target for
+// open.
 func (r *followedRun) differing(leaving []string) []int {
 	var differing []int
 	for index, daemon := range r.Daemons {
@@ -73,11 +73,8 @@
 	return differing
 }
 
-// The store was restored from a copy some seconds old and gave out again the revisions that it had
-// given out since. The daemons order all news by revision and took what was written under them for
-// old: "store listed, revision 24", "store dropped its history, after revision 26", and version
-// 26, written next, was never in force. Of five targets that said at once that they leave, at
-// revisions 174 to 178, daemons that held revision 177 saw the last.
+// TestWhatARestoredStoreTakesIsInForce checks that writes take effect although a restored store
+// reuses revision numbers that daemons have already seen.
 func TestWhatARestoredStoreTakesIsInForce(t *testing.T) {
 	t.Parallel()
 	for seed := range seeds(20) {
@@ -92,7 +89,7 @@
 			run.Clock.Advance(9 * time.Second)
 			leaving := run.changeAndLeave(2)
 			run.Clock.Advance(convergeSpan)
-			assert.Equal(t, len(run.differing(leaving)), 0, "seed %d: daemons %v do not have version %d, or send to targets that leave",
+			assert.Equal(t, len(run.differing(leaving)), 0, "seed %d: daemons %v do not have version %d, or take draining targets for open",
 				seed, run.differing(leaving), run.version)
 		}
 		run.settle()
@@ -100,11 +97,8 @@
 	}
 }
 
-// A copy knows nothing of what was written after it was made: a target that had said that it leaves
-// stands there as ready, one that has gone is back, one that started since is missing, and the
-// version is an earlier one. Until their writers have written again, what daemons knew before is
-// later than what the store holds. Here they were told within 1.2 s, and a daemon that listed
-// the copy sent new flows to leaving targets until then.
+// TestACopyTakesNothingBack checks that daemons keep newer entries when the store is restored from
+// an older backup, until their writers have written them again.
 func TestACopyTakesNothingBack(t *testing.T) {
 	t.Parallel()
 	for seed := range seeds(20) {
@@ -131,8 +125,8 @@
 	}
 }
 
-// Every other daemon starts while the store holds only the copy. Those that were there know a later
-// version and which targets leave, and the store cannot tell.
+// TestADaemonThatStartsBesideACopyLearnsWhatPeersKnow restarts every second daemon while the store
+// holds only the backup. They must get the newer entries from peers.
 func TestADaemonThatStartsBesideACopyLearnsWhatPeersKnow(t *testing.T) {
 	t.Parallel()
 	for seed := range seeds(20) {
@@ -153,9 +147,8 @@
 	}
 }
 
-// Restorations under all troubles of the store and of membership: every daemon in touch knows what
-// was written within the bound, none goes back to an earlier version, and all end with what the
-// store holds.
+// TestRestorationsKeepTheBoundsUnderEverySchedule adds restores to the fault schedules: updates
+// arrive within the bound, no view reverts, and all views converge with the store.
 func TestRestorationsKeepTheBoundsUnderEverySchedule(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, first uint64) {
@@ -170,7 +163,8 @@
 	})
 }
 
-// A fleet starts while the store is empty, in a later epoch: nobody ever had a configuration.
+// TestAFleetStartsBesideAnEmptyStoreThatWasRestored starts a fleet that never had a configuration
+// beside an empty store in a later epoch.
 func TestAFleetStartsBesideAnEmptyStoreThatWasRestored(t *testing.T) {
 	t.Parallel()
 	for seed := range seeds(10) {
@@ -196,8 +190,9 @@
 	}
 }
 
-// A fleet of many learns of a restoration from few lists: each daemon needs the whole content, as
-// nothing tells what of it the copy lacks. What is written meanwhile goes round as ever.
+// TestALargeFleetLearnsOfARestoration checks that every daemon enters the new epoch within the
+// convergence bound, and that updates spread meanwhile. Each daemon needs a full snapshot, as
+// nothing tells which entries the backup lacks.
 func TestALargeFleetLearnsOfARestoration(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
@@ -224,10 +219,10 @@
 			entered = run.Clock.Now().Sub(writtenAt)
 		}
 	}
-	t.Logf("%d daemons: the next version in force after %s, the epoch known to all after %s, %d calls",
+	t.Logf("%d daemons: next version active after %s, epoch entered by all after %s, %d calls",
 		*fleetSize, inForce, entered, run.Store.Calls-calls)
-	assert.Assert(t, inForce > 0 && inForce <= time.Second, "in force after %s", inForce)
-	assert.Assert(t, entered > 0 && entered <= converge, "known after %s", entered)
+	assert.Assert(t, inForce > 0 && inForce <= time.Second, "active after %s", inForce)
+	assert.Assert(t, entered > 0 && entered <= converge, "epoch entered after %s", entered)
 }
 
 func (r *followedRun) allKnowEpoch(epoch uint64) bool {
@@ -239,8 +234,8 @@
 	return true
 }
 
-// restoreUnderFlows has the store be away and come back from a copy. Operators and the targets that
-// live write again what was lost; entries of the others expire.
+// restoreUnderFlows takes the store down and restores it from a backup. Operators and running
+// targets write lost entries again; entries of other targets expire.
 func (r *flowRun) restoreUnderFlows(away, age time.Duration) {
 	copiedAt := r.Clock.Now().Add(-age)
 	r.disturbStore(StoreBroken, away)
@@ -266,8 +261,8 @@
 	return false
 }
 
-// Whole flows while the store is restored from copies, under the faults of the other flow schedules:
-// no flow goes to another service or to a target that left, none of a living target is reset.
+// TestFlowsKeepTheRulesWhileTheStoreIsRestored adds restores to the flow schedules: no flow goes to
+// another service or to a target that left, and no flow of a live target is reset.
 func TestFlowsKeepTheRulesWhileTheStoreIsRestored(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, seed uint64) {
--- a/internal/simulation/strength_test.go
+++ b/internal/simulation/strength_test.go
@@ -12,14 +12,14 @@
 
 const (
 	mixedDaemons = 60
-	// strongEvery is which part of the machines are strong.
+	// strongEvery is the interval of machines that have the capacity for roles.
 	strongEvery = 10
-	// mostCallsPerSecond is what all daemons together may ask a store that is well, while
-	// strong ones are lost.
+	// mostCallsPerSecond limits the calls of all daemons to a healthy store while strong daemons
+	// fail.
 	mostCallsPerSecond = 20
 )
 
-// startMixedRun starts a fleet of few strong machines and many weak ones.
+// startMixedRun starts a fleet of a few strong machines and many weak ones.
 func startMixedRun(seed uint64, config followed.FleetConfig) *readersRun {
 	fleet := NewFollowedFleet(seed, mixedDaemons, testZones, config, DefaultNetworkConfig())
 	fleet.Describe = func(daemon int, self *membership.Member) {
@@ -40,8 +40,7 @@
 	return run
 }
 
-// newsTakes returns how long a target's news takes to every daemon, at worst of some that do
-// not follow each other quickly.
+// newsTakes returns the longest time in which one of several separate updates reached every daemon.
 func (r *readersRun) newsTakes() time.Duration {
 	longest := time.Duration(0)
 	for range 10 {
@@ -65,8 +64,8 @@
 	return true
 }
 
-// TestStrongDaemonsBringNewsToAll in two hops; without relays gossip needs several rounds of
-// a tick each.
+// TestStrongDaemonsBringNewsToAll checks that relays spread an update in two hops, while gossip
+// alone takes several rounds.
 func TestStrongDaemonsBringNewsToAll(t *testing.T) {
 	t.Parallel()
 	const within = 50 * time.Millisecond
@@ -75,12 +74,12 @@
 	with := startMixedRun(1, config).newsTakes()
 	config.RelaysFrom = 0
 	without := startMixedRun(1, config).newsTakes()
-	t.Logf("news takes %s with relays, %s without", with, without)
+	t.Logf("update latency %s with relays, %s without", with, without)
 	assert.Assert(t, with <= within, "%s", with)
 	assert.Assert(t, without > within, "%s", without)
 }
 
-// disturbStrong lets a strong daemon die, freeze, or lose the store or its peers.
+// disturbStrong kills or pauses a strong daemon, or takes the store and its peers away from it.
 func (r *readersRun) disturbStrong() {
 	daemon := r.random.IntN(mixedDaemons/strongEvery) * strongEvery
 	span := 500*time.Millisecond + time.Duration(r.random.Int64N(int64(6*time.Second)))
@@ -100,13 +99,13 @@
 	}
 }
 
-// TestNewsArrivesWhileStrongDaemonsAreLost: they die, freeze, or are cut off, and calls stay
-// few.
+// TestNewsArrivesWhileStrongDaemonsAreLost checks the update bound and the number of calls while
+// strong daemons die, pause or are cut off.
 func TestNewsArrivesWhileStrongDaemonsAreLost(t *testing.T) {
 	t.Parallel()
 	seeds := uint64(6)
 	if testing.Short() {
-		seeds = 1 // The race detector makes 60 daemons slow; a seeded model has no races.
+		seeds = 1 // the race detector makes 60 daemons slow; a seeded model has no races
 	}
 	for seed := range seeds {
 		run := startMixedRun(seed, followed.DefaultFleetConfig())
@@ -119,7 +118,7 @@
 	}
 }
 
-// loseReader takes the reader away once, and plays on.
+// loseReader fails the current reader once and continues the run.
 func (r *readersRun) loseReader(way func(daemon int, span time.Duration)) {
 	const span = 8 * time.Second
 	for index, daemon := range r.Daemons {
@@ -131,11 +130,11 @@
 	r.playNews(int(span.Seconds()), func() {})
 }
 
-// TestALostStrongReaderIsReplaced whichever way it is lost. With weak daemons that wait for
-// strong ones for ever it is not.
+// TestALostStrongReaderIsReplaced covers each kind of failure. It isn't replaced if weak daemons
+// wait for strong ones indefinitely.
 func TestALostStrongReaderIsReplaced(t *testing.T) {
 	t.Parallel()
-	for name, isWaiting := range map[string]bool{"as it is": false, "weak ones wait": true} {
+	for name, isWaiting := range map[string]bool{"default": false, "weak daemons wait": true} {
 		config := followed.DefaultFleetConfig()
 		if isWaiting {
 			config.FreshFor = time.Hour
@@ -156,19 +155,19 @@
 						run.mark(run.parted, daemon, span, true)
 					}
 				})
-				t.Logf("way %d: %d violations", seed, len(run.Violations))
+				t.Logf("failure %d: %d violations", seed, len(run.Violations))
 				if !isWaiting {
-					assert.Equal(t, len(run.Violations), 0, "way %d: %v", seed, run.Violations)
+					assert.Equal(t, len(run.Violations), 0, "failure %d: %v", seed, run.Violations)
 				} else {
-					assert.Assert(t, len(run.Violations) > 0, "way %d", seed)
+					assert.Assert(t, len(run.Violations) > 0, "failure %d", seed)
 				}
 			}
 		})
 	}
 }
 
-// mostGiven starts a fleet at once and returns what its busiest daemon gives others, and by
-// when nine tenths have a configuration.
+// mostGiven starts all daemons of a fleet at once. It returns the snapshot bytes that the busiest
+// daemon sends, and the time until nine tenths have a configuration.
 func mostGiven(seed uint64, daemons int, config followed.FleetConfig) (bytes int64, ready time.Duration) {
 	run := newColdStart(seed, daemons, fewTargets, config)
 	run.Clock.Advance(3 * time.Second)
@@ -178,8 +177,8 @@
 	return bytes, run.readyAfter(0.9)
 }
 
-// TestWholeContentsSpreadOverAFleetThatStarts: what the busiest gives grows by less than the
-// root of the number of daemons, and starts wait little for it.
+// TestWholeContentsSpreadOverAFleetThatStarts checks that the snapshot bytes of the busiest daemon
+// grow by less than the square root of the fleet size, at little cost in start time.
 func TestWholeContentsSpreadOverAFleetThatStarts(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
@@ -191,7 +190,7 @@
 		many, ready := mostGiven(seed, 300, config)
 		config.AnswersBurst = 0
 		without, readyWithout := mostGiven(seed, 300, config)
-		t.Logf("seed %d: busiest gives %d KB of 30, %d KB of 300 (nine tenths ready after %s); %d KB without a budget (%s)",
+		t.Logf("seed %d: busiest sends %d KB of 30 daemons, %d KB of 300 (nine tenths ready after %s); %d KB without a budget (%s)",
 			seed, few>>10, many>>10, ready, without>>10, readyWithout)
 		assert.Assert(t, many*many <= 10*few*few, "seed %d", seed)
 		assert.Assert(t, many*4 <= without*3, "seed %d", seed)
