--- a/internal/simulation/coldstart_test.go
+++ b/internal/simulation/coldstart_test.go
@@ -47,21 +47,21 @@
 // readyAfter returns the time from the beginning until a share of the daemons had a configuration.
 // A daemon that has none counts as one hour.
 func (r *coldStart) readyAfter(share float64) time.Duration {
-	var spans []time.Duration
+	var delays []time.Duration
 	for _, daemon := range r.Daemons {
-		span := time.Hour
+		delay := time.Hour
 		if !daemon.ReadyAt.IsZero() {
-			span = daemon.ReadyAt.Sub(r.begun)
+			delay = daemon.ReadyAt.Sub(r.begun)
 		}
-		spans = append(spans, span)
+		delays = append(delays, delay)
 	}
-	slices.Sort(spans)
-	return spans[min(len(spans)-1, int(share*float64(len(spans))))]
+	slices.Sort(delays)
+	return delays[min(len(delays)-1, int(share*float64(len(delays))))]
 }
 
-// TestALargeFleetStartsFromFewLists shares the store's link; a list takes a tenth of a second on
+// TestLargeFleetStartNeedsFewLists shares the store's link; a list takes a tenth of a second on
 // the links of most machines.
-func TestALargeFleetStartsFromFewLists(t *testing.T) {
+func TestLargeFleetStartNeedsFewLists(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
 		t.Skip("350 daemons take minutes under the race detector; a seeded model has no races")
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestWithoutSuppressionManyMoreListsAreBegun(t *testing.T) {
+func TestLargeFleetStartNeedsManyListsWithoutSuppression(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
 		t.Skip("350 daemons take minutes under the race detector; a seeded model has no races")
@@ -97,56 +97,56 @@
 }
 
 const (
-	// fewTargets is the number of targets that still fit into an early list of targets alone.
-	fewTargets = 200
-	// targetsWithin is the time from a daemon's start until it must have the targets: a round trip
+	// maxEarlyTargets is the number of targets that still fit into an early list of targets alone.
+	maxEarlyTargets = 200
+	// targetsBound is the time from a daemon's start until it must have the targets: a round trip
 	// to find that the full list is too large, 60 KB at 20 Mbit/s, and the queue on the store's
 	// link.
-	targetsWithin = 200 * time.Millisecond
+	targetsBound = 200 * time.Millisecond
 )
 
-// targetsKnownLate counts the daemons that ran for targetsWithin without a configuration, and those
+// countLateTargets counts the daemons that ran for targetsBound without a configuration, and those
 // of them that lacked the targets.
-func targetsKnownLate(seed uint64, configurationBytes, earlyBytes int64) (late, looked int) {
+func countLateTargets(seed uint64, configurationBytes, earlyBytes int64) (late, checked int) {
 	config := followed.DefaultFleetConfig()
 	config.Follower.EarlyBytes = earlyBytes
-	run := newColdStart(seed, 100, fewTargets, config)
+	run := newColdStart(seed, 100, maxEarlyTargets, config)
 	run.Links.ConfigurationBytes = configurationBytes
 	// Seeds are excluded: they read the full list at once, and links transfer in FIFO order.
 	for _, daemon := range run.Daemons[len(run.Seeds):] {
-		look := func() {
+		check := func() {
 			if daemon.Core == nil || daemon.Core.View().Configuration() != nil {
 				return
 			}
-			looked++
-			if daemon.Core.View().Present() < fewTargets {
+			checked++
+			if daemon.Core.View().Present() < maxEarlyTargets {
 				late++
 			}
 		}
-		watchStart(run, daemon, targetsWithin, look)
+		callAfterStart(run, daemon, targetsBound, check)
 	}
 	run.Clock.Advance(time.Second)
-	return late, looked
+	return late, checked
 }
 
-// watchStart calls look some time after a daemon starts.
-func watchStart(run *coldStart, daemon *FollowedDaemon, after time.Duration, look func()) {
+// callAfterStart calls look some time after a daemon starts.
+func callAfterStart(run *coldStart, daemon *FollowedDaemon, after time.Duration, check func()) {
 	if daemon.Core == nil {
-		run.Clock.After(time.Millisecond, func() { watchStart(run, daemon, after, look) })
+		run.Clock.After(time.Millisecond, func() { callAfterStart(run, daemon, after, check) })
 		return
 	}
-	run.Clock.After(after, look)
+	run.Clock.After(after, check)
 }
 
-// TestTargetsAreKnownBeforeALongConfiguration checks that daemons get the targets, which open flows
+// TestTargetsArriveBeforeLargeConfiguration checks that daemons get the targets, which open flows
 // need, ahead of a large configuration.
-func TestTargetsAreKnownBeforeALongConfiguration(t *testing.T) {
+func TestTargetsArriveBeforeLargeConfiguration(t *testing.T) {
 	t.Parallel()
 	earlyBytes := followed.DefaultFleetConfig().Follower.EarlyBytes
 	for name, bytes := range map[string]int64{"1,400 routes": 300 << 10, "14,000 routes": 3 << 20} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(4) {
-				late, looked := targetsKnownLate(seed, bytes, earlyBytes)
+				late, looked := countLateTargets(seed, bytes, earlyBytes)
 				t.Logf("seed %d: %d of %d late", seed, late, looked)
 				assert.Assert(t, looked > 10 && late == 0, "seed %d: %d of %d late", seed, late, looked)
 			}
@@ -154,15 +154,15 @@
 	}
 }
 
-func TestWithoutEarlyListsTargetsWaitForTheConfiguration(t *testing.T) {
+func TestTargetsWaitForConfigurationWithoutEarlyLists(t *testing.T) {
 	t.Parallel()
-	late, looked := targetsKnownLate(1, 300<<10, 0)
+	late, looked := countLateTargets(1, 300<<10, 0)
 	assert.Assert(t, looked > 10 && late == looked, "%d of %d late", late, looked)
 }
 
-// startInPages starts 1,000 daemons with a store whose content is as large as 10,000 targets, in 50
+// testPagedStart starts 1,000 daemons with a store whose content is as large as 10,000 targets, in 50
 // pages. Nine tenths must have it within 5 s.
-func startInPages(t *testing.T, targetBytes int64) {
+func testPagedStart(t *testing.T, targetBytes int64) {
 	t.Helper()
 	t.Parallel()
 	if testing.Short() {
@@ -178,18 +178,18 @@
 	assert.Assert(t, run.readyAfter(0.9) <= 5*time.Second, "nine tenths %s", run.readyAfter(0.9))
 }
 
-// TestALargeFleetStartsFromFewListsInPages uses pages that fit a daemon's link one by one. If every
+// TestLargeFleetStartWithPagedLists uses pages that fit a daemon's link one by one. If every
 // daemon read them all, the store's link would be busy for 20 s.
-func TestALargeFleetStartsFromFewListsInPages(t *testing.T) { startInPages(t, 300) }
+func TestLargeFleetStartWithPagedLists(t *testing.T) { testPagedStart(t, 300) }
 
-// TestALargeFleetStartsFromFewListsInLongPages uses pages larger than the limit of early lists of
+// TestLargeFleetStartWithLargePages uses pages larger than the limit of early lists of
 // targets. Daemons must not abort and retry them until the store's link is full of responses that
 // have timed out.
-func TestALargeFleetStartsFromFewListsInLongPages(t *testing.T) { startInPages(t, 542) }
+func TestLargeFleetStartWithLargePages(t *testing.T) { testPagedStart(t, 542) }
 
-// TestWhoLearnedFromAPeerWaitsForAReader checks that daemons that got a snapshot from a peer don't
+// TestDaemonSyncedFromPeerDefersToReader checks that daemons that got a snapshot from a peer don't
 // ask the store whether it is the latest.
-func TestWhoLearnedFromAPeerWaitsForAReader(t *testing.T) {
+func TestDaemonSyncedFromPeerDefersToReader(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
 		t.Skip("1,000 daemons take minutes under the race detector; a seeded model has no races")
@@ -200,6 +200,6 @@
 	run.Links.SnapshotBytes = 300 << 10
 	run.Links.ConfigurationBytes = 60 << 10
 	run.Clock.Advance(4 * time.Second)
-	exact := run.Store.Calls - run.Store.StaleCalls
-	assert.Assert(t, exact < daemons/2, "%d exact calls by %d daemons", exact, daemons)
+	exactCalls := run.Store.Calls - run.Store.StaleCalls
+	assert.Assert(t, exactCalls < daemons/2, "%d exact calls by %d daemons", exactCalls, daemons)
 }
--- a/internal/simulation/flows_checks.go
+++ b/internal/simulation/flows_checks.go
@@ -11,7 +11,7 @@
 func (m *FlowModel) refused(flow *Flow, reason token.Reason) {
 	isOpen := flow.Opened && !flow.Ended && flow.Target.answersCallers() && !m.Frozen[flow.Target]
 	if isOpen && m.hasStood(flow) {
-		m.violate("FLOW: an open flow to %s was reset: %s", flow.Target.Key, reason)
+		m.recordViolation("FLOW: an open flow to %s was reset: %s", flow.Target.Key, reason)
 	}
 	if isOpen && reason == token.ReasonDroppedRoute {
 		m.Resets++
@@ -35,7 +35,7 @@
 	if _, isKnown := path.table.AddressOf(flow.Target.Identifier); !isDropped || !isKnown || !path.table.Routes(flow.Route) {
 		return
 	}
-	m.violate("MEMORY: daemon %d dropped a packet of a flow to %s, which it knows: %s", daemon, flow.Target.Key, decision.Reason)
+	m.recordViolation("MEMORY: daemon %d dropped a packet of a flow to %s, which it knows: %s", daemon, flow.Target.Key, decision.Reason)
 }
 
 // isInTouch reports whether bounds hold for a daemon now.
@@ -47,12 +47,12 @@
 func (m *FlowModel) checkRoute(flow *Flow, daemon int, target *FlowTarget, sentAt time.Time) {
 	allowed := m.allowed[flow.Route][target.Service]
 	if allowed == nil {
-		m.violate("ROUTE: %s of service %s got a flow to %s", target.Key, target.Service, flow.Route)
+		m.recordViolation("ROUTE: %s of service %s got a flow to %s", target.Key, target.Service, flow.Route)
 		return
 	}
 	isLate := !allowed.until.IsZero() && sentAt.Sub(allowed.until) > drainBound
 	if isLate && m.isInTouch(daemon) && m.StoreIsStable() {
-		m.violate("CONFIG: daemon %d sends flows to %s %s after it left the route", daemon, target.Service, sentAt.Sub(allowed.until))
+		m.recordViolation("CONFIG: daemon %d sends flows to %s %s after it left the route", daemon, target.Service, sentAt.Sub(allowed.until))
 	}
 }
 
@@ -61,7 +61,7 @@
 		return
 	}
 	if late := m.Clock.Now().Sub(target.LeavingAt); late > drainBound {
-		m.violate("DRAIN: daemon %d gave %s a flow %s after it began to leave", daemon, target.Key, late)
+		m.recordViolation("DRAIN: daemon %d gave %s a flow %s after it began to leave", daemon, target.Key, late)
 	}
 }
 
@@ -72,7 +72,7 @@
 		return
 	}
 	if late := m.Clock.Now().Sub(since); late > evacuationBound {
-		m.violate("EVAC: daemon %d gave %s a flow %s after %s was evacuated", daemon, target.Key, late, target.Zone)
+		m.recordViolation("EVAC: daemon %d gave %s a flow %s after %s was evacuated", daemon, target.Key, late, target.Zone)
 	}
 }
 
--- a/internal/simulation/flows_unrouted.go
+++ b/internal/simulation/flows_unrouted.go
@@ -30,7 +30,7 @@
 		}
 		packet := &token.Packet{Source: caller, Destination: route, Token: word, PayloadLength: 1}
 		if decision := m.decide(path, packet); decision.Action == token.Forward {
-			m.violate("ROUTE: daemon %d sent a packet to %s with a word of elsewhere to %s", index, route, decision.Target.Service)
+			m.recordViolation("ROUTE: daemon %d sent a packet to %s with a word of elsewhere to %s", index, route, decision.Target.Service)
 		}
 	}
 }
--- a/internal/simulation/followed_scale_test.go
+++ b/internal/simulation/followed_scale_test.go
@@ -35,7 +35,7 @@
 	}
 	run.Store.Put(storeview.Entry{Key: "config", Configuration: &storeview.Configuration{Version: 1}})
 	for range targets {
-		run.change()
+		run.changeTarget()
 	}
 	for index := range run.Daemons {
 		run.Clock.After(time.Duration(run.Random.Int64N(int64(300*time.Millisecond))), func() { run.Start(index) })
@@ -43,8 +43,8 @@
 	return run
 }
 
-// change writes the next target, draining in every second round.
-func (r *scaleRun) change() {
+// changeTarget writes the next target, draining in every second round.
+func (r *scaleRun) changeTarget() {
 	number := r.next % r.targets
 	r.Store.Put(storeview.Entry{Key: fmt.Sprintf("target-%05d", number), Target: &storeview.Target{
 		Identifier: uint64(number + 1), Service: "s", Zone: "a", Slots: 2, Draining: r.next/r.targets%2 == 1,
@@ -53,12 +53,12 @@
 	r.next++
 }
 
-// changeFor changes targets at a rate for some time.
-func (r *scaleRun) changeFor(span time.Duration, perSecond int) {
-	pause := time.Second / time.Duration(perSecond)
-	for passed := time.Duration(0); passed < span; passed += pause {
-		r.change()
-		r.Clock.Advance(pause)
+// changeTargets changes targets at a rate for some time.
+func (r *scaleRun) changeTargets(duration time.Duration, perSecond int) {
+	interval := time.Second / time.Duration(perSecond)
+	for passed := time.Duration(0); passed < duration; passed += interval {
+		r.changeTarget()
+		r.Clock.Advance(interval)
 	}
 }
 
@@ -72,7 +72,7 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
-				run.changeFor(5*time.Second, 30)
+				run.changeTargets(5*time.Second, 30)
 				seconds += 5
 			}
 			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(seconds*daemons), "µs/daemon/s")
@@ -83,15 +83,15 @@
 
 var fleetSize = flag.Int("fleet", 300, "daemons of a large fleet")
 
-// liveView sums up how the running daemons see each other.
-type liveView struct {
-	// missing counts pairs in which a running daemon isn't a live member for another, remaining
+// membershipView sums up how the running daemons see each other.
+type membershipView struct {
+	// missing counts pairs in which a running daemon isn't a live member for another, stale
 	// those in which a stopped daemon still is.
-	missing, remaining int
+	missing, stale int
 }
 
-func (r *scaleRun) liveView() liveView {
-	var seen liveView
+func (r *scaleRun) membershipView() membershipView {
+	var seen membershipView
 	running := map[netip.AddrPort]bool{}
 	for _, daemon := range r.Daemons {
 		if daemon.Core != nil {
@@ -102,64 +102,64 @@
 		if daemon.Core == nil {
 			continue
 		}
-		held := 0
+		visible := 0
 		for _, member := range daemon.Core.Live() {
 			if running[member.Identity.Address] {
-				held++
+				visible++
 			} else {
-				seen.remaining++
+				seen.stale++
 			}
 		}
-		seen.missing += len(running) - held
+		seen.missing += len(running) - visible
 	}
 	return seen
 }
 
-// TestDeathsInALargeFleet kills many daemons. All others must detect the failures in time, without
+// TestFailureDetectionInLargeFleet kills many daemons. All others must detect the failures in time, without
 // false positives and without exceeding the bandwidth bound.
-func TestDeathsInALargeFleet(t *testing.T) {
+func TestFailureDetectionInLargeFleet(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
 		t.Skip("1,000 daemons take minutes under the race detector; a seeded model has no races")
 	}
 	daemons := *fleetSize
 	const (
-		// soon is the detection bound. Gossip spreads most failures within 15 s; failures that
+		// detectionBound is the detection bound. Gossip spreads most failures within 15 s; failures that
 		// exceed what its messages carry spread by anti-entropy, once a minute.
-		soon = 75 * time.Second
-		// mostSent is the maximum rate at which a daemon sends, in bytes per second.
-		mostSent = 4 << 10
+		detectionBound = 75 * time.Second
+		// maxBytesPerSecond is the maximum rate at which a daemon sends, in bytes per second.
+		maxBytesPerSecond = 4 << 10
 	)
 	for _, killed := range []float64{0.08, 0.55} {
 		t.Run(fmt.Sprint(killed), func(t *testing.T) {
 			t.Parallel()
 			run := newScaleRun(daemons, 50)
 			run.Clock.Advance(15 * time.Second)
-			unknown := run.liveView().missing
-			assert.Assert(t, unknown < daemons, "%d of %d pairs are not live members of each other", unknown, daemons*daemons)
+			initiallyMissing := run.membershipView().missing
+			assert.Assert(t, initiallyMissing < daemons, "%d of %d pairs are not live members of each other", initiallyMissing, daemons*daemons)
 			sent := make([]int, daemons)
 			run.OnDatagram = func(from, bytes int) { sent[from] += bytes }
 			for index := range int(killed * float64(daemons)) {
 				run.Stop(index)
 			}
-			begun, falseDeaths, knownBy := run.Clock.Now(), 0, time.Duration(0)
-			for run.Clock.Now().Sub(begun) < soon {
+			start, falsePositives, detectedAfter := run.Clock.Now(), 0, time.Duration(0)
+			for run.Clock.Now().Sub(start) < detectionBound {
 				run.Clock.Advance(time.Second)
-				seen := run.liveView()
-				falseDeaths = max(falseDeaths, seen.missing-unknown)
-				if seen.remaining > 0 {
-					knownBy = run.Clock.Now().Sub(begun)
+				seen := run.membershipView()
+				falsePositives = max(falsePositives, seen.missing-initiallyMissing)
+				if seen.stale > 0 {
+					detectedAfter = run.Clock.Now().Sub(start)
 				}
 			}
-			most := 0
+			maxSent := 0
 			for _, bytes := range sent {
-				most = max(most, bytes)
+				maxSent = max(maxSent, bytes)
 			}
-			perSecond := int(float64(most) / soon.Seconds())
-			t.Logf("%.0f %% of %d killed: detected by all within %s, busiest daemon sent %d B/s", 100*killed, daemons, knownBy+time.Second, perSecond)
-			assert.Equal(t, falseDeaths, 0, "running daemons were declared dead")
-			assert.Assert(t, knownBy < soon-time.Second, "not detected by all within %s", soon)
-			assert.Assert(t, perSecond < mostSent, "%d B/s", perSecond)
+			perSecond := int(float64(maxSent) / detectionBound.Seconds())
+			t.Logf("%.0f %% of %d killed: detected by all within %s, busiest daemon sent %d B/s", 100*killed, daemons, detectedAfter+time.Second, perSecond)
+			assert.Equal(t, falsePositives, 0, "running daemons were declared dead")
+			assert.Assert(t, detectedAfter < detectionBound-time.Second, "not detected by all within %s", detectionBound)
+			assert.Assert(t, perSecond < maxBytesPerSecond, "%d B/s", perSecond)
 		})
 	}
 }
--- a/internal/simulation/links.go
+++ b/internal/simulation/links.go
@@ -12,8 +12,8 @@
 	freeAt         time.Time
 }
 
-// carry queues a transfer and returns the time until it is complete, including queued transfers.
-func (l *link) carry(now time.Time, bytes int64) time.Duration {
+// transfer queues a transfer and returns the time until it is complete, including queued transfers.
+func (l *link) transfer(now time.Time, bytes int64) time.Duration {
 	if l.bytesPerSecond <= 0 {
 		return 0
 	}
@@ -68,13 +68,13 @@
 	}
 }
 
-func (l *Links) of(daemon int) *link {
-	held := l.daemons[daemon]
-	if held == nil {
-		held = &link{bytesPerSecond: l.Daemon(daemon)}
-		l.daemons[daemon] = held
+func (l *Links) daemonLink(daemon int) *link {
+	existing := l.daemons[daemon]
+	if existing == nil {
+		existing = &link{bytesPerSecond: l.Daemon(daemon)}
+		l.daemons[daemon] = existing
 	}
-	return held
+	return existing
 }
 
 // answerBytes returns the size of a response of the store.
@@ -90,30 +90,30 @@
 	return bytes
 }
 
-// fetch transfers a response of the store over both links and returns the time it takes. A response
+// transferAnswer transfers a response of the store over both links and returns the time it takes. A response
 // larger than the call's limit is aborted.
-func (l *Links) fetch(now time.Time, daemon int, call *followed.Call, answer *followed.Answer) time.Duration {
+func (l *Links) transferAnswer(now time.Time, daemon int, call *followed.Call, answer *followed.Answer) time.Duration {
 	l.store.bytesPerSecond = l.Store
 	bytes := l.answerBytes(answer)
 	if call.MostBytes > 0 && bytes > call.MostBytes {
 		*answer = followed.Answer{Number: answer.Number, Outcome: followed.OutcomeTooLong, Bytes: bytes}
-		return l.store.carry(now, l.GivenUpBytes)
+		return l.store.transfer(now, l.GivenUpBytes)
 	}
 	answer.Bytes = bytes
-	return max(l.store.carry(now, bytes), l.of(daemon).carry(now, bytes))
+	return max(l.store.transfer(now, bytes), l.daemonLink(daemon).transfer(now, bytes))
 }
 
 // isBusy reports whether a daemon's link is too busy to serve another peer.
 func (l *Links) isBusy(now time.Time, daemon int) bool {
-	return l.of(daemon).backlog(now) >= l.BusyAfter
+	return l.daemonLink(daemon).backlog(now) >= l.BusyAfter
 }
 
-// give transfers a delta from a peer over both links and returns the time it takes. Only snapshots
+// transferDelta transfers a delta from a peer over both links and returns the time it takes. Only snapshots
 // count.
-func (l *Links) give(now time.Time, from, to int, delta *followed.Delta) time.Duration {
+func (l *Links) transferDelta(now time.Time, from, to int, delta *followed.Delta) time.Duration {
 	if delta.Since > 0 || len(delta.Entries) == 0 {
 		return 0
 	}
 	l.Given[from] += l.SnapshotBytes
-	return max(l.of(from).carry(now, l.SnapshotBytes), l.of(to).carry(now, l.SnapshotBytes))
+	return max(l.daemonLink(from).transfer(now, l.SnapshotBytes), l.daemonLink(to).transfer(now, l.SnapshotBytes))
 }
--- a/internal/simulation/orders_test.go
+++ b/internal/simulation/orders_test.go
@@ -20,8 +20,8 @@
 	return zones
 }
 
-// someOrder evacuates a random zone, which may have no targets, or withdraws its order.
-func (r *followedRun) someOrder() {
+// changeOrders evacuates a random zone, which may have no targets, or withdraws its order.
+func (r *followedRun) changeOrders() {
 	zone := append(testZones[:len(testZones):len(testZones)], "nowhere")[r.random.IntN(len(testZones)+1)]
 	switch {
 	case !slices.Contains(r.Store.Evacuated(), zone):
@@ -33,53 +33,53 @@
 	}
 }
 
-// TestOrdersKeepTheBoundsUnderEverySchedule writes and withdraws orders under the fault schedules;
+// TestOrdersConvergeWithinBoundUnderFaults writes and withdraws orders under the fault schedules;
 // undisturbed daemons must have them within the bound.
-func TestOrdersKeepTheBoundsUnderEverySchedule(t *testing.T) {
+func TestOrdersConvergeWithinBoundUnderFaults(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, first uint64) {
-		for seed := first * followedShare; seed < (first+1)*followedShare; seed++ {
+		for seed := first * schedulesPerSeed; seed < (first+1)*schedulesPerSeed; seed++ {
 			run := startFollowedRun(seed, followed.DefaultFleetConfig())
-			run.givesOrders = true
-			run.play(scheduleSeconds)
-			run.settle()
+			run.issuesOrders = true
+			run.simulate(scheduleSeconds)
+			run.verifyConverged()
 			assert.Equal(t, len(run.Violations), 0, "seed %d: %v", seed, run.Violations)
 		}
 	})
 }
 
-// TestADroppedHistoryWithdrawsAnOrder compacts the history that holds the withdrawal, so that only
+// TestOrderWithdrawnInCompactedHistory compacts the history that holds the withdrawal, so that only
 // a list without the order's key shows it.
-func TestADroppedHistoryWithdrawsAnOrder(t *testing.T) {
+func TestOrderWithdrawnInCompactedHistory(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(20) {
 		run := startFollowedRun(seed, followed.DefaultFleetConfig())
 		run.Clock.Advance(5 * time.Second)
 		run.Store.Evacuate(testZones[0])
 		run.Store.Evacuate(testZones[1])
-		run.Clock.Advance(convergeSpan)
+		run.Clock.Advance(convergenceBound)
 		run.Store.State = StoreSilent
 		run.Store.Withdraw(testZones[0])
 		run.Store.Forget()
 		run.Clock.Advance(2 * time.Second)
 		run.Store.State = StoreWell
-		run.Clock.Advance(2 * convergeSpan)
-		run.settle()
+		run.Clock.Advance(2 * convergenceBound)
+		run.verifyConverged()
 		assert.Equal(t, len(run.Violations), 0, "seed %d: %v", seed, run.Violations)
 	}
 }
 
-// TestARestartUnderADeadStoreLearnsOrdersFromPeers includes withdrawn orders.
-func TestARestartUnderADeadStoreLearnsOrdersFromPeers(t *testing.T) {
+// TestRestartDuringStoreOutageSyncsOrdersFromPeers includes withdrawn orders.
+func TestRestartDuringStoreOutageSyncsOrdersFromPeers(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(20) {
 		run := startFollowedRun(seed, followed.DefaultFleetConfig())
 		run.Clock.Advance(5 * time.Second)
 		run.Store.Evacuate(testZones[0])
 		run.Store.Evacuate(testZones[1])
-		run.Clock.Advance(convergeSpan)
+		run.Clock.Advance(convergenceBound)
 		run.Store.Withdraw(testZones[1])
-		run.Clock.Advance(convergeSpan)
+		run.Clock.Advance(convergenceBound)
 		run.Store.State = StoreSilent
 		killed := run.random.Perm(testDaemons)[:testDaemons/2]
 		for _, daemon := range killed {
@@ -92,31 +92,31 @@
 	}
 }
 
-// TestFlowsKeepEvacuationsUnderFaults evacuates zones and withdraws the orders during the flow
+// TestEvacuationsHoldUnderFaults evacuates zones and withdraws the orders during the flow
 // schedules.
-func TestFlowsKeepEvacuationsUnderFaults(t *testing.T) {
+func TestEvacuationsHoldUnderFaults(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, seed uint64) {
 		run := startFlowRun(seed)
-		run.evacuateInTurn(6 * time.Second)
+		run.evacuateZonesInTurn(6 * time.Second)
 		run.play()
 		assert.Equal(t, len(run.Violations), 0, "seed %d: %v", seed, run.Violations)
 		assert.Assert(t, run.Opened > run.Begun/2, "seed %d: only %d of %d flows opened", seed, run.Opened, run.Begun)
 	})
 }
 
-// evacuateInTurn evacuates zones one after another until the run ends.
-func (r *flowRun) evacuateInTurn(span time.Duration) {
+// evacuateZonesInTurn evacuates zones one after another until the run ends.
+func (r *flowRun) evacuateZonesInTurn(duration time.Duration) {
 	zone := testZones[r.random.IntN(len(testZones))]
 	r.EvacuateZone(zone)
-	r.Clock.After(span, func() {
+	r.Clock.After(duration, func() {
 		r.WithdrawZone(zone)
-		r.Clock.After(span/4, func() { r.evacuateInTurn(span) })
+		r.Clock.After(duration/4, func() { r.evacuateZonesInTurn(duration) })
 	})
 }
 
-// TestTheChecksFindAnEvacuatedZoneThatGetsFlows uses an order that no daemon receives.
-func TestTheChecksFindAnEvacuatedZoneThatGetsFlows(t *testing.T) {
+// TestCheckDetectsFlowToEvacuatedZone uses an order that no daemon receives.
+func TestCheckDetectsFlowToEvacuatedZone(t *testing.T) {
 	t.Parallel()
 	run := startFlowRun(1)
 	run.Clock.Advance(5 * time.Second)
@@ -130,32 +130,32 @@
 	assert.Assert(t, hasViolation(run, "EVAC"), "%v", run.Violations)
 }
 
-// TestAnOrderIsSoonInForceEverywhere measures fleets of two sizes without faults, and with the
+// TestOrderPropagationTime measures fleets of two sizes without faults, and with the
 // reader killed or throttled just before the order is written.
-func TestAnOrderIsSoonInForceEverywhere(t *testing.T) {
+func TestOrderPropagationTime(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
 		t.Skip("fleets of hundreds take minutes under the race detector")
 	}
-	loseNobody := func(*followedRun) {}
-	for _, one := range []struct {
+	failNone := func(*followedRun) {}
+	for _, tc := range []struct {
 		name           string
 		daemons, seeds int
-		lose           func(run *followedRun)
+		fail           func(run *followedRun)
 		within         time.Duration
 	}{
-		{"105 daemons", 105, 5, loseNobody, time.Second},
-		{"350 daemons", 350, 1, loseNobody, time.Second},
-		{"105 daemons, reader killed", 105, 5, (*followedRun).killReaders, convergeSpan},
-		{"105 daemons, reader refused", 105, 5, (*followedRun).refuseReaders, convergeSpan},
+		{"105 daemons", 105, 5, failNone, time.Second},
+		{"350 daemons", 350, 1, failNone, time.Second},
+		{"105 daemons, reader killed", 105, 5, (*followedRun).killReaders, convergenceBound},
+		{"105 daemons, reader refused", 105, 5, (*followedRun).refuseReaders, convergenceBound},
 	} {
-		t.Run(one.name, func(t *testing.T) {
+		t.Run(tc.name, func(t *testing.T) {
 			var longest time.Duration
-			for seed := range uint64(one.seeds) {
-				run := startLargeRun(seed, one.daemons)
+			for seed := range uint64(tc.seeds) {
+				run := startLargeRun(seed, tc.daemons)
 				run.Clock.Advance(time.Duration(run.random.Int64N(int64(time.Second))))
-				one.lose(run)
-				longest = max(longest, run.waitForRevision(t, run.Store.Evacuate(testZones[0]), one.within))
+				tc.fail(run)
+				longest = max(longest, run.waitForRevision(t, run.Store.Evacuate(testZones[0]), tc.within))
 			}
 			t.Logf("reached all daemons after %s at most", longest)
 		})
@@ -188,17 +188,17 @@
 	t.Helper()
 	began := r.Clock.Now()
 	for {
-		lacking := 0
+		outdated := 0
 		for _, daemon := range r.Daemons {
 			if daemon.Core != nil && daemon.Core.View().Revision() < revision {
-				lacking++
+				outdated++
 			}
 		}
 		took := r.Clock.Now().Sub(began)
-		if lacking == 0 {
+		if outdated == 0 {
 			return took
 		}
-		assert.Assert(t, took < within, "%d daemons do not have revision %d after %s", lacking, revision, took)
+		assert.Assert(t, took < within, "%d daemons do not have revision %d after %s", outdated, revision, took)
 		r.Clock.Advance(10 * time.Millisecond)
 	}
 }
--- a/internal/simulation/readers_test.go
+++ b/internal/simulation/readers_test.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// suppliedWithin is the time within which an update reaches every daemon while no reader fails,
+	// updateBound is the time within which an update reaches every daemon while no reader fails,
 	// also right after a start. It allows for the loss of a gossip message and for a pull to a
 	// daemon that is down.
-	suppliedWithin = 1500 * time.Millisecond
-	// replacedWithin is the time within which a reader that died, paused or lost the store is
-	// replaced; suppliedWithin applies again from then on.
-	replacedWithin = 2700 * time.Millisecond
-	// newsStep is the time between two updates.
-	newsStep = 100 * time.Millisecond
+	updateBound = 1500 * time.Millisecond
+	// readerReplacementBound is the time within which a reader that died, paused or lost the store is
+	// replaced; updateBound applies again from then on.
+	readerReplacementBound = 2700 * time.Millisecond
+	// updateInterval is the time between two updates.
+	updateInterval = 100 * time.Millisecond
 )
 
 // readersRun runs a fleet with a healthy store, while daemons start, die, pause and lose the store.
@@ -35,13 +35,13 @@
 	return run
 }
 
-func (r *readersRun) lose() { r.lostAt = r.Clock.Now() }
+func (r *readersRun) noteLoss() { r.lostAt = r.Clock.Now() }
 
-// restartSome kills some daemons and restarts them together. If all are killed, none waits for a
+// restartShare kills some daemons and restarts them together. If all are killed, none waits for a
 // lost reader, so the bound applies at once.
-func (r *readersRun) restartSome(share float64) {
+func (r *readersRun) restartShare(share float64) {
 	if share < 1 {
-		r.lose()
+		r.noteLoss()
 	}
 	down := time.Duration(r.random.Int64N(int64(2 * time.Second)))
 	for index, daemon := range r.Daemons {
@@ -51,40 +51,40 @@
 	}
 }
 
-// disturbOne pauses one daemon, often the reader, or takes the store away from it.
-func (r *readersRun) disturbOne() {
+// disturbDaemon pauses one daemon, often the reader, or takes the store away from it.
+func (r *readersRun) disturbDaemon() {
 	daemon := r.random.IntN(len(r.Daemons))
 	for index, other := range r.Daemons {
 		if other.Core != nil && other.Core.IsReading() && r.random.IntN(2) == 0 {
 			daemon = index
 		}
 	}
-	span := 500*time.Millisecond + time.Duration(r.random.Int64N(int64(6*time.Second)))
-	r.lose()
+	duration := 500*time.Millisecond + time.Duration(r.random.Int64N(int64(6*time.Second)))
+	r.noteLoss()
 	switch r.random.IntN(3) {
 	case 0:
-		r.Pause(daemon, span)
-		r.Clock.After(span, r.lose)
+		r.Pause(daemon, duration)
+		r.Clock.After(duration, r.noteLoss)
 	case 1:
-		r.mark(r.refused, daemon, span, false)
-		r.Clock.After(span, r.lose)
+		r.markFor(r.refused, daemon, duration, false)
+		r.Clock.After(duration, r.noteLoss)
 	case 2:
-		r.mark(r.unreachable, daemon, span, false)
-		r.Clock.After(span, r.lose)
+		r.markFor(r.unreachable, daemon, duration, false)
+		r.Clock.After(duration, r.noteLoss)
 	}
 }
 
-// checkNews checks suppliedWithin for every daemon that is up and not paused.
-func (r *readersRun) checkNews() {
+// checkUpdates checks updateBound for every daemon that is up and not paused.
+func (r *readersRun) checkUpdates() {
 	now := r.Clock.Now()
-	if now.Sub(r.lostAt) < replacedWithin+suppliedWithin {
+	if now.Sub(r.lostAt) < readerReplacementBound+updateBound {
 		return
 	}
-	required := r.Store.RevisionAt(now.Add(-suppliedWithin))
+	required := r.Store.RevisionAt(now.Add(-updateBound))
 	for index, daemon := range r.Daemons {
-		isUp := daemon.Core != nil && now.Sub(daemon.TroubledAt) >= suppliedWithin && !daemon.PausedUntil.After(now)
+		isUp := daemon.Core != nil && now.Sub(daemon.TroubledAt) >= updateBound && !daemon.PausedUntil.After(now)
 		if isUp && daemon.Core.View().Revision() < required {
-			r.violate("daemon %d is at revision %d, but revision %d was acknowledged %s ago", index, daemon.Core.View().Revision(), required, suppliedWithin)
+			r.recordViolation("daemon %d is at revision %d, but revision %d was acknowledged %s ago", index, daemon.Core.View().Revision(), required, updateBound)
 		}
 	}
 }
@@ -99,7 +99,7 @@
 	return reading
 }
 
-func (r *readersRun) playNews(seconds int, disturb func()) {
+func (r *readersRun) simulateUpdates(seconds int, disturb func()) {
 	end := r.Clock.Now().Add(time.Duration(seconds) * time.Second)
 	nextDisturbance := r.Clock.Now()
 	for r.Clock.Now().Before(end) && len(r.Violations) == 0 {
@@ -108,46 +108,46 @@
 			disturb()
 		}
 		r.addTarget()
-		r.Clock.Advance(newsStep)
-		r.checkNews()
+		r.Clock.Advance(updateInterval)
+		r.checkUpdates()
 	}
 }
 
-// TestNewsArrivesWhoeverStartedWhen restarts many or all daemons at once, so that daemon age
+// TestUpdatesArriveAfterMassRestarts restarts many or all daemons at once, so that daemon age
 // doesn't distinguish a reader.
-func TestNewsArrivesWhoeverStartedWhen(t *testing.T) {
+func TestUpdatesArriveAfterMassRestarts(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, seed uint64) {
 		run := startReadersRun(seed, followed.DefaultFleetConfig())
-		run.playNews(40, func() { run.restartSome([]float64{0.2, 0.6, 1}[run.random.IntN(3)]) })
+		run.simulateUpdates(40, func() { run.restartShare([]float64{0.2, 0.6, 1}[run.random.IntN(3)]) })
 		assert.Equal(t, len(run.Violations), 0, "seed %d: %v", seed, run.Violations)
 	})
 }
 
-// TestNewsArrivesWhileReadersAreLost covers readers that die, pause, or are throttled or cut off by
+// TestUpdatesArriveDespiteReaderFailures covers readers that die, pause, or are throttled or cut off by
 // a store that serves the others.
-func TestNewsArrivesWhileReadersAreLost(t *testing.T) {
+func TestUpdatesArriveDespiteReaderFailures(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, seed uint64) {
 		run := startReadersRun(seed, followed.DefaultFleetConfig())
-		run.playNews(60, func() {
+		run.simulateUpdates(60, func() {
 			if run.random.IntN(3) == 0 {
-				run.restartSome(0.4)
+				run.restartShare(0.4)
 				return
 			}
-			run.disturbOne()
+			run.disturbDaemon()
 		})
 		assert.Equal(t, len(run.Violations), 0, "seed %d: %v", seed, run.Violations)
 	})
 }
 
-// TestOneReaderIsLeft checks that exactly one daemon reads on behalf of the group some time after
+// TestSingleReaderAfterFaults checks that exactly one daemon reads on behalf of the group some time after
 // the faults.
-func TestOneReaderIsLeft(t *testing.T) {
+func TestSingleReaderAfterFaults(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, seed uint64) {
 		run := startReadersRun(seed, followed.DefaultFleetConfig())
-		run.playNews(20, run.disturbOne)
+		run.simulateUpdates(20, run.disturbDaemon)
 		run.Clock.Advance(15 * time.Second)
 		assert.Equal(t, run.readers(), 1, "seed %d", seed)
 	})
--- a/internal/simulation/restarts_test.go
+++ b/internal/simulation/restarts_test.go
@@ -9,7 +9,7 @@
 	"github.com/passtray/passtray/internal/steering/token"
 )
 
-// restartSome crashes a target, which starts again under its identifier: at once or after it was
+// restartShare crashes a target, which starts again under its identifier: at once or after it was
 // found dead or its entry had gone, at its address or at another one.
 func (r *flowRun) restartSome() {
 	service := r.service()
--- a/internal/simulation/calls_test.go
+++ b/internal/simulation/store_outage_test.go
@@ -9,9 +9,9 @@
 	"github.com/passtray/passtray/internal/followed"
 )
 
-// callsOfOutage returns the number of calls made by the daemons from the start of a store outage
+// callsDuringOutage returns the number of calls made by the daemons from the start of a store outage
 // until some time after it.
-func callsOfOutage(t *testing.T, daemons int, config followed.FleetConfig) int {
+func callsDuringOutage(t *testing.T, daemons int, config followed.FleetConfig) int {
 	t.Helper()
 	run := newFollowedRun(1, NewFollowedFleet(1, daemons, testZones, config, DefaultNetworkConfig()))
 	run.configure()
@@ -22,41 +22,41 @@
 	run.Clock.Advance(8 * time.Second)
 	before := run.Store.Calls
 	run.Store.State = StoreRefusing
-	run.Clock.Advance(outageSpan)
+	run.Clock.Advance(outageDuration)
 	run.Store.State = StoreWell
 	run.configure()
 	acknowledged := run.Store.Revision()
-	run.Clock.Advance(convergeSpan)
+	run.Clock.Advance(convergenceBound)
 	for index, daemon := range run.Daemons {
-		assert.Assert(t, daemon.Core.View().Revision() >= acknowledged, "daemon %d of %d lacks a revision acknowledged %s ago", index, daemons, convergeSpan)
+		assert.Assert(t, daemon.Core.View().Revision() >= acknowledged, "daemon %d of %d lacks a revision acknowledged %s ago", index, daemons, convergenceBound)
 	}
 	return run.Store.Calls - before
 }
 
 const (
-	outageSpan = 7 * time.Second
-	// callsPerSecond limits the calls of all daemons to an unavailable store: one every 25 ms in
+	outageDuration = 7 * time.Second
+	// maxOutageCallsPerSecond limits the calls of all daemons to an unavailable store: one every 25 ms in
 	// turn, and at most as many retries.
-	callsPerSecond = 100
+	maxOutageCallsPerSecond = 100
 )
 
-// TestAnOutageCostsCallsByItsLength checks that the number of calls depends on the duration of an
+// TestOutageCallsIndependentOfFleetSize checks that the number of calls depends on the duration of an
 // outage, not on the number of daemons.
-func TestAnOutageCostsCallsByItsLength(t *testing.T) {
+func TestOutageCallsIndependentOfFleetSize(t *testing.T) {
 	t.Parallel()
 	for _, daemons := range []int{20, 80, 240} {
 		if testing.Short() && daemons > 100 {
 			continue
 		}
-		calls := callsOfOutage(t, daemons, followed.DefaultFleetConfig())
+		calls := callsDuringOutage(t, daemons, followed.DefaultFleetConfig())
 		t.Logf("%d daemons: %d calls", daemons, calls)
-		assert.Assert(t, calls <= callsPerSecond*int(outageSpan.Seconds()), "%d daemons: %d calls", daemons, calls)
+		assert.Assert(t, calls <= maxOutageCallsPerSecond*int(outageDuration.Seconds()), "%d daemons: %d calls", daemons, calls)
 	}
 }
 
-// TestWithoutTurnsAnOutageCostsCallsByDaemons disables the staggering by rank: all daemons call as
+// TestOutageCallsGrowWithFleetSizeWithoutStaggering disables the staggering by rank: all daemons call as
 // soon as their view is stale.
-func TestWithoutTurnsAnOutageCostsCallsByDaemons(t *testing.T) {
+func TestOutageCallsGrowWithFleetSizeWithoutStaggering(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
 		t.Skip("240 daemons take long under the race detector; a seeded model has no races")
@@ -64,5 +64,5 @@
 	config := followed.DefaultFleetConfig()
 	config.TurnPerMember = 0
 	config.Follower.BackoffPerMember = 0
-	assert.Assert(t, callsOfOutage(t, 240, config) > callsPerSecond*int(outageSpan.Seconds()))
+	assert.Assert(t, callsDuringOutage(t, 240, config) > maxOutageCallsPerSecond*int(outageDuration.Seconds()))
 }
--- a/internal/simulation/restored_test.go
+++ b/internal/simulation/store_restore_test.go
@@ -11,33 +11,33 @@
 )
 
 const (
-	// rewriteSpan is the time within which operators and targets write again what a restored store
-	// has lost; expirySpan is the time after which the entry of a target that doesn't is removed.
-	rewriteSpan = 1200 * time.Millisecond
-	expirySpan  = 3600 * time.Millisecond
+	// rewriteTime is the time within which operators and targets write again what a restored store
+	// has lost; expiryTime is the time after which the entry of a target that doesn't is removed.
+	rewriteTime = 1200 * time.Millisecond
+	expiryTime  = 3600 * time.Millisecond
 )
 
 // restoreStore takes the store down for some time and restores it from a backup that was made age
 // before the outage.
-func (r *followedRun) restoreStore(away, age time.Duration) {
+func (r *followedRun) restoreStore(outage, age time.Duration) {
 	copiedAt := r.Clock.Now().Add(-age)
-	r.restoredUntil = r.Clock.Now().Add(away + r.rewriteAfter + expirySpan)
-	r.disturb(StoreBroken, away)
-	r.Clock.After(away, func() {
-		r.troubleStoreUntil(r.Clock.Now().Add(expirySpan))
+	r.restoredUntil = r.Clock.Now().Add(outage + r.rewriteAfter + expiryTime)
+	r.setStoreState(StoreBroken, outage)
+	r.Clock.After(outage, func() {
+		r.disturbStoreUntil(r.Clock.Now().Add(expiryTime))
 		for _, lost := range r.Store.Restore(copiedAt) {
-			delay := r.rewriteAfter + time.Duration(r.random.Int64N(int64(rewriteSpan)))
-			if lost.IsRemoval() && !isNoTarget(lost) {
-				delay = expirySpan // a stopped target writes nothing; its entry expires
+			delay := r.rewriteAfter + time.Duration(r.random.Int64N(int64(rewriteTime)))
+			if lost.IsRemoval() && !isNotTarget(lost) {
+				delay = expiryTime // a stopped target writes nothing; its entry expires
 			}
 			r.Clock.After(delay, func() { r.Store.WriteAgain(lost) })
 		}
 	})
 }
 
-// someRestoration restores the store from a backup at random, unless entries lost in the previous
+// maybeRestoreStore restores the store from a backup at random, unless entries lost in the previous
 // restore are still to be written again.
-func (r *followedRun) someRestoration() {
+func (r *followedRun) maybeRestoreStore() {
 	if r.Clock.Now().Before(r.restoredUntil) || r.random.IntN(8) > 0 {
 		return
 	}
@@ -45,8 +45,8 @@
 	r.restoreStore(away, time.Second+time.Duration(r.random.Int64N(int64(9*time.Second))))
 }
 
-// changeAndLeave writes a new version, drains a number of targets and returns their keys.
-func (r *followedRun) changeAndLeave(leaving int) []string {
+// configureAndDrain writes a new version, drains a number of targets and returns their keys.
+func (r *followedRun) configureAndDrain(leaving int) []string {
 	keys := append([]string(nil), r.targets[:leaving]...)
 	r.configure()
 	for range keys {
@@ -55,10 +55,10 @@
 	return keys
 }
 
-// differing returns the daemons that don't have the latest version, or take a draining target for
+// outdated returns the daemons that don't have the latest version, or take a draining target for
 // open.
-func (r *followedRun) differing(leaving []string) []int {
-	var differing []int
+func (r *followedRun) outdated(leaving []string) []int {
+	var outdated []int
 	for index, daemon := range r.Daemons {
 		view := daemon.Core.View()
 		isCurrent := view.Configuration().Version == r.version
@@ -67,15 +67,15 @@
 			isCurrent = isCurrent && (target == nil || target.State() != storeview.StateOpen)
 		}
 		if !isCurrent {
-			differing = append(differing, index)
+			outdated = append(outdated, index)
 		}
 	}
-	return differing
+	return outdated
 }
 
-// TestWhatARestoredStoreTakesIsInForce checks that writes take effect although a restored store
+// TestWritesAfterStoreRestoreTakeEffect checks that writes take effect although a restored store
 // reuses revision numbers that daemons have already seen.
-func TestWhatARestoredStoreTakesIsInForce(t *testing.T) {
+func TestWritesAfterStoreRestoreTakeEffect(t *testing.T) {
 	t.Parallel()
 	for seed := range seeds(20) {
 		run := startFollowedRun(seed, followed.DefaultFleetConfig())
@@ -87,53 +87,53 @@
 			}
 			run.restoreStore(2500*time.Millisecond, 8*time.Second)
 			run.Clock.Advance(9 * time.Second)
-			leaving := run.changeAndLeave(2)
-			run.Clock.Advance(convergeSpan)
-			assert.Equal(t, len(run.differing(leaving)), 0, "seed %d: daemons %v do not have version %d, or take draining targets for open",
-				seed, run.differing(leaving), run.version)
+			leaving := run.configureAndDrain(2)
+			run.Clock.Advance(convergenceBound)
+			assert.Equal(t, len(run.outdated(leaving)), 0, "seed %d: daemons %v do not have version %d, or take draining targets for open",
+				seed, run.outdated(leaving), run.version)
 		}
-		run.settle()
+		run.verifyConverged()
 		assert.Equal(t, len(run.Violations), 0, "seed %d: %v", seed, run.Violations)
 	}
 }
 
-// TestACopyTakesNothingBack checks that daemons keep newer entries when the store is restored from
+// TestStoreRestoreRevertsNothing checks that daemons keep newer entries when the store is restored from
 // an older backup, until their writers have written them again.
-func TestACopyTakesNothingBack(t *testing.T) {
+func TestStoreRestoreRevertsNothing(t *testing.T) {
 	t.Parallel()
 	for seed := range seeds(20) {
 		run := startFollowedRun(seed, followed.DefaultFleetConfig())
 		run.Clock.Advance(6 * time.Second)
-		leaving := run.changeAndLeave(3)
+		leaving := run.configureAndDrain(3)
 		run.Store.Evacuate(testZones[0])
 		run.addTarget()
 		started := run.targets[len(run.targets)-1]
-		run.Clock.Advance(convergeSpan)
-		assert.Equal(t, len(run.differing(leaving)), 0, "seed %d", seed)
+		run.Clock.Advance(convergenceBound)
+		assert.Equal(t, len(run.outdated(leaving)), 0, "seed %d", seed)
 		run.restoreStore(500*time.Millisecond, 5*time.Second)
 		for range 60 {
-			run.Clock.Advance(checkStep)
-			assert.Equal(t, len(run.differing(leaving)), 0, "seed %d", seed)
+			run.Clock.Advance(checkInterval)
+			assert.Equal(t, len(run.outdated(leaving)), 0, "seed %d", seed)
 			for index, daemon := range run.Daemons {
 				view := daemon.Core.View()
 				assert.Equal(t, view.Target(started).State(), storeview.StateOpen, "seed %d, daemon %d", seed, index)
 				assert.DeepEqual(t, evacuatedIn(view), []string{testZones[0]})
 			}
 		}
-		run.settle()
+		run.verifyConverged()
 		assert.Equal(t, len(run.Violations), 0, "seed %d: %v", seed, run.Violations)
 	}
 }
 
-// TestADaemonThatStartsBesideACopyLearnsWhatPeersKnow restarts every second daemon while the store
+// TestDaemonStartedAfterRestoreSyncsFromPeers restarts every second daemon while the store
 // holds only the backup. They must get the newer entries from peers.
-func TestADaemonThatStartsBesideACopyLearnsWhatPeersKnow(t *testing.T) {
+func TestDaemonStartedAfterRestoreSyncsFromPeers(t *testing.T) {
 	t.Parallel()
 	for seed := range seeds(20) {
 		run := startFollowedRun(seed, followed.DefaultFleetConfig())
 		run.Clock.Advance(6 * time.Second)
-		leaving := run.changeAndLeave(3)
-		run.Clock.Advance(convergeSpan)
+		leaving := run.configureAndDrain(3)
+		run.Clock.Advance(convergenceBound)
 		run.rewriteAfter = 3 * time.Second
 		run.restoreStore(500*time.Millisecond, 5*time.Second)
 		run.Clock.Advance(600 * time.Millisecond)
@@ -141,31 +141,31 @@
 			run.restart(index, 300*time.Millisecond)
 		}
 		run.Clock.Advance(300*time.Millisecond + 1500*time.Millisecond)
-		assert.Equal(t, len(run.differing(leaving)), 0, "seed %d: daemons %v", seed, run.differing(leaving))
-		run.settle()
+		assert.Equal(t, len(run.outdated(leaving)), 0, "seed %d: daemons %v", seed, run.outdated(leaving))
+		run.verifyConverged()
 		assert.Equal(t, len(run.Violations), 0, "seed %d: %v", seed, run.Violations)
 	}
 }
 
-// TestRestorationsKeepTheBoundsUnderEverySchedule adds restores to the fault schedules: updates
+// TestRestoresConvergeWithinBoundUnderFaults adds restores to the fault schedules: updates
 // arrive within the bound, no view reverts, and all views converge with the store.
-func TestRestorationsKeepTheBoundsUnderEverySchedule(t *testing.T) {
+func TestRestoresConvergeWithinBoundUnderFaults(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, first uint64) {
-		for seed := first * followedShare; seed < (first+1)*followedShare; seed++ {
+		for seed := first * schedulesPerSeed; seed < (first+1)*schedulesPerSeed; seed++ {
 			run := startFollowedRun(seed, followed.DefaultFleetConfig())
-			run.restores = true
-			run.givesOrders = seed%2 == 0
-			run.play(scheduleSeconds)
-			run.settle()
+			run.restoresStore = true
+			run.issuesOrders = seed%2 == 0
+			run.simulate(scheduleSeconds)
+			run.verifyConverged()
 			assert.Equal(t, len(run.Violations), 0, "seed %d: %v", seed, run.Violations)
 		}
 	})
 }
 
-// TestAFleetStartsBesideAnEmptyStoreThatWasRestored starts a fleet that never had a configuration
+// TestFleetStartsWithEmptyRestoredStore starts a fleet that never had a configuration
 // beside an empty store in a later epoch.
-func TestAFleetStartsBesideAnEmptyStoreThatWasRestored(t *testing.T) {
+func TestFleetStartsWithEmptyRestoredStore(t *testing.T) {
 	t.Parallel()
 	for seed := range seeds(10) {
 		run := newFollowedRun(seed, NewFollowedFleet(seed, testDaemons, testZones, followed.DefaultFleetConfig(), DefaultNetworkConfig()))
@@ -180,26 +180,26 @@
 		for range 4 {
 			run.addTarget()
 		}
-		run.Clock.Advance(convergeSpan)
-		assert.Equal(t, len(run.differing(nil)), 0, "seed %d", seed)
+		run.Clock.Advance(convergenceBound)
+		assert.Equal(t, len(run.outdated(nil)), 0, "seed %d", seed)
 		run.restoreStore(2*time.Second, 3*time.Second)
 		run.Clock.Advance(7 * time.Second)
 		run.configure()
-		run.settle()
+		run.verifyConverged()
 		assert.Equal(t, len(run.Violations), 0, "seed %d: %v", seed, run.Violations)
 	}
 }
 
-// TestALargeFleetLearnsOfARestoration checks that every daemon enters the new epoch within the
+// TestLargeFleetDetectsStoreRestore checks that every daemon enters the new epoch within the
 // convergence bound, and that updates spread meanwhile. Each daemon needs a full snapshot, as
 // nothing tells which entries the backup lacks.
-func TestALargeFleetLearnsOfARestoration(t *testing.T) {
+func TestLargeFleetDetectsStoreRestore(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
 		t.Skip("hundreds of daemons take minutes under the race detector; a seeded model has no races")
 	}
-	const converge = 8 * time.Second
-	run := newColdStart(1, *fleetSize, largeTargets, followed.FleetConfigFor(converge))
+	const convergence = 8 * time.Second
+	run := newColdStart(1, *fleetSize, largeTargets, followed.FleetConfigFor(convergence))
 	run.Links.TargetBytes = 16 * 300 // as long as 10,000 targets
 	run.Links.SnapshotBytes = 300 << 10
 	run.Links.ConfigurationBytes = 20 << 10
@@ -209,20 +209,20 @@
 	run.Clock.Advance(1500 * time.Millisecond)
 	run.configure()
 	writtenAt := run.Clock.Now()
-	inForce, entered := time.Duration(0), time.Duration(0)
-	for span := time.Duration(0); span < 2*converge && entered == 0; span = run.Clock.Now().Sub(writtenAt) {
-		run.Clock.Advance(checkStep)
-		if inForce == 0 && len(run.differing(nil)) == 0 {
-			inForce = run.Clock.Now().Sub(writtenAt)
+	activeAfter, enteredAfter := time.Duration(0), time.Duration(0)
+	for duration := time.Duration(0); duration < 2*convergence && enteredAfter == 0; duration = run.Clock.Now().Sub(writtenAt) {
+		run.Clock.Advance(checkInterval)
+		if activeAfter == 0 && len(run.outdated(nil)) == 0 {
+			activeAfter = run.Clock.Now().Sub(writtenAt)
 		}
 		if run.allKnowEpoch(1) {
-			entered = run.Clock.Now().Sub(writtenAt)
+			enteredAfter = run.Clock.Now().Sub(writtenAt)
 		}
 	}
 	t.Logf("%d daemons: next version active after %s, epoch entered by all after %s, %d calls",
-		*fleetSize, inForce, entered, run.Store.Calls-calls)
-	assert.Assert(t, inForce > 0 && inForce <= time.Second, "active after %s", inForce)
-	assert.Assert(t, entered > 0 && entered <= converge, "epoch entered after %s", entered)
+		*fleetSize, activeAfter, enteredAfter, run.Store.Calls-calls)
+	assert.Assert(t, activeAfter > 0 && activeAfter <= time.Second, "active after %s", activeAfter)
+	assert.Assert(t, enteredAfter > 0 && enteredAfter <= convergence, "epoch entered after %s", enteredAfter)
 }
 
 func (r *followedRun) allKnowEpoch(epoch uint64) bool {
@@ -234,17 +234,17 @@
 	return true
 }
 
-// restoreUnderFlows takes the store down and restores it from a backup. Operators and running
+// restoreStoreDuringFlows takes the store down and restores it from a backup. Operators and running
 // targets write lost entries again; entries of other targets expire.
-func (r *flowRun) restoreUnderFlows(away, age time.Duration) {
+func (r *flowRun) restoreStoreDuringFlows(outage, age time.Duration) {
 	copiedAt := r.Clock.Now().Add(-age)
-	r.disturbStore(StoreBroken, away)
-	r.Clock.After(away, func() {
+	r.disturbStore(StoreBroken, outage)
+	r.Clock.After(outage, func() {
 		for _, lost := range r.Store.Restore(copiedAt) {
 			isExpiring := lost.IsRemoval() || lost.Target != nil && !r.isAlive(lost.Key)
-			delay := time.Duration(r.random.Int64N(int64(rewriteSpan)))
+			delay := time.Duration(r.random.Int64N(int64(rewriteTime)))
 			if isExpiring {
-				delay = expirySpan
+				delay = expiryTime
 				lost = storeview.Entry{Key: lost.Key}
 			}
 			r.Clock.After(delay, func() { r.Store.WriteAgain(lost) })
@@ -261,16 +261,16 @@
 	return false
 }
 
-// TestFlowsKeepTheRulesWhileTheStoreIsRestored adds restores to the flow schedules: no flow goes to
+// TestFlowInvariantsHoldDuringStoreRestores adds restores to the flow schedules: no flow goes to
 // another service or to a target that left, and no flow of a live target is reset.
-func TestFlowsKeepTheRulesWhileTheStoreIsRestored(t *testing.T) {
+func TestFlowInvariantsHoldDuringStoreRestores(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, seed uint64) {
 		run := startFlowRun(seed)
 		for at := 5 * time.Second; at < flowSeconds*time.Second; at += 11 * time.Second {
 			run.Clock.After(at, func() {
 				away := 300*time.Millisecond + time.Duration(run.random.Int64N(int64(3*time.Second)))
-				run.restoreUnderFlows(away, time.Second+time.Duration(run.random.Int64N(int64(6*time.Second))))
+				run.restoreStoreDuringFlows(away, time.Second+time.Duration(run.random.Int64N(int64(6*time.Second))))
 			})
 		}
 		run.play()
--- a/internal/simulation/strength_test.go
+++ b/internal/simulation/strong_daemons_test.go
@@ -12,11 +12,11 @@
 
 const (
 	mixedDaemons = 60
-	// strongEvery is the interval of machines that have the capacity for roles.
-	strongEvery = 10
-	// mostCallsPerSecond limits the calls of all daemons to a healthy store while strong daemons
+	// strongInterval is the interval of machines that have the capacity for roles.
+	strongInterval = 10
+	// maxCallsPerSecond limits the calls of all daemons to a healthy store while strong daemons
 	// fail.
-	mostCallsPerSecond = 20
+	maxCallsPerSecond = 20
 )
 
 // startMixedRun starts a fleet of a few strong machines and many weak ones.
@@ -24,7 +24,7 @@
 	fleet := NewFollowedFleet(seed, mixedDaemons, testZones, config, DefaultNetworkConfig())
 	fleet.Describe = func(daemon int, self *membership.Member) {
 		self.Link, self.Processor, self.Memory = 10, 144, 144
-		if daemon%strongEvery == 0 {
+		if daemon%strongInterval == 0 {
 			self.Link, self.Processor, self.Memory = 200, 800, 536
 		}
 	}
@@ -40,8 +40,8 @@
 	return run
 }
 
-// newsTakes returns the longest time in which one of several separate updates reached every daemon.
-func (r *readersRun) newsTakes() time.Duration {
+// maxUpdateLatency returns the longest time in which one of several separate updates reached every daemon.
+func (r *readersRun) maxUpdateLatency() time.Duration {
 	longest := time.Duration(0)
 	for range 10 {
 		r.Clock.Advance(1100 * time.Millisecond)
@@ -64,44 +64,44 @@
 	return true
 }
 
-// TestStrongDaemonsBringNewsToAll checks that relays spread an update in two hops, while gossip
+// TestRelaysSpeedUpUpdates checks that relays spread an update in two hops, while gossip
 // alone takes several rounds.
-func TestStrongDaemonsBringNewsToAll(t *testing.T) {
+func TestRelaysSpeedUpUpdates(t *testing.T) {
 	t.Parallel()
 	const within = 50 * time.Millisecond
 	config := followed.DefaultFleetConfig()
 	config.Follower.Gather = 0
-	with := startMixedRun(1, config).newsTakes()
+	with := startMixedRun(1, config).maxUpdateLatency()
 	config.RelaysFrom = 0
-	without := startMixedRun(1, config).newsTakes()
+	without := startMixedRun(1, config).maxUpdateLatency()
 	t.Logf("update latency %s with relays, %s without", with, without)
 	assert.Assert(t, with <= within, "%s", with)
 	assert.Assert(t, without > within, "%s", without)
 }
 
-// disturbStrong kills or pauses a strong daemon, or takes the store and its peers away from it.
-func (r *readersRun) disturbStrong() {
-	daemon := r.random.IntN(mixedDaemons/strongEvery) * strongEvery
-	span := 500*time.Millisecond + time.Duration(r.random.Int64N(int64(6*time.Second)))
-	r.lose()
-	r.Clock.After(span, r.lose)
+// disturbStrongDaemon kills or pauses a strong daemon, or takes the store and its peers away from it.
+func (r *readersRun) disturbStrongDaemon() {
+	daemon := r.random.IntN(mixedDaemons/strongInterval) * strongInterval
+	duration := 500*time.Millisecond + time.Duration(r.random.Int64N(int64(6*time.Second)))
+	r.noteLoss()
+	r.Clock.After(duration, r.noteLoss)
 	switch r.random.IntN(4) {
 	case 0:
-		r.restart(daemon, span)
+		r.restart(daemon, duration)
 	case 1:
-		r.Pause(daemon, span)
+		r.Pause(daemon, duration)
 	case 2:
-		r.mark(r.unreachable, daemon, span, false)
+		r.markFor(r.unreachable, daemon, duration, false)
 	case 3:
-		r.mark(r.unreachable, daemon, span, false)
-		r.mark(r.parted, daemon, span, true)
-		r.Daemons[daemon].TroubledAt = r.Clock.Now().Add(span)
+		r.markFor(r.unreachable, daemon, duration, false)
+		r.markFor(r.partitioned, daemon, duration, true)
+		r.Daemons[daemon].TroubledAt = r.Clock.Now().Add(duration)
 	}
 }
 
-// TestNewsArrivesWhileStrongDaemonsAreLost checks the update bound and the number of calls while
+// TestUpdatesArriveDespiteStrongDaemonFailures checks the update bound and the number of calls while
 // strong daemons die, pause or are cut off.
-func TestNewsArrivesWhileStrongDaemonsAreLost(t *testing.T) {
+func TestUpdatesArriveDespiteStrongDaemonFailures(t *testing.T) {
 	t.Parallel()
 	seeds := uint64(6)
 	if testing.Short() {
@@ -110,29 +110,29 @@
 	for seed := range seeds {
 		run := startMixedRun(seed, followed.DefaultFleetConfig())
 		before, seconds := run.Store.Calls, 60
-		run.playNews(seconds, run.disturbStrong)
+		run.simulateUpdates(seconds, run.disturbStrongDaemon)
 		assert.Equal(t, len(run.Violations), 0, "seed %d: %v", seed, run.Violations)
 		calls := run.Store.Calls - before
 		t.Logf("seed %d: %d calls in %d s", seed, calls, seconds)
-		assert.Assert(t, calls <= mostCallsPerSecond*seconds, "seed %d: %d calls", seed, calls)
+		assert.Assert(t, calls <= maxCallsPerSecond*seconds, "seed %d: %d calls", seed, calls)
 	}
 }
 
-// loseReader fails the current reader once and continues the run.
-func (r *readersRun) loseReader(way func(daemon int, span time.Duration)) {
-	const span = 8 * time.Second
+// failReader fails the current reader once and continues the run.
+func (r *readersRun) failReader(fail func(daemon int, duration time.Duration)) {
+	const duration = 8 * time.Second
 	for index, daemon := range r.Daemons {
 		if daemon.Core != nil && daemon.Core.IsReading() {
-			way(index, span)
+			fail(index, duration)
 		}
 	}
-	r.lose()
-	r.playNews(int(span.Seconds()), func() {})
+	r.noteLoss()
+	r.simulateUpdates(int(duration.Seconds()), func() {})
 }
 
-// TestALostStrongReaderIsReplaced covers each kind of failure. It isn't replaced if weak daemons
+// TestFailedStrongReaderIsReplaced covers each kind of failure. It isn't replaced if weak daemons
 // wait for strong ones indefinitely.
-func TestALostStrongReaderIsReplaced(t *testing.T) {
+func TestFailedStrongReaderIsReplaced(t *testing.T) {
 	t.Parallel()
 	for name, isWaiting := range map[string]bool{"default": false, "weak daemons wait": true} {
 		config := followed.DefaultFleetConfig()
@@ -142,17 +142,17 @@
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(4) {
 				run := startMixedRun(seed, config)
-				run.loseReader(func(daemon int, span time.Duration) {
+				run.failReader(func(daemon int, duration time.Duration) {
 					switch seed {
 					case 0:
-						run.restart(daemon, span)
+						run.restart(daemon, duration)
 					case 1:
-						run.Pause(daemon, span)
+						run.Pause(daemon, duration)
 					case 2:
-						run.mark(run.unreachable, daemon, span, false)
+						run.markFor(run.unreachable, daemon, duration, false)
 					case 3:
-						run.mark(run.unreachable, daemon, span, false)
-						run.mark(run.parted, daemon, span, true)
+						run.markFor(run.unreachable, daemon, duration, false)
+						run.markFor(run.partitioned, daemon, duration, true)
 					}
 				})
 				t.Logf("failure %d: %d violations", seed, len(run.Violations))
@@ -166,30 +166,30 @@
 	}
 }
 
-// mostGiven starts all daemons of a fleet at once. It returns the snapshot bytes that the busiest
+// maxSentBytes starts all daemons of a fleet at once. It returns the snapshot bytes that the busiest
 // daemon sends, and the time until nine tenths have a configuration.
-func mostGiven(seed uint64, daemons int, config followed.FleetConfig) (bytes int64, ready time.Duration) {
-	run := newColdStart(seed, daemons, fewTargets, config)
+func maxSentBytes(seed uint64, daemons int, config followed.FleetConfig) (bytes int64, ready time.Duration) {
+	run := newColdStart(seed, daemons, maxEarlyTargets, config)
 	run.Clock.Advance(3 * time.Second)
-	for _, given := range run.Links.Given {
-		bytes = max(bytes, given)
+	for _, sent := range run.Links.Given {
+		bytes = max(bytes, sent)
 	}
 	return bytes, run.readyAfter(0.9)
 }
 
-// TestWholeContentsSpreadOverAFleetThatStarts checks that the snapshot bytes of the busiest daemon
+// TestSnapshotLoadSpreadsDuringFleetStart checks that the snapshot bytes of the busiest daemon
 // grow by less than the square root of the fleet size, at little cost in start time.
-func TestWholeContentsSpreadOverAFleetThatStarts(t *testing.T) {
+func TestSnapshotLoadSpreadsDuringFleetStart(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
 		t.Skip("300 daemons take minutes under the race detector; a seeded model has no races")
 	}
 	for seed := range uint64(3) {
 		config := followed.DefaultFleetConfig()
-		few, _ := mostGiven(seed, 30, config)
-		many, ready := mostGiven(seed, 300, config)
+		few, _ := maxSentBytes(seed, 30, config)
+		many, ready := maxSentBytes(seed, 300, config)
 		config.AnswersBurst = 0
-		without, readyWithout := mostGiven(seed, 300, config)
+		without, readyWithout := maxSentBytes(seed, 300, config)
 		t.Logf("seed %d: busiest sends %d KB of 30 daemons, %d KB of 300 (nine tenths ready after %s); %d KB without a budget (%s)",
 			seed, few>>10, many>>10, ready, without>>10, readyWithout)
 		assert.Assert(t, many*many <= 10*few*few, "seed %d", seed)
