--- a/internal/simulation/flows_checks.go
+++ b/internal/simulation/flows_checks.go
@@ -6,12 +6,12 @@
 	"github.com/passtray/passtray/internal/steering/token"
 )
 
-// refused is a reset that a daemon sent to the caller. On a flow that is open at a
-// living target it may come only where the route is gone.
+// refused handles a reset that a daemon sent to a caller. An open flow to a live target may be
+// reset only if its route was removed.
 func (m *FlowModel) refused(flow *Flow, reason token.Reason) {
 	isOpen := flow.Opened && !flow.Ended && flow.Target.answersCallers() && !m.Frozen[flow.Target]
 	if isOpen && m.hasStood(flow) {
-		m.recordViolation("FLOW: an open flow to %s was reset: %s", flow.Target.Key, reason)
+		m.recordViolation("FLOW: an open flow to target %s was reset: %s", flow.Target.Key, reason)
 	}
 	if isOpen && reason == token.ReasonDroppedRoute {
 		m.Resets++
@@ -22,23 +22,23 @@
 	flow.Ended = true
 }
 
-// hasStood reports whether a flow's address has had a route since the flow was begun.
+// hasStood reports whether a flow's address has had a route since the flow began.
 func (m *FlowModel) hasStood(flow *Flow) bool {
 	since, isListed := m.listedSince[flow.Route]
 	return isListed && !since.After(flow.BegunAt)
 }
 
-// checkFollowed holds a daemon to what it knows: a packet of an open flow goes on to its
-// target if that is known and the flow's route as well, wherever the route led before.
+// checkFollowed checks that a daemon doesn't drop a packet of an open flow if it knows the target
+// and has a route for the address, whatever service that route leads to now.
 func (m *FlowModel) checkFollowed(flow *Flow, daemon int, path *dataPath, decision *token.Decision) {
 	isDropped := decision.Action == token.Drop || decision.Action == token.Hold
 	if _, isKnown := path.table.AddressOf(flow.Target.Identifier); !isDropped || !isKnown || !path.table.Routes(flow.Route) {
 		return
 	}
-	m.recordViolation("MEMORY: daemon %d dropped a packet of a flow to %s, which it knows: %s", daemon, flow.Target.Key, decision.Reason)
+	m.recordViolation("MEMORY: daemon %d dropped a packet of a flow to known target %s: %s", daemon, flow.Target.Key, decision.Reason)
 }
 
-// isInTouch reports whether bounds hold for a daemon now.
+// isInTouch reports whether bounds apply to a daemon.
 func (m *FlowModel) isInTouch(daemon int) bool {
 	isCutOff := m.OutOfTouch != nil && m.OutOfTouch(daemon)
 	return !isCutOff && m.Clock.Now().Sub(m.Daemons[daemon].TroubledAt) >= 4*time.Second
@@ -47,12 +47,12 @@
 func (m *FlowModel) checkRoute(flow *Flow, daemon int, target *FlowTarget, sentAt time.Time) {
 	allowed := m.allowed[flow.Route][target.Service]
 	if allowed == nil {
-		m.recordViolation("ROUTE: %s of service %s got a flow to %s", target.Key, target.Service, flow.Route)
+		m.recordViolation("ROUTE: target %s of service %s got a flow to %s", target.Key, target.Service, flow.Route)
 		return
 	}
 	isLate := !allowed.until.IsZero() && sentAt.Sub(allowed.until) > drainBound
 	if isLate && m.isInTouch(daemon) && m.StoreIsStable() {
-		m.recordViolation("CONFIG: daemon %d sends flows to %s %s after it left the route", daemon, target.Service, sentAt.Sub(allowed.until))
+		m.recordViolation("CONFIG: daemon %d sends flows to service %s %s after it was removed from the route", daemon, target.Service, sentAt.Sub(allowed.until))
 	}
 }
 
@@ -61,23 +61,22 @@
 		return
 	}
 	if late := m.Clock.Now().Sub(target.LeavingAt); late > drainBound {
-		m.recordViolation("DRAIN: daemon %d gave %s a flow %s after it began to leave", daemon, target.Key, late)
+		m.recordViolation("DRAIN: daemon %d sent a new flow to target %s %s after it began to leave", daemon, target.Key, late)
 	}
 }
 
-// checkEvacuation holds a daemon in touch to an order that stands.
+// checkEvacuation checks that a daemon sends no new flows to an evacuated zone.
 func (m *FlowModel) checkEvacuation(daemon int, target *FlowTarget) {
 	since, isEvacuated := m.evacuated[target.Zone]
 	if !isEvacuated || !m.isInTouch(daemon) || !m.StoreIsStable() {
 		return
 	}
 	if late := m.Clock.Now().Sub(since); late > evacuationBound {
-		m.recordViolation("EVAC: daemon %d gave %s a flow %s after %s was evacuated", daemon, target.Key, late, target.Zone)
+		m.recordViolation("EVAC: daemon %d sent a new flow to target %s %s after zone %s was evacuated", daemon, target.Key, late, target.Zone)
 	}
 }
 
-// StoreIsStable reports whether the store has been well for long enough for
-// bounds to hold.
+// StoreIsStable reports whether the store has been healthy for long enough for bounds to apply.
 func (m *FlowModel) StoreIsStable() bool {
 	return m.Store.State == StoreWell && m.Clock.Now().Sub(m.Store.TroubledAt) >= 4*time.Second
 }
--- a/internal/simulation/flows_configuration.go
+++ b/internal/simulation/flows_configuration.go
@@ -7,7 +7,7 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// Configure puts a configuration that leads each route to the services given.
+// Configure writes a configuration that maps each address to services.
 func (m *FlowModel) Configure(routes map[netip.AddrPort][]string) {
 	m.version++
 	configuration := &storeview.Configuration{Version: m.version}
--- a/internal/simulation/flows_lives.go
+++ b/internal/simulation/flows_lives.go
@@ -9,29 +9,29 @@
 	"github.com/passtray/passtray/internal/steering/token"
 )
 
-// ToldWhen says when callers of a dead target learn of it.
+// ToldWhen selects when callers of a dead target are notified.
 type ToldWhen uint8
 
-// The ways. ToldAtVerdict is the daemon's.
+// Times of notification. Daemons use ToldAtVerdict.
 const (
-	// ToldAtVerdict resets all flows that a daemon keeps when the target is found dead, and
-	// others with their next packet.
+	// ToldAtVerdict resets all flows that a daemon knows when it finds their target dead, and other
+	// flows on their next packet.
 	ToldAtVerdict ToldWhen = iota
-	// ToldIfWaiting resets those whose callers wait, and others with their next packet.
+	// ToldIfWaiting resets flows with a pending request, and other flows on their next packet.
 	ToldIfWaiting
-	// ToldAtPacket resets flows with their next packet.
+	// ToldAtPacket resets flows on their next packet.
 	ToldAtPacket
-	// ToldNever leaves callers to their deadlines.
+	// ToldNever resets nothing; callers run into their timeouts.
 	ToldNever
 )
 
-// livesDirectory is what a daemon's detector of dead targets is told.
+// livesDirectory implements liveness.Directory for a daemon.
 type livesDirectory struct {
 	*flowDirectory
 	path *dataPath
 }
 
-// ExpectedRate takes each answer for a sign of life.
+// ExpectedRate returns the expected rate of responses, each of which counts as activity.
 func (d livesDirectory) ExpectedRate(subject liveness.Subject) float64 {
 	rate := 0.0
 	for service, targets := range d.ServicesOf(subject) {
@@ -40,7 +40,7 @@
 	return rate
 }
 
-// LastAnswered serves liveness.Directory.
+// LastAnswered implements liveness.Directory.
 func (d livesDirectory) LastAnswered() time.Time { return d.path.lastAnswered }
 
 func (m *FlowModel) livesDirectory(path *dataPath) livesDirectory {
@@ -88,7 +88,7 @@
 	}
 }
 
-// resetResting resets what a daemon knows to rest at dead targets.
+// resetResting resets the idle flows to dead targets that a daemon knows.
 func (m *FlowModel) resetResting(path *dataPath) {
 	if m.Told != ToldAtVerdict {
 		return
@@ -100,16 +100,16 @@
 	}
 }
 
-// restsAtDead reports whether flows that rest at a target are to be reset.
+// restsAtDead reports whether idle flows to a target are to be reset.
 func (m *FlowModel) restsAtDead(path *dataPath, target uint32) bool {
 	return m.AllRestAtDead || path.table.IsDeadToken(m.Clock.Now(), target)
 }
 
-// toldWithin is how long after the first verdict on a target all that rest there have been
-// told: the verdict travels to others, their steps and the reset take time.
+// toldWithin is the time from the first detection of a dead target until all its idle flows are
+// reset. It covers the gossip of the verdict, the daemons' ticks and the resets.
 const toldWithin = 300 * time.Millisecond
 
-// noteVerdict notes since when a target is found dead.
+// noteVerdict records when a target was first declared dead.
 func (m *FlowModel) noteVerdict(target uint64) {
 	m.Verdicts++
 	if _, isKnown := m.verdictAt[target]; !isKnown {
@@ -117,8 +117,8 @@
 	}
 }
 
-// noteRequest counts a request that goes to a dead target on an open flow: it is lost where it
-// may not be repeated. LostAfter are those that begin when the fleet has known for a while.
+// noteRequest counts a request sent to a dead target on an open flow, which is lost if it can't be
+// retried. LostAfter counts those sent later than toldWithin after the detection.
 func (m *FlowModel) noteRequest(flow *Flow) {
 	if !flow.Opened || flow.Target.Alive {
 		return
@@ -130,14 +130,14 @@
 	}
 }
 
-// probeTimeout is how long a target may take to answer a probe.
+// probeTimeout is the response timeout of a probe.
 const probeTimeout = 150 * time.Millisecond
 
-// earlyProbeTimeout is how long it may take to answer the first one.
+// earlyProbeTimeout is the response timeout of the first probe.
 const earlyProbeTimeout = 50 * time.Millisecond
 
-// probe tries to reach a target from a daemon. A packet that is lost is not sent again in
-// time.
+// probe sends a probe from a daemon to a target. Lost packets aren't retransmitted before the
+// timeout.
 func (m *FlowModel) probe(index int, probe liveness.Probe) {
 	generation := m.Daemons[index].generation
 	hasAnswered := false
@@ -163,7 +163,7 @@
 	})
 }
 
-// reset carries a reset to the caller of a flow at a target.
+// reset delivers a reset to the caller of a flow.
 func (m *FlowModel) reset(caller netip.AddrPort, value uint32) {
 	m.Clock.After(m.delay(), func() {
 		flow := m.flows[caller]
--- a/internal/simulation/flows_targets.go
+++ b/internal/simulation/flows_targets.go
@@ -8,7 +8,7 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// FlowTarget is one run of a back end in the model.
+// FlowTarget is one incarnation of a target.
 type FlowTarget struct {
 	Key        string
 	Identifier uint64
@@ -16,23 +16,21 @@
 	Address    netip.AddrPort
 	Zone       string
 	Alive      bool
-	// Mute has the target take flows and leave their requests unanswered.
+	// Mute has the target accept flows and leave their requests unanswered.
 	Mute bool
-	// Hangs has the target acknowledge requests and never answer them.
+	// Hangs has the target acknowledge requests and never respond.
 	Hangs bool
-	// LeavingAt is when the store took its word that it leaves, or its removal;
-	// zero while it stays.
+	// LeavingAt is when the store recorded that the target drains or was removed, zero before.
 	LeavingAt time.Time
 
-	// startedAt is when the run began.
 	startedAt time.Time
 	flows     map[*Flow]bool
 }
 
-// answersCallers reports whether the target takes in what its callers send.
+// answersCallers reports whether the target processes packets of callers.
 func (t *FlowTarget) answersCallers() bool { return t.Alive && !t.Mute }
 
-// AddTarget starts a target at an address and has the store say so.
+// AddTarget starts a target at an address and registers it in the store.
 func (m *FlowModel) AddTarget(service, zone string, address netip.AddrPort) *FlowTarget {
 	m.number++
 	target := &FlowTarget{
@@ -55,7 +53,7 @@
 	m.Store.Put(storeview.Entry{Key: target.Key, Target: described})
 }
 
-// DrainTarget has a target say that it leaves, serve on for a while, and end.
+// DrainTarget marks a target as draining, then stops it and removes its entry.
 func (m *FlowModel) DrainTarget(target *FlowTarget) {
 	target.LeavingAt = m.Clock.Now()
 	m.putTarget(target, true)
@@ -65,16 +63,15 @@
 	})
 }
 
-// RemoveTarget lets a target's entry go although it never said that it leaves; it
-// serves on for a while, and ends.
+// RemoveTarget removes a target's entry without draining, and stops the target later.
 func (m *FlowModel) RemoveTarget(target *FlowTarget) {
 	target.LeavingAt = m.Clock.Now()
 	m.Store.Put(storeview.Entry{Key: target.Key})
 	m.Clock.After(drainBound+500*time.Millisecond, func() { m.end(target) })
 }
 
-// LapseTarget lets a target's entry go while the store is away, and has the target
-// renew it a while after, if it lives then and has not left.
+// LapseTarget removes a target's entry as on expiry. The target registers again later if it is
+// alive and not leaving.
 func (m *FlowModel) LapseTarget(target *FlowTarget, renewAfter time.Duration) {
 	if !target.LeavingAt.IsZero() {
 		return
@@ -87,11 +84,11 @@
 	})
 }
 
-// entryOutlives is how long the entry of a target stays that renews it no more.
+// entryOutlives is how long the entry of a target stays after its last renewal.
 const entryOutlives = 3600 * time.Millisecond
 
-// RestartTarget crashes a target and, after a while, starts it again under its identifier, at an
-// address. started is called with the later run.
+// RestartTarget crashes a target and later starts it again with the same identifier at an address.
+// started is called with the new incarnation.
 func (m *FlowModel) RestartTarget(target *FlowTarget, after time.Duration, address netip.AddrPort, started func(later *FlowTarget)) {
 	m.end(target)
 	later := &FlowTarget{
@@ -110,7 +107,7 @@
 	})
 }
 
-// CrashTarget crashes a target; its entry goes later.
+// CrashTarget crashes a target; its entry expires later.
 func (m *FlowModel) CrashTarget(target *FlowTarget) {
 	m.end(target)
 	m.Clock.After(entryOutlives, func() {
@@ -126,13 +123,13 @@
 	}
 }
 
-// EvacuateZone orders that a zone's targets get no new flows.
+// EvacuateZone writes an order to evacuate a zone, whose targets then get no new flows.
 func (m *FlowModel) EvacuateZone(zone string) {
 	m.Store.Evacuate(zone)
 	m.evacuated[zone] = m.Clock.Now()
 }
 
-// WithdrawZone takes the order back.
+// WithdrawZone withdraws the order.
 func (m *FlowModel) WithdrawZone(zone string) {
 	m.Store.Withdraw(zone)
 	delete(m.evacuated, zone)
--- a/internal/simulation/flows_unrouted.go
+++ b/internal/simulation/flows_unrouted.go
@@ -6,8 +6,8 @@
 	"github.com/passtray/passtray/internal/steering/token"
 )
 
-// resetDropped carries resets to the callers of flows whose route was dropped, as a daemon
-// found confirmed.
+// resetDropped resets the flows whose route was removed, once the daemon has that confirmed by the
+// store.
 func (m *FlowModel) resetDropped(index int, path *dataPath) {
 	confirmedAt := m.Daemons[index].Core.ConfirmedAt()
 	for _, head := range path.unrouted.TakeDropped(m.Clock.Now(), confirmedAt, path.table) {
@@ -20,8 +20,8 @@
 	}
 }
 
-// Stray sends each daemon a packet of no open flow, with a word that no daemon gave at the
-// address. None may go on.
+// Stray sends each daemon a packet of an unknown flow with a bound token that is not valid at the
+// address. No daemon may forward it.
 func (m *FlowModel) Stray(caller, route netip.AddrPort, word uint32) {
 	for index := range m.paths {
 		path := m.path(index)
@@ -30,7 +30,7 @@
 		}
 		packet := &token.Packet{Source: caller, Destination: route, Token: word, PayloadLength: 1}
 		if decision := m.decide(path, packet); decision.Action == token.Forward {
-			m.recordViolation("ROUTE: daemon %d sent a packet to %s with a word of elsewhere to %s", index, route, decision.Target.Service)
+			m.recordViolation("ROUTE: daemon %d forwarded a packet to %s with an invalid token to service %s", index, route, decision.Target.Service)
 		}
 	}
 }
--- a/internal/simulation/lives_test.go
+++ b/internal/simulation/lives_test.go
@@ -10,7 +10,7 @@
 	"github.com/passtray/passtray/internal/liveness"
 )
 
-// playFor begins flows for a while.
+// playFor begins flows at a constant rate for some time.
 func (r *flowRun) playFor(seconds int) {
 	for range seconds * flowsPerSec {
 		r.begin()
@@ -18,7 +18,7 @@
 	}
 }
 
-// disturbLives makes one random trouble that looks like death to some daemons.
+// disturbLives injects a random fault that makes live targets look dead to some daemons.
 func (r *flowRun) disturbLives() {
 	daemon, span := r.random.IntN(flowDaemons), time.Second+time.Duration(r.random.Int64N(int64(3*time.Second)))
 	target := r.present["roster"][r.random.IntN(len(r.present["roster"]))]
@@ -55,8 +55,7 @@
 	return 0
 }
 
-// resetsOfTheLiving plays a schedule without a dead target, and returns the flows that were
-// reset.
+// resetsOfTheLiving runs a schedule without dead targets and returns the violations.
 func resetsOfTheLiving(seed uint64, config liveness.Config, nobodyObjects bool) []string {
 	run := startFlowRun(seed)
 	run.Liveness, run.NobodyObjects = config, nobodyObjects
@@ -70,9 +69,8 @@
 	return run.Violations
 }
 
-// TestNoFlowOfALivingTargetIsReset plays seeded schedules of what looks like death: lost
-// packets, targets cut off from some daemons, daemons that stand still or restart, targets
-// that hang or are slow.
+// TestNoFlowOfALivingTargetIsReset covers faults that resemble dead targets: packet loss, targets
+// cut off from some daemons, daemons that pause or restart, targets that hang or are slow.
 func TestNoFlowOfALivingTargetIsReset(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, seed uint64) {
@@ -81,16 +79,16 @@
 	})
 }
 
-// TestAJudgeThatWasJustCutOffBuriesNoTarget: in this schedule two daemons were cut off from all
-// targets between the send that a third one's caller repeated and their probes.
+// TestAJudgeThatWasJustCutOffBuriesNoTarget uses a schedule in which two daemons lose contact with
+// all targets between another daemon's report of a retransmission and their own probes.
 func TestAJudgeThatWasJustCutOffBuriesNoTarget(t *testing.T) {
 	t.Parallel()
 	violations := resetsOfTheLiving(606, liveness.DefaultConfig(), false)
 	assert.Equal(t, len(violations), 0, "%v", violations)
 }
 
-// TestOneDaemonsWordResetsLivingFlows: the check finds a detector that takes one daemon's
-// word, and neither probes nor waits for objections.
+// TestOneDaemonsWordResetsLivingFlows checks that a detector that trusts a single report, without
+// probes or a refutation period, is detected.
 func TestOneDaemonsWordResetsLivingFlows(t *testing.T) {
 	t.Parallel()
 	hasty := hastyConfig()
@@ -101,9 +99,8 @@
 	assert.Assert(t, found > 0)
 }
 
-// waitsOfTheDead lets a third of the targets crash at once, and returns how long callers of
-// open flows to them waited until they were told; those that were not waited until the end
-// of the run.
+// waitsOfTheDead crashes three targets at once. It returns how long callers with open flows to them
+// waited for a reset, or until the end of the run.
 func waitsOfTheDead(seed uint64, told ToldWhen) []time.Duration {
 	run := startFlowRun(seed)
 	run.Told = told
@@ -127,7 +124,7 @@
 	return waits
 }
 
-// TestCallersOfDeadTargetsAreToldSoon compares three ways.
+// TestCallersOfDeadTargetsAreToldSoon compares three modes of notification.
 func TestCallersOfDeadTargetsAreToldSoon(t *testing.T) {
 	t.Parallel()
 	median := map[ToldWhen]time.Duration{}
@@ -139,15 +136,15 @@
 		slices.Sort(waits)
 		assert.Assert(t, len(waits) > 50)
 		median[told] = waits[len(waits)/2]
-		t.Logf("way %d: %d callers, half told within %s, nine tenths within %s", told, len(waits), median[told], waits[len(waits)*9/10])
+		t.Logf("mode %d: %d callers, half notified within %s, nine tenths within %s", told, len(waits), median[told], waits[len(waits)*9/10])
 	}
 	assert.Assert(t, median[ToldAtVerdict] <= median[ToldAtPacket])
 	assert.Assert(t, median[ToldAtVerdict] < 1200*time.Millisecond)
 	assert.Assert(t, median[ToldNever] > 2*time.Second)
 }
 
-// TestAnIdleTargetOfADarkZoneKeepsItsFlows: all other targets of its zone crash at once, and
-// nobody has heard from it for a while, as its callers rest.
+// TestAnIdleTargetOfADarkZoneKeepsItsFlows crashes all other targets of a zone while the callers of
+// one target are idle, so that it shows no activity.
 func TestAnIdleTargetOfADarkZoneKeepsItsFlows(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, seed uint64) {
@@ -155,7 +152,7 @@
 		run.playFor(4)
 		zone := slices.DeleteFunc(slices.Concat(run.present["roster"], run.present["ledger"]), func(target *FlowTarget) bool { return target.Zone != testZones[0] })
 		if len(zone) < 2 {
-			return // the seed put too few targets there
+			return // the seed put too few targets into the zone
 		}
 		idle := zone[0]
 		for _, flow := range run.flows {
@@ -173,8 +170,8 @@
 	})
 }
 
-// TestADeadTargetTakesNoOtherOfItsZoneAlong: others of its zone may have no callers, and so
-// show no life.
+// TestADeadTargetTakesNoOtherOfItsZoneAlong checks that other targets of the zone, which may be
+// idle and show no activity, aren't declared dead.
 func TestADeadTargetTakesNoOtherOfItsZoneAlong(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, seed uint64) {
@@ -186,8 +183,8 @@
 	})
 }
 
-// TestCallersOfALostZoneAreToldThoughEachTargetHasFew: no target of the zone has two callers
-// that ask while it is dead.
+// TestCallersOfALostZoneAreToldThoughEachTargetHasFew crashes a zone in which hardly any target has
+// several callers with pending requests.
 func TestCallersOfALostZoneAreToldThoughEachTargetHasFew(t *testing.T) {
 	t.Parallel()
 	var waits []time.Duration
@@ -208,7 +205,7 @@
 		waits = append(waits, run.Waits...)
 	}
 	slices.Sort(waits)
-	assert.Assert(t, len(waits) > 60, "%d callers were told", len(waits))
-	t.Logf("%d callers, half told within %s, nine tenths within %s", len(waits), waits[len(waits)/2], waits[len(waits)*9/10])
+	assert.Assert(t, len(waits) > 60, "%d callers were notified", len(waits))
+	t.Logf("%d callers, half notified within %s, nine tenths within %s", len(waits), waits[len(waits)/2], waits[len(waits)*9/10])
 	assert.Assert(t, waits[len(waits)/2] < 800*time.Millisecond)
 }
--- a/internal/simulation/memory_test.go
+++ b/internal/simulation/memory_test.go
@@ -12,12 +12,12 @@
 
 var kioskRoute = netip.MustParseAddrPort("198.18.0.3:443")
 
-// memoryRun plays changes of routes against daemons that lose what they remember.
+// memoryRun changes routes while daemons lose their state.
 type memoryRun struct {
 	*flowRun
-	// leads is where each address leads to, "" for nowhere.
+	// leads is the service of each address, "" for none.
 	leads map[netip.AddrPort]string
-	// cutUntil is until when bounds do not hold at daemons that were cut off.
+	// cutUntil is the time until which bounds don't apply to a daemon that was isolated.
 	cutUntil [flowDaemons]time.Time
 }
 
@@ -26,14 +26,14 @@
 		flowRun: startFlowRun(seed),
 		leads:   map[netip.AddrPort]string{rosterRoute: "roster", ledgerRoute: "ledger", kioskRoute: "roster"},
 	}
-	run.Unlimited = true // what is held at limits is lost here
+	run.Unlimited = true // packets held at concurrency limits are lost in this model
 	run.OutOfTouch = func(daemon int) bool { return run.Clock.Now().Before(run.cutUntil[daemon]) }
 	run.lead()
 	run.Clock.Advance(2 * time.Second)
 	return run
 }
 
-// lead puts the configuration that leads are.
+// lead writes the configuration that leads describes.
 func (r *memoryRun) lead() {
 	routes := map[netip.AddrPort][]string{}
 	for address, service := range r.leads {
@@ -51,7 +51,7 @@
 	return r.Begin(caller, route, time.Second+time.Duration(r.random.Int64N(int64(20*time.Second))))
 }
 
-// change leads a route to the other service, or drops or adds the one that comes and goes.
+// change points a route to the other service, or removes or adds the optional route.
 func (r *memoryRun) change() {
 	route := []netip.AddrPort{rosterRoute, ledgerRoute, kioskRoute}[r.random.IntN(3)]
 	switch {
@@ -59,7 +59,7 @@
 		r.leads[route] = r.service()
 	case route == kioskRoute && r.random.IntN(2) == 0:
 		r.leads[route] = ""
-		if r.random.IntN(2) == 0 { // and back soon after
+		if r.random.IntN(2) == 0 { // add it again soon after
 			r.Clock.After(time.Duration(r.random.Int64N(int64(3*time.Second))), func() {
 				r.leads[route] = r.service()
 				r.lead()
@@ -77,7 +77,7 @@
 	case 0, 1, 2:
 		r.restart(daemon, span/4)
 	case 3:
-		for index := range flowDaemons { // all power is lost
+		for index := range flowDaemons { // power outage
 			r.restart(index, span/4)
 		}
 	case 4:
@@ -91,7 +91,7 @@
 	}
 }
 
-// cutOff cuts a daemon off from the others and the store; routes change meanwhile.
+// cutOff isolates a daemon from the others and the store while routes change.
 func (r *memoryRun) cutOff(daemon int, span time.Duration) {
 	r.cutUntil[daemon] = r.Clock.Now().Add(span + 4*time.Second)
 	r.Cut = func(from, to int) bool { return (from == daemon) != (to == daemon) }
@@ -106,8 +106,8 @@
 	r.Clock.After(span, func() { r.Cut, r.Store.StateFor = nil, nil })
 }
 
-// stray sends words that no daemon gave at the address: another address's, of a target of
-// any service, a bare token, and one of nobody.
+// stray sends packets with tokens that are invalid at their address: bound to another address, for
+// a target of each service; an unbound one; zero; and a random one.
 func (r *memoryRun) stray() {
 	caller := netip.MustParseAddrPort("100.127.0.1:9")
 	for _, targets := range r.present {
@@ -139,7 +139,7 @@
 	r.Clock.Advance(8 * time.Second)
 }
 
-// replace crashes a target, whose address goes to the other service, or drains it.
+// replace drains a target, or crashes it and lets the other service reuse its address.
 func (r *memoryRun) replace() {
 	service := r.service()
 	target := r.take(service)
@@ -155,9 +155,9 @@
 	r.Clock.After(5700*time.Millisecond, func() { r.add(r.otherService(service), target.Address) })
 }
 
-// TestNoFlowNeedsADaemonsMemory: daemons that were restarted, cut off or lost power follow
-// the flows of routes as they led before, reset those of routes that were dropped and no
-// others, and follow no word of elsewhere.
+// TestNoFlowNeedsADaemonsMemory checks that daemons that were restarted or isolated still forward
+// the flows of routes that changed, reset only the flows of removed routes, and forward no invalid
+// token.
 func TestNoFlowNeedsADaemonsMemory(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, seed uint64) {
@@ -168,9 +168,8 @@
 	})
 }
 
-// TestAFlowUnderARouteThatCameBackIsNotReset: on these seeds a daemon that was cut off
-// opened a flow under a route that it did not know to have been dropped and to be back, and
-// then learned just the first.
+// TestAFlowUnderARouteThatCameBackIsNotReset uses seeds on which an isolated daemon opens a flow
+// without knowing that the route was removed and added again, and then learns only of the removal.
 func TestAFlowUnderARouteThatCameBackIsNotReset(t *testing.T) {
 	t.Parallel()
 	for _, seed := range []uint64{146, 259} {
@@ -180,8 +179,7 @@
 	}
 }
 
-// openKiosk opens flows at the route that is dropped then, and restarts all daemons at that
-// moment.
+// openKiosk opens flows on a route, removes the route and restarts all daemons.
 func openKiosk(t *testing.T, spoil func(*memoryRun)) *memoryRun {
 	t.Helper()
 	run := startMemoryRun(1)
@@ -201,8 +199,8 @@
 	return run
 }
 
-// TestDaemonsWithoutMemoryResetTheFlowsOfADroppedRoute, all of them, once the store has
-// confirmed that the route is gone. With the mechanism off none is told.
+// TestDaemonsWithoutMemoryResetTheFlowsOfADroppedRoute checks that all flows are reset once the
+// store has confirmed that the route is removed, and none if the mechanism is disabled.
 func TestDaemonsWithoutMemoryResetTheFlowsOfADroppedRoute(t *testing.T) {
 	t.Parallel()
 	assert.Equal(t, openKiosk(t, func(*memoryRun) {}).Resets, 40)
@@ -216,18 +214,18 @@
 	assert.Equal(t, openKiosk(t, off).Resets, 0)
 }
 
-// TestTheChecksFindDaemonsThatNeedMemory: each double decides some packets wrongly, and the
-// check named finds it within 20 schedules.
+// TestTheChecksFindDaemonsThatNeedMemory corrupts some decisions and expects the named check to
+// detect it within 20 schedules.
 func TestTheChecksFindDaemonsThatNeedMemory(t *testing.T) {
 	t.Parallel()
-	var last token.Decision // that forwarded a packet
+	var last token.Decision // the latest decision to forward a packet
 	for check, spoil := range map[string]func(packet *token.Packet, decision *token.Decision){
-		"MEMORY": func(packet *token.Packet, decision *token.Decision) { // drops flows of a service
+		"MEMORY": func(packet *token.Packet, decision *token.Decision) { // drops flows of one service
 			if !packet.IsOpening && decision.Target != nil && decision.Target.Service != "roster" {
 				*decision = token.Decision{Reason: token.ReasonUnknownToken}
 			}
 		},
-		"ROUTE": func(_ *token.Packet, decision *token.Decision) { // follows any word
+		"ROUTE": func(_ *token.Packet, decision *token.Decision) { // accepts any token
 			switch {
 			case decision.Action == token.Forward:
 				last = *decision
@@ -235,7 +233,7 @@
 				*decision = last
 			}
 		},
-		"FLOW": func(_ *token.Packet, decision *token.Decision) { // waits for no confirmation
+		"FLOW": func(_ *token.Packet, decision *token.Decision) { // doesn't wait for the confirmation
 			if decision.Reason == token.ReasonUnconfirmedRoute {
 				*decision = token.Decision{Action: token.Refuse, Reason: token.ReasonDroppedRoute}
 			}
--- a/internal/simulation/restarts_test.go
+++ b/internal/simulation/restarts_test.go
@@ -9,8 +9,8 @@
 	"github.com/passtray/passtray/internal/steering/token"
 )
 
-// restartShare crashes a target, which starts again under its identifier: at once or after it was
-// found dead or its entry had gone, at its address or at another one.
+// restartSome crashes a target, which restarts with the same identifier, at once or after it was
+// found dead or its entry expired, at the same or another address.
 func (r *flowRun) restartSome() {
 	service := r.service()
 	target := r.take(service)
@@ -25,7 +25,7 @@
 	r.RestartTarget(target, after, address, func(later *FlowTarget) { r.present[service] = append(r.present[service], later) })
 }
 
-// playRestarts plays flows with pauses while targets restart, with other troubles between.
+// playRestarts runs flows with idle times while targets restart, mixed with other faults.
 func (r *flowRun) playRestarts(seconds int) {
 	for second := range seconds {
 		r.restartSome()
@@ -43,8 +43,8 @@
 	r.Clock.Advance(10 * time.Second)
 }
 
-// TestTargetsThatRestartUnderTheirIdentifierKeepTheRules, crossed with drains, addresses used
-// again, lost paths, frozen and killed daemons, and a store that is away.
+// TestTargetsThatRestartUnderTheirIdentifierKeepTheRules combines target restarts with drains,
+// reused addresses, packet loss, paused and killed daemons, and store outages.
 func TestTargetsThatRestartUnderTheirIdentifierKeepTheRules(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, seed uint64) {
@@ -55,8 +55,8 @@
 	})
 }
 
-// TestARestartedTargetIsUsedAtOnce: a verdict of death on the earlier run does not keep flows from
-// the later one, nor end those that are opened there.
+// TestARestartedTargetIsUsedAtOnce checks that a verdict on an earlier incarnation neither keeps
+// flows from the later one nor resets its flows.
 func TestARestartedTargetIsUsedAtOnce(t *testing.T) {
 	t.Parallel()
 	opened := func(runsAlike bool) (opened int, violations []string) {
@@ -75,11 +75,11 @@
 	told, violations := opened(false)
 	assert.Equal(t, len(violations), 0, "%v", violations)
 	alike, _ := opened(true)
-	assert.Assert(t, told > alike, "%d flows opened at later runs that are told apart, %d at others", told, alike)
+	assert.Assert(t, told > alike, "%d flows opened at later incarnations that entries distinguish, %d at others", told, alike)
 }
 
-// TestTheChecksFindAVerdictThatOutlivesItsRun: daemons hold what was found of the earlier run
-// against the later one.
+// TestTheChecksFindAVerdictThatOutlivesItsRun applies the verdict on an earlier incarnation to the
+// later one.
 func TestTheChecksFindAVerdictThatOutlivesItsRun(t *testing.T) {
 	t.Parallel()
 	run := startFlowRun(1)
--- a/internal/simulation/resting_test.go
+++ b/internal/simulation/resting_test.go
@@ -9,11 +9,11 @@
 	"github.com/passtray/passtray/internal/liveness"
 )
 
-// pooledPause is how long at most callers of pooled flows rest between requests, which may
-// not be repeated.
+// pooledPause is the maximum idle time between requests on pooled flows, whose requests can't be
+// retried.
 const pooledPause = 3 * time.Second
 
-// startPooled starts a run with flows that callers keep for many requests.
+// startPooled starts a run with flows that are reused for many requests.
 func startPooled(seed uint64, told ToldWhen) *flowRun {
 	run := startFlowRun(seed)
 	run.Told = told
@@ -28,7 +28,8 @@
 	}
 }
 
-// crashSome crashes part of a service at once. The addresses of some go to another service.
+// crashSome crashes one to three targets of a service. The addresses of some are reused by the
+// other service.
 func (r *flowRun) crashSome() {
 	for range 1 + r.random.IntN(3) {
 		target := r.take("roster")
@@ -44,7 +45,7 @@
 	}
 }
 
-// playCrashes plays crashes beside a trouble that looks like death, if disturb is set.
+// playCrashes repeats crashes, together with faults that resemble dead targets if disturb is set.
 func (r *flowRun) playCrashes(disturb bool) {
 	for range 4 {
 		r.crashSome()
@@ -56,8 +57,8 @@
 	}
 }
 
-// TestNoRequestGoesToATargetThatWasFoundDead: flows rest when their target crashes, and their
-// callers know before they send again.
+// TestNoRequestGoesToATargetThatWasFoundDead checks that callers of idle flows get a reset before
+// their next request when the target crashes.
 func TestNoRequestGoesToATargetThatWasFoundDead(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, seed uint64) {
@@ -68,7 +69,8 @@
 	})
 }
 
-// TestRequestsAreLostWhereOnlyCallersThatWaitAreTold shows what the resets are for.
+// TestRequestsAreLostWhereOnlyCallersThatWaitAreTold checks that requests are lost if only flows
+// with a pending request are reset.
 func TestRequestsAreLostWhereOnlyCallersThatWaitAreTold(t *testing.T) {
 	t.Parallel()
 	after := map[ToldWhen]int{}
@@ -80,13 +82,13 @@
 			lost += run.Lost
 			after[told] += run.LostAfter
 		}
-		t.Logf("way %d: %d requests lost, %d after the verdict", told, lost, after[told])
+		t.Logf("mode %d: %d requests lost, %d after the verdict", told, lost, after[told])
 	}
 	assert.Equal(t, after[ToldAtVerdict], 0)
 	assert.Assert(t, after[ToldIfWaiting] > 50)
 }
 
-// TestNoFlowThatRestsAtALivingTargetIsReset: targets crash beside others that only look dead.
+// TestNoFlowThatRestsAtALivingTargetIsReset crashes targets while others only look dead.
 func TestNoFlowThatRestsAtALivingTargetIsReset(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, seed uint64) {
@@ -96,7 +98,7 @@
 	})
 }
 
-// TestTheChecksFindAResetOfAFlowThatRests: a daemon takes a living target for dead.
+// TestTheChecksFindAResetOfAFlowThatRests has daemons take live targets for dead.
 func TestTheChecksFindAResetOfAFlowThatRests(t *testing.T) {
 	t.Parallel()
 	run := startPooled(1, ToldAtVerdict)
@@ -106,8 +108,8 @@
 	assert.Assert(t, hasViolation(run, "FLOW"), "%v", run.Violations)
 }
 
-// TestAHastyVerdictResetsFlowsThatRest: the check finds a detector that takes one daemon's
-// word, and neither probes nor waits for objections.
+// TestAHastyVerdictResetsFlowsThatRest checks that a detector that trusts a single report, without
+// probes or a refutation period, is detected.
 func TestAHastyVerdictResetsFlowsThatRest(t *testing.T) {
 	t.Parallel()
 	found := 0
@@ -129,15 +131,15 @@
 	return hasty
 }
 
-// resetPaths has all data paths begin anew, with the run's bounds.
+// resetPaths rebuilds all data paths with the run's current configuration.
 func (r *flowRun) resetPaths() {
 	for index := range r.paths {
 		*r.paths[index] = dataPath{generation: -1}
 	}
 }
 
-// TestAVerdictReachesWhoMissedItsDatagram: in these schedules a daemon did, and a request went
-// through it to a target that was known to be dead.
+// TestAVerdictReachesWhoMissedItsDatagram uses schedules in which a daemon misses the datagram with
+// a verdict, and must not forward a request to the dead target.
 func TestAVerdictReachesWhoMissedItsDatagram(t *testing.T) {
 	t.Parallel()
 	for _, seed := range []uint64{238, 283, 344, 347, 372, 378} {
@@ -147,9 +149,9 @@
 	}
 }
 
-// TestALapsedTargetIsNotSupersededByTheOneBefore: in this schedule two daemons had not heard that
-// the target had gone that ran at the address before, and reset the flows of the living one when
-// its entry lapsed.
+// TestALapsedTargetIsNotSupersededByTheOneBefore uses a schedule in which two daemons miss the
+// removal of the previous target at an address, and must not reset the flows of the current one
+// when its entry expires.
 func TestALapsedTargetIsNotSupersededByTheOneBefore(t *testing.T) {
 	t.Parallel()
 	run := startFlowRun(10384)
@@ -157,8 +159,8 @@
 	assert.Equal(t, len(run.Violations), 0, "%v", run.Violations)
 }
 
-// TestTwoDaemonsThatLosePacketsBuryNoTarget: in this schedule one of them had a caller, and the
-// other one judged and lost both of its probes.
+// TestTwoDaemonsThatLosePacketsBuryNoTarget uses a schedule in which one daemon with packet loss
+// has a caller, and another one judges the target and loses both of its probes.
 func TestTwoDaemonsThatLosePacketsBuryNoTarget(t *testing.T) {
 	t.Parallel()
 	run := startPooled(760, ToldAtVerdict)
