--- a/internal/simulation/flows_checks.go
+++ b/internal/simulation/flows_checks.go
@@ -6,31 +6,31 @@
 	"github.com/passtray/passtray/internal/steering/token"
 )
 
-// refused handles a reset that a daemon sent to a caller. An open flow to a live target may be
+// handleReset handles a reset that a daemon sent to a caller. An open flow to a live target may be
 // reset only if its route was removed.
-func (m *FlowModel) refused(flow *Flow, reason token.Reason) {
-	isOpen := flow.Opened && !flow.Ended && flow.Target.answersCallers() && !m.Frozen[flow.Target]
-	if isOpen && m.hasStood(flow) {
+func (m *FlowModel) handleReset(flow *Flow, reason token.Reason) {
+	isOpen := flow.Opened && !flow.Ended && flow.Target.isServing() && !m.Frozen[flow.Target]
+	if isOpen && m.hasKeptRoute(flow) {
 		m.recordViolation("FLOW: an open flow to target %s was reset: %s", flow.Target.Key, reason)
 	}
 	if isOpen && reason == token.ReasonDroppedRoute {
 		m.Resets++
 	}
-	if flow.Opened && !flow.Ended && !flow.askedAt.IsZero() {
-		m.Waits = append(m.Waits, m.Clock.Now().Sub(flow.askedAt))
+	if flow.Opened && !flow.Ended && !flow.requestedAt.IsZero() {
+		m.Waits = append(m.Waits, m.Clock.Now().Sub(flow.requestedAt))
 	}
 	flow.Ended = true
 }
 
-// hasStood reports whether a flow's address has had a route since the flow began.
-func (m *FlowModel) hasStood(flow *Flow) bool {
-	since, isListed := m.listedSince[flow.Route]
+// hasKeptRoute reports whether a flow's address has had a route since the flow began.
+func (m *FlowModel) hasKeptRoute(flow *Flow) bool {
+	since, isListed := m.routedSince[flow.Route]
 	return isListed && !since.After(flow.BegunAt)
 }
 
-// checkFollowed checks that a daemon doesn't drop a packet of an open flow if it knows the target
+// checkForwarded checks that a daemon doesn't drop a packet of an open flow if it knows the target
 // and has a route for the address, whatever service that route leads to now.
-func (m *FlowModel) checkFollowed(flow *Flow, daemon int, path *dataPath, decision *token.Decision) {
+func (m *FlowModel) checkForwarded(flow *Flow, daemon int, path *dataPath, decision *token.Decision) {
 	isDropped := decision.Action == token.Drop || decision.Action == token.Hold
 	if _, isKnown := path.table.AddressOf(flow.Target.Identifier); !isDropped || !isKnown || !path.table.Routes(flow.Route) {
 		return
@@ -38,8 +38,8 @@
 	m.recordViolation("MEMORY: daemon %d dropped a packet of a flow to known target %s: %s", daemon, flow.Target.Key, decision.Reason)
 }
 
-// isInTouch reports whether bounds apply to a daemon.
-func (m *FlowModel) isInTouch(daemon int) bool {
+// isUndisturbed reports whether bounds apply to a daemon.
+func (m *FlowModel) isUndisturbed(daemon int) bool {
 	isCutOff := m.OutOfTouch != nil && m.OutOfTouch(daemon)
 	return !isCutOff && m.Clock.Now().Sub(m.Daemons[daemon].TroubledAt) >= 4*time.Second
 }
@@ -51,13 +51,13 @@
 		return
 	}
 	isLate := !allowed.until.IsZero() && sentAt.Sub(allowed.until) > drainBound
-	if isLate && m.isInTouch(daemon) && m.StoreIsStable() {
+	if isLate && m.isUndisturbed(daemon) && m.StoreIsStable() {
 		m.recordViolation("CONFIG: daemon %d sends flows to service %s %s after it was removed from the route", daemon, target.Service, sentAt.Sub(allowed.until))
 	}
 }
 
 func (m *FlowModel) checkDrain(daemon int, target *FlowTarget) {
-	if target.LeavingAt.IsZero() || !m.isInTouch(daemon) || !m.StoreIsStable() {
+	if target.LeavingAt.IsZero() || !m.isUndisturbed(daemon) || !m.StoreIsStable() {
 		return
 	}
 	if late := m.Clock.Now().Sub(target.LeavingAt); late > drainBound {
@@ -68,7 +68,7 @@
 // checkEvacuation checks that a daemon sends no new flows to an evacuated zone.
 func (m *FlowModel) checkEvacuation(daemon int, target *FlowTarget) {
 	since, isEvacuated := m.evacuated[target.Zone]
-	if !isEvacuated || !m.isInTouch(daemon) || !m.StoreIsStable() {
+	if !isEvacuated || !m.isUndisturbed(daemon) || !m.StoreIsStable() {
 		return
 	}
 	if late := m.Clock.Now().Sub(since); late > evacuationBound {
--- a/internal/simulation/flows_configuration.go
+++ b/internal/simulation/flows_configuration.go
@@ -30,7 +30,7 @@
 		return 1
 	})
 	m.Store.Put(storeview.Entry{Key: "config", Configuration: configuration})
-	m.noteAllowed(routes)
+	m.noteAllowedServices(routes)
 }
 
 func sortedRoutes(routes map[netip.AddrPort][]string) []netip.AddrPort {
@@ -42,7 +42,7 @@
 	return addresses
 }
 
-func (m *FlowModel) noteAllowed(routes map[netip.AddrPort][]string) {
+func (m *FlowModel) noteAllowedServices(routes map[netip.AddrPort][]string) {
 	now := m.Clock.Now()
 	for address, services := range m.allowed {
 		for service, allowed := range services {
@@ -51,14 +51,14 @@
 			}
 		}
 	}
-	for address := range m.listedSince {
+	for address := range m.routedSince {
 		if _, isListed := routes[address]; !isListed {
-			delete(m.listedSince, address)
+			delete(m.routedSince, address)
 		}
 	}
 	for address, services := range routes {
-		if m.listedSince[address].IsZero() {
-			m.listedSince[address] = now
+		if m.routedSince[address].IsZero() {
+			m.routedSince[address] = now
 		}
 		if m.allowed[address] == nil {
 			m.allowed[address] = map[string]*allowance{}
--- a/internal/simulation/flows_lives.go
+++ b/internal/simulation/flows_liveness.go
@@ -25,14 +25,14 @@
 	ToldNever
 )
 
-// livesDirectory implements liveness.Directory for a daemon.
-type livesDirectory struct {
+// livenessDirectory implements liveness.Directory for a daemon.
+type livenessDirectory struct {
 	*flowDirectory
 	path *dataPath
 }
 
 // ExpectedRate returns the expected rate of responses, each of which counts as activity.
-func (d livesDirectory) ExpectedRate(subject liveness.Subject) float64 {
+func (d livenessDirectory) ExpectedRate(subject liveness.Subject) float64 {
 	rate := 0.0
 	for service, targets := range d.ServicesOf(subject) {
 		rate += float64(targets) * d.flowDirectory.ExpectedRate(service)
@@ -41,27 +41,27 @@
 }
 
 // LastAnswered implements liveness.Directory.
-func (d livesDirectory) LastAnswered() time.Time { return d.path.lastAnswered }
+func (d livenessDirectory) LastAnswered() time.Time { return d.path.lastAnswered }
 
-func (m *FlowModel) livesDirectory(path *dataPath) livesDirectory {
-	return livesDirectory{m.directory(path), path}
+func (m *FlowModel) livenessDirectory(path *dataPath) livenessDirectory {
+	return livenessDirectory{m.directory(path), path}
 }
 
-func (m *FlowModel) watchLives(index int, path *dataPath) {
-	now, targets := m.Clock.Now(), m.livesDirectory(path)
+func (m *FlowModel) tickLiveness(index int, path *dataPath) {
+	now, targets := m.Clock.Now(), m.livenessDirectory(path)
 	for _, data := range path.requests.TakeUnacknowledged() {
-		path.lives.Observe(now, targets, data.Target, data.Flow, data.Since)
+		path.livenessDetector.Observe(now, targets, data.Target, data.Flow, data.Since)
 	}
-	m.carryLives(index, path, path.lives.Tick(now, targets))
+	m.applyLivenessOutput(index, path, path.livenessDetector.Tick(now, targets))
 }
 
-func (m *FlowModel) hearLives(index int, reports []liveness.Received) {
+func (m *FlowModel) receiveLivenessReports(index int, reports []liveness.Received) {
 	if path := m.path(index); path != nil {
-		m.carryLives(index, path, path.lives.Hear(m.Clock.Now(), m.livesDirectory(path), reports))
+		m.applyLivenessOutput(index, path, path.livenessDetector.Hear(m.Clock.Now(), m.livenessDirectory(path), reports))
 	}
 }
 
-func (m *FlowModel) carryLives(index int, path *dataPath, output liveness.Output) {
+func (m *FlowModel) applyLivenessOutput(index int, path *dataPath, output liveness.Output) {
 	for _, verdict := range output.Dead {
 		m.noteVerdict(verdict.Subject.Target)
 		path.table.SetDead(verdict.Subject.Target, verdict.Until, verdict.Until)
@@ -73,7 +73,7 @@
 			m.reset(waiting.Source, waiting.Token)
 		}
 	}
-	m.resetResting(path)
+	m.resetIdle(path)
 	for _, target := range output.Alive {
 		path.table.SetAlive(target)
 	}
@@ -88,44 +88,44 @@
 	}
 }
 
-// resetResting resets the idle flows to dead targets that a daemon knows.
-func (m *FlowModel) resetResting(path *dataPath) {
+// resetIdle resets the idle flows to dead targets that a daemon knows.
+func (m *FlowModel) resetIdle(path *dataPath) {
 	if m.Told != ToldAtVerdict {
 		return
 	}
-	isDead := func(target uint32) bool { return m.restsAtDead(path, target) }
-	for _, resting := range path.requests.TakeResting(isDead, flowPins) {
+	isDead := func(target uint32) bool { return m.shouldResetIdle(path, target) }
+	for _, resting := range path.requests.TakeResting(isDead, flowTableSize) {
 		m.Resting++
 		m.reset(resting.Source, resting.Token)
 	}
 }
 
-// restsAtDead reports whether idle flows to a target are to be reset.
-func (m *FlowModel) restsAtDead(path *dataPath, target uint32) bool {
+// shouldResetIdle reports whether idle flows to a target are to be reset.
+func (m *FlowModel) shouldResetIdle(path *dataPath, target uint32) bool {
 	return m.AllRestAtDead || path.table.IsDeadToken(m.Clock.Now(), target)
 }
 
-// toldWithin is the time from the first detection of a dead target until all its idle flows are
+// notificationBound is the time from the first detection of a dead target until all its idle flows are
 // reset. It covers the gossip of the verdict, the daemons' ticks and the resets.
-const toldWithin = 300 * time.Millisecond
+const notificationBound = 300 * time.Millisecond
 
 // noteVerdict records when a target was first declared dead.
 func (m *FlowModel) noteVerdict(target uint64) {
 	m.Verdicts++
-	if _, isKnown := m.verdictAt[target]; !isKnown {
-		m.verdictAt[target] = m.Clock.Now()
+	if _, isKnown := m.declaredDeadAt[target]; !isKnown {
+		m.declaredDeadAt[target] = m.Clock.Now()
 	}
 }
 
 // noteRequest counts a request sent to a dead target on an open flow, which is lost if it can't be
-// retried. LostAfter counts those sent later than toldWithin after the detection.
+// retried. LostAfter counts those sent later than notificationBound after the detection.
 func (m *FlowModel) noteRequest(flow *Flow) {
 	if !flow.Opened || flow.Target.Alive {
 		return
 	}
 	m.Lost++
-	verdictAt, isKnown := m.verdictAt[flow.Target.Identifier]
-	if isKnown && m.Clock.Now().Sub(verdictAt) > toldWithin {
+	declaredDeadAt, isKnown := m.declaredDeadAt[flow.Target.Identifier]
+	if isKnown && m.Clock.Now().Sub(declaredDeadAt) > notificationBound {
 		m.LostAfter++
 	}
 }
@@ -157,8 +157,8 @@
 	}
 	m.Clock.After(after, func() {
 		if path := m.path(index); path != nil && path.generation == generation {
-			path.lives.Probed(m.Clock.Now(), probe, hasAnswered)
-			m.watchLives(index, path)
+			path.livenessDetector.Probed(m.Clock.Now(), probe, hasAnswered)
+			m.tickLiveness(index, path)
 		}
 	})
 }
@@ -168,7 +168,7 @@
 	m.Clock.After(m.delay(), func() {
 		flow := m.flows[caller]
 		if flow != nil && flow.Target != nil && token.Of(flow.Target.Identifier) == value {
-			m.refused(flow, token.ReasonDeadTarget)
+			m.handleReset(flow, token.ReasonDeadTarget)
 		}
 	})
 }
--- a/internal/simulation/flows_targets.go
+++ b/internal/simulation/flows_targets.go
@@ -27,14 +27,14 @@
 	flows     map[*Flow]bool
 }
 
-// answersCallers reports whether the target processes packets of callers.
-func (t *FlowTarget) answersCallers() bool { return t.Alive && !t.Mute }
+// isServing reports whether the target processes packets of callers.
+func (t *FlowTarget) isServing() bool { return t.Alive && !t.Mute }
 
 // AddTarget starts a target at an address and registers it in the store.
 func (m *FlowModel) AddTarget(service, zone string, address netip.AddrPort) *FlowTarget {
-	m.number++
+	m.targetCount++
 	target := &FlowTarget{
-		Key: fmt.Sprint("target-", m.number), Identifier: 0x1_0000_0000 + uint64(m.number), Service: service,
+		Key: fmt.Sprint("target-", m.targetCount), Identifier: 0x1_0000_0000 + uint64(m.targetCount), Service: service,
 		Address: address, Zone: zone, Alive: true, startedAt: m.Clock.Now(), flows: map[*Flow]bool{},
 	}
 	m.targets[address] = target
@@ -43,14 +43,14 @@
 }
 
 func (m *FlowModel) putTarget(target *FlowTarget, draining bool) {
-	described := &storeview.Target{
+	entry := &storeview.Target{
 		Identifier: target.Identifier, Service: target.Service, Address: target.Address,
 		Zone: target.Zone, Slots: 2, Draining: draining,
 	}
 	if !m.RunsAlike {
-		described.Incarnation = uint64(target.startedAt.UnixMilli())
+		entry.Incarnation = uint64(target.startedAt.UnixMilli())
 	}
-	m.Store.Put(storeview.Entry{Key: target.Key, Target: described})
+	m.Store.Put(storeview.Entry{Key: target.Key, Target: entry})
 }
 
 // DrainTarget marks a target as draining, then stops it and removes its entry.
@@ -58,7 +58,7 @@
 	target.LeavingAt = m.Clock.Now()
 	m.putTarget(target, true)
 	m.Clock.After(drainBound+500*time.Millisecond, func() {
-		m.end(target)
+		m.stopTarget(target)
 		m.Store.Put(storeview.Entry{Key: target.Key})
 	})
 }
@@ -67,7 +67,7 @@
 func (m *FlowModel) RemoveTarget(target *FlowTarget) {
 	target.LeavingAt = m.Clock.Now()
 	m.Store.Put(storeview.Entry{Key: target.Key})
-	m.Clock.After(drainBound+500*time.Millisecond, func() { m.end(target) })
+	m.Clock.After(drainBound+500*time.Millisecond, func() { m.stopTarget(target) })
 }
 
 // LapseTarget removes a target's entry as on expiry. The target registers again later if it is
@@ -84,24 +84,24 @@
 	})
 }
 
-// entryOutlives is how long the entry of a target stays after its last renewal.
-const entryOutlives = 3600 * time.Millisecond
+// entryTTL is how long the entry of a target stays after its last renewal.
+const entryTTL = 3600 * time.Millisecond
 
 // RestartTarget crashes a target and later starts it again with the same identifier at an address.
 // started is called with the new incarnation.
 func (m *FlowModel) RestartTarget(target *FlowTarget, after time.Duration, address netip.AddrPort, started func(later *FlowTarget)) {
-	m.end(target)
+	m.stopTarget(target)
 	later := &FlowTarget{
 		Key: target.Key, Identifier: target.Identifier, Service: target.Service, Address: address, Zone: target.Zone,
 		flows: map[*Flow]bool{},
 	}
-	if after > entryOutlives {
-		m.Clock.After(entryOutlives, func() { m.Store.Put(storeview.Entry{Key: target.Key}) })
+	if after > entryTTL {
+		m.Clock.After(entryTTL, func() { m.Store.Put(storeview.Entry{Key: target.Key}) })
 	}
 	m.Clock.After(after, func() {
 		later.Alive, later.startedAt = true, m.Clock.Now()
 		m.targets[address] = later
-		delete(m.verdictAt, later.Identifier)
+		delete(m.declaredDeadAt, later.Identifier)
 		m.putTarget(later, false)
 		started(later)
 	})
@@ -109,14 +109,14 @@
 
 // CrashTarget crashes a target; its entry expires later.
 func (m *FlowModel) CrashTarget(target *FlowTarget) {
-	m.end(target)
-	m.Clock.After(entryOutlives, func() {
+	m.stopTarget(target)
+	m.Clock.After(entryTTL, func() {
 		target.LeavingAt = m.Clock.Now()
 		m.Store.Put(storeview.Entry{Key: target.Key})
 	})
 }
 
-func (m *FlowModel) end(target *FlowTarget) {
+func (m *FlowModel) stopTarget(target *FlowTarget) {
 	target.Alive = false
 	if m.targets[target.Address] == target {
 		delete(m.targets, target.Address)
--- a/internal/simulation/flows_unrouted.go
+++ b/internal/simulation/flows_unrouted.go
@@ -14,7 +14,7 @@
 		path.requests.NoteDropped(path.table, &head)
 		m.Clock.After(m.delay(), func() {
 			if flow := m.flows[head.Source]; flow != nil && flow.Route == head.Destination && flow.Token == head.Token {
-				m.refused(flow, token.ReasonDroppedRoute)
+				m.handleReset(flow, token.ReasonDroppedRoute)
 			}
 		})
 	}
@@ -22,13 +22,13 @@
 
 // Stray sends each daemon a packet of an unknown flow with a bound token that is not valid at the
 // address. No daemon may forward it.
-func (m *FlowModel) Stray(caller, route netip.AddrPort, word uint32) {
+func (m *FlowModel) Stray(caller, route netip.AddrPort, boundToken uint32) {
 	for index := range m.paths {
 		path := m.path(index)
 		if path == nil {
 			continue
 		}
-		packet := &token.Packet{Source: caller, Destination: route, Token: word, PayloadLength: 1}
+		packet := &token.Packet{Source: caller, Destination: route, Token: boundToken, PayloadLength: 1}
 		if decision := m.decide(path, packet); decision.Action == token.Forward {
 			m.recordViolation("ROUTE: daemon %d forwarded a packet to %s with an invalid token to service %s", index, route, decision.Target.Service)
 		}
--- a/internal/simulation/orders_test.go
+++ b/internal/simulation/orders_test.go
@@ -99,7 +99,7 @@
 	forEachSeed(t, func(t *testing.T, seed uint64) {
 		run := startFlowRun(seed)
 		run.evacuateZonesInTurn(6 * time.Second)
-		run.play()
+		run.simulate()
 		assert.Equal(t, len(run.Violations), 0, "seed %d: %v", seed, run.Violations)
 		assert.Assert(t, run.Opened > run.Begun/2, "seed %d: only %d of %d flows opened", seed, run.Opened, run.Begun)
 	})
@@ -124,7 +124,7 @@
 		run.evacuated[zone] = run.Clock.Now().Add(-10 * time.Second)
 	}
 	for range 20 {
-		run.begin()
+		run.beginFlow()
 	}
 	run.Clock.Advance(time.Second)
 	assert.Assert(t, hasViolation(run, "EVAC"), "%v", run.Violations)
--- a/internal/simulation/memory_test.go
+++ b/internal/simulation/state_loss_test.go
@@ -12,31 +12,31 @@
 
 var kioskRoute = netip.MustParseAddrPort("198.18.0.3:443")
 
-// memoryRun changes routes while daemons lose their state.
-type memoryRun struct {
+// stateLossRun changes routes while daemons lose their state.
+type stateLossRun struct {
 	*flowRun
-	// leads is the service of each address, "" for none.
-	leads map[netip.AddrPort]string
-	// cutUntil is the time until which bounds don't apply to a daemon that was isolated.
-	cutUntil [flowDaemons]time.Time
+	// services is the service of each address, "" for none.
+	services map[netip.AddrPort]string
+	// isolatedUntil is the time until which bounds don't apply to a daemon that was isolated.
+	isolatedUntil [flowDaemons]time.Time
 }
 
-func startMemoryRun(seed uint64) *memoryRun {
-	run := &memoryRun{
-		flowRun: startFlowRun(seed),
-		leads:   map[netip.AddrPort]string{rosterRoute: "roster", ledgerRoute: "ledger", kioskRoute: "roster"},
+func startStateLossRun(seed uint64) *stateLossRun {
+	run := &stateLossRun{
+		flowRun:  startFlowRun(seed),
+		services: map[netip.AddrPort]string{rosterRoute: "roster", ledgerRoute: "ledger", kioskRoute: "roster"},
 	}
 	run.Unlimited = true // packets held at concurrency limits are lost in this model
-	run.OutOfTouch = func(daemon int) bool { return run.Clock.Now().Before(run.cutUntil[daemon]) }
-	run.lead()
+	run.OutOfTouch = func(daemon int) bool { return run.Clock.Now().Before(run.isolatedUntil[daemon]) }
+	run.writeRoutes()
 	run.Clock.Advance(2 * time.Second)
 	return run
 }
 
-// lead writes the configuration that leads describes.
-func (r *memoryRun) lead() {
+// writeRoutes writes the configuration that services describes.
+func (r *stateLossRun) writeRoutes() {
 	routes := map[netip.AddrPort][]string{}
-	for address, service := range r.leads {
+	for address, service := range r.services {
 		if service != "" {
 			routes[address] = []string{service}
 		}
@@ -44,56 +44,56 @@
 	r.Configure(routes)
 }
 
-func (r *memoryRun) begin() *Flow {
+func (r *stateLossRun) beginFlow() *Flow {
 	r.caller++
 	caller := netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, byte(r.caller >> 14), byte(r.caller >> 6)}), uint16(1000+r.caller&63))
 	route := []netip.AddrPort{rosterRoute, ledgerRoute, kioskRoute, kioskRoute}[r.random.IntN(4)]
 	return r.Begin(caller, route, time.Second+time.Duration(r.random.Int64N(int64(20*time.Second))))
 }
 
-// change points a route to the other service, or removes or adds the optional route.
-func (r *memoryRun) change() {
+// changeRoute points a route to the other service, or removes or adds the optional route.
+func (r *stateLossRun) changeRoute() {
 	route := []netip.AddrPort{rosterRoute, ledgerRoute, kioskRoute}[r.random.IntN(3)]
 	switch {
-	case r.leads[route] == "":
-		r.leads[route] = r.service()
+	case r.services[route] == "":
+		r.services[route] = r.service()
 	case route == kioskRoute && r.random.IntN(2) == 0:
-		r.leads[route] = ""
+		r.services[route] = ""
 		if r.random.IntN(2) == 0 { // add it again soon after
 			r.Clock.After(time.Duration(r.random.Int64N(int64(3*time.Second))), func() {
-				r.leads[route] = r.service()
-				r.lead()
+				r.services[route] = r.service()
+				r.writeRoutes()
 			})
 		}
 	default:
-		r.leads[route] = r.otherService(r.leads[route])
+		r.services[route] = r.otherService(r.services[route])
 	}
-	r.lead()
+	r.writeRoutes()
 }
 
-func (r *memoryRun) loseMemory() {
-	daemon, span := r.random.IntN(flowDaemons), 500*time.Millisecond+time.Duration(r.random.Int64N(int64(4*time.Second)))
+func (r *stateLossRun) loseState() {
+	daemon, duration := r.random.IntN(flowDaemons), 500*time.Millisecond+time.Duration(r.random.Int64N(int64(4*time.Second)))
 	switch r.random.IntN(8) {
 	case 0, 1, 2:
-		r.restart(daemon, span/4)
+		r.restart(daemon, duration/4)
 	case 3:
 		for index := range flowDaemons { // power outage
-			r.restart(index, span/4)
+			r.restart(index, duration/4)
 		}
 	case 4:
-		r.Pause(daemon, span)
+		r.Pause(daemon, duration)
 	case 5:
-		r.cutOff(daemon, span)
+		r.isolate(daemon, duration)
 	case 6:
 		r.Store.Forget()
 	case 7:
-		r.disturbStore([]StoreState{StoreSilent, StoreBroken, StoreRefusing}[r.random.IntN(3)], span)
+		r.disturbStore([]StoreState{StoreSilent, StoreBroken, StoreRefusing}[r.random.IntN(3)], duration)
 	}
 }
 
-// cutOff isolates a daemon from the others and the store while routes change.
-func (r *memoryRun) cutOff(daemon int, span time.Duration) {
-	r.cutUntil[daemon] = r.Clock.Now().Add(span + 4*time.Second)
+// isolate cuts a daemon off from the others and the store while routes change.
+func (r *stateLossRun) isolate(daemon int, duration time.Duration) {
+	r.isolatedUntil[daemon] = r.Clock.Now().Add(duration + 4*time.Second)
 	r.Cut = func(from, to int) bool { return (from == daemon) != (to == daemon) }
 	r.Store.StateFor = func(caller int) StoreState {
 		if caller == daemon {
@@ -101,16 +101,16 @@
 		}
 		return StoreWell
 	}
-	r.Clock.After(span/4, r.change)
-	r.Clock.After(span/2, r.change)
-	r.Clock.After(span, func() { r.Cut, r.Store.StateFor = nil, nil })
+	r.Clock.After(duration/4, r.changeRoute)
+	r.Clock.After(duration/2, r.changeRoute)
+	r.Clock.After(duration, func() { r.Cut, r.Store.StateFor = nil, nil })
 }
 
-// stray sends packets with tokens that are invalid at their address: bound to another address, for
+// sendStrays sends packets with tokens that are invalid at their address: bound to another address, for
 // a target of each service; an unbound one; zero; and a random one.
-func (r *memoryRun) stray() {
+func (r *stateLossRun) sendStrays() {
 	caller := netip.MustParseAddrPort("100.127.0.1:9")
-	for _, targets := range r.present {
+	for _, targets := range r.activeTargets {
 		identifier := targets[r.random.IntN(len(targets))].Identifier
 		r.Stray(caller, rosterRoute, token.WordAt(ledgerRoute, identifier))
 		r.Stray(caller, ledgerRoute, token.WordAt(kioskRoute, identifier))
@@ -120,29 +120,29 @@
 	r.Stray(caller, rosterRoute, r.random.Uint32())
 }
 
-func (r *memoryRun) play() {
+func (r *stateLossRun) simulate() {
 	const seconds, perSecond = 25, 8
 	for step := range seconds * perSecond {
-		r.begin()
+		r.beginFlow()
 		switch step % (2 * perSecond) {
 		case 0:
-			r.change()
+			r.changeRoute()
 		case perSecond / 2, perSecond + 3:
-			r.loseMemory()
+			r.loseState()
 		case perSecond:
-			r.stray()
+			r.sendStrays()
 		case perSecond + 1:
-			r.replace()
+			r.replaceTarget()
 		}
 		r.Clock.Advance(time.Second / perSecond)
 	}
 	r.Clock.Advance(8 * time.Second)
 }
 
-// replace drains a target, or crashes it and lets the other service reuse its address.
-func (r *memoryRun) replace() {
+// replaceTarget drains a target, or crashes it and lets the other service reuse its address.
+func (r *stateLossRun) replaceTarget() {
 	service := r.service()
-	target := r.take(service)
+	target := r.takeTarget(service)
 	if target == nil {
 		return
 	}
@@ -155,43 +155,43 @@
 	r.Clock.After(5700*time.Millisecond, func() { r.add(r.otherService(service), target.Address) })
 }
 
-// TestNoFlowNeedsADaemonsMemory checks that daemons that were restarted or isolated still forward
+// TestFlowsSurviveLossOfDaemonState checks that daemons that were restarted or isolated still forward
 // the flows of routes that changed, reset only the flows of removed routes, and forward no invalid
 // token.
-func TestNoFlowNeedsADaemonsMemory(t *testing.T) {
+func TestFlowsSurviveLossOfDaemonState(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, seed uint64) {
-		run := startMemoryRun(seed)
-		run.play()
+		run := startStateLossRun(seed)
+		run.simulate()
 		assert.Equal(t, len(run.Violations), 0, "seed %d: %v", seed, run.Violations)
 		assert.Assert(t, run.Opened > run.Begun/3, "seed %d: only %d of %d flows opened", seed, run.Opened, run.Begun)
 	})
 }
 
-// TestAFlowUnderARouteThatCameBackIsNotReset uses seeds on which an isolated daemon opens a flow
+// TestFlowOfReaddedRouteIsNotReset uses seeds on which an isolated daemon opens a flow
 // without knowing that the route was removed and added again, and then learns only of the removal.
-func TestAFlowUnderARouteThatCameBackIsNotReset(t *testing.T) {
+func TestFlowOfReaddedRouteIsNotReset(t *testing.T) {
 	t.Parallel()
 	for _, seed := range []uint64{146, 259} {
-		run := startMemoryRun(seed)
-		run.play()
+		run := startStateLossRun(seed)
+		run.simulate()
 		assert.Equal(t, len(run.Violations), 0, "seed %d: %v", seed, run.Violations)
 	}
 }
 
-// openKiosk opens flows on a route, removes the route and restarts all daemons.
-func openKiosk(t *testing.T, spoil func(*memoryRun)) *memoryRun {
+// removeKioskRoute opens flows on a route, removes the route and restarts all daemons.
+func removeKioskRoute(t *testing.T, corrupt func(*stateLossRun)) *stateLossRun {
 	t.Helper()
-	run := startMemoryRun(1)
+	run := startStateLossRun(1)
 	for number := range 40 {
 		caller := netip.AddrPortFrom(netip.MustParseAddr("100.65.0.1"), uint16(1000+number))
 		run.Begin(caller, kioskRoute, time.Minute)
 	}
 	run.Clock.Advance(time.Second)
 	assert.Equal(t, run.Opened, 40)
-	spoil(run)
-	run.leads[kioskRoute] = ""
-	run.lead()
+	corrupt(run)
+	run.services[kioskRoute] = ""
+	run.writeRoutes()
 	for index := range flowDaemons {
 		run.restart(index, 300*time.Millisecond)
 	}
@@ -199,27 +199,27 @@
 	return run
 }
 
-// TestDaemonsWithoutMemoryResetTheFlowsOfADroppedRoute checks that all flows are reset once the
+// TestRestartedDaemonsResetFlowsOfRemovedRoute checks that all flows are reset once the
 // store has confirmed that the route is removed, and none if the mechanism is disabled.
-func TestDaemonsWithoutMemoryResetTheFlowsOfADroppedRoute(t *testing.T) {
+func TestRestartedDaemonsResetFlowsOfRemovedRoute(t *testing.T) {
 	t.Parallel()
-	assert.Equal(t, openKiosk(t, func(*memoryRun) {}).Resets, 40)
-	off := func(run *memoryRun) {
+	assert.Equal(t, removeKioskRoute(t, func(*stateLossRun) {}).Resets, 40)
+	off := func(run *stateLossRun) {
 		run.Spoil = func(_ *token.Packet, decision *token.Decision) {
 			if decision.Reason == token.ReasonUnconfirmedRoute {
 				decision.Reason = token.ReasonNoRoute
 			}
 		}
 	}
-	assert.Equal(t, openKiosk(t, off).Resets, 0)
+	assert.Equal(t, removeKioskRoute(t, off).Resets, 0)
 }
 
-// TestTheChecksFindDaemonsThatNeedMemory corrupts some decisions and expects the named check to
+// TestChecksDetectDependenceOnDaemonState corrupts some decisions and expects the named check to
 // detect it within 20 schedules.
-func TestTheChecksFindDaemonsThatNeedMemory(t *testing.T) {
+func TestChecksDetectDependenceOnDaemonState(t *testing.T) {
 	t.Parallel()
 	var last token.Decision // the latest decision to forward a packet
-	for check, spoil := range map[string]func(packet *token.Packet, decision *token.Decision){
+	for check, corrupt := range map[string]func(packet *token.Packet, decision *token.Decision){
 		"MEMORY": func(packet *token.Packet, decision *token.Decision) { // drops flows of one service
 			if !packet.IsOpening && decision.Target != nil && decision.Target.Service != "roster" {
 				*decision = token.Decision{Reason: token.ReasonUnknownToken}
@@ -241,9 +241,9 @@
 	} {
 		found := false
 		for seed := uint64(0); seed < 20 && !found; seed++ {
-			run := startMemoryRun(seed)
-			run.Spoil = spoil
-			run.play()
+			run := startStateLossRun(seed)
+			run.Spoil = corrupt
+			run.simulate()
 			found = hasViolation(run.flowRun, check)
 		}
 		assert.Assert(t, found, check)
--- a/internal/simulation/store_restore_test.go
+++ b/internal/simulation/store_restore_test.go
@@ -273,7 +273,7 @@
 				run.restoreStoreDuringFlows(away, time.Second+time.Duration(run.random.Int64N(int64(6*time.Second))))
 			})
 		}
-		run.play()
+		run.simulate()
 		assert.Equal(t, len(run.Violations), 0, "seed %d: %v", seed, run.Violations)
 		assert.Assert(t, run.Opened > run.Begun/2, "seed %d: only %d of %d flows opened", seed, run.Opened, run.Begun)
 	})
--- a/internal/simulation/restarts_test.go
+++ b/internal/simulation/target_restarts_test.go
@@ -9,11 +9,11 @@
 	"github.com/passtray/passtray/internal/steering/token"
 )
 
-// restartSome crashes a target, which restarts with the same identifier, at once or after it was
+// restartTarget crashes a target, which restarts with the same identifier, at once or after it was
 // found dead or its entry expired, at the same or another address.
-func (r *flowRun) restartSome() {
+func (r *flowRun) restartTarget() {
 	service := r.service()
-	target := r.take(service)
+	target := r.takeTarget(service)
 	if target == nil {
 		return
 	}
@@ -22,65 +22,65 @@
 		address = r.freshAddress()
 	}
 	after := 200*time.Millisecond + time.Duration(r.random.Int64N(int64(6*time.Second)))
-	r.RestartTarget(target, after, address, func(later *FlowTarget) { r.present[service] = append(r.present[service], later) })
+	r.RestartTarget(target, after, address, func(later *FlowTarget) { r.activeTargets[service] = append(r.activeTargets[service], later) })
 }
 
-// playRestarts runs flows with idle times while targets restart, mixed with other faults.
-func (r *flowRun) playRestarts(seconds int) {
+// simulateRestarts runs flows with idle times while targets restart, mixed with other faults.
+func (r *flowRun) simulateRestarts(seconds int) {
 	for second := range seconds {
-		r.restartSome()
+		r.restartTarget()
 		switch {
 		case second%4 == 3:
-			r.someEvent()
+			r.injectEvent()
 		case second%4 == 1:
-			r.disturbLives()
+			r.injectLivenessFault()
 		}
-		for range flowsPerSec {
-			r.begin().Pause = time.Second
-			r.Clock.Advance(time.Second / flowsPerSec)
+		for range flowsPerSecond {
+			r.beginFlow().Pause = time.Second
+			r.Clock.Advance(time.Second / flowsPerSecond)
 		}
 	}
 	r.Clock.Advance(10 * time.Second)
 }
 
-// TestTargetsThatRestartUnderTheirIdentifierKeepTheRules combines target restarts with drains,
+// TestFlowInvariantsHoldDuringTargetRestarts combines target restarts with drains,
 // reused addresses, packet loss, paused and killed daemons, and store outages.
-func TestTargetsThatRestartUnderTheirIdentifierKeepTheRules(t *testing.T) {
+func TestFlowInvariantsHoldDuringTargetRestarts(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, seed uint64) {
 		run := startFlowRun(seed)
-		run.playRestarts(20)
+		run.simulateRestarts(20)
 		assert.Equal(t, len(run.Violations), 0, "seed %d: %v", seed, run.Violations)
 		assert.Assert(t, run.Opened > run.Begun/2, "seed %d: only %d of %d flows opened", seed, run.Opened, run.Begun)
 	})
 }
 
-// TestARestartedTargetIsUsedAtOnce checks that a verdict on an earlier incarnation neither keeps
+// TestRestartedTargetIsUsedImmediately checks that a verdict on an earlier incarnation neither keeps
 // flows from the later one nor resets its flows.
-func TestARestartedTargetIsUsedAtOnce(t *testing.T) {
+func TestRestartedTargetIsUsedImmediately(t *testing.T) {
 	t.Parallel()
-	opened := func(runsAlike bool) (opened int, violations []string) {
+	opened := func(omitIncarnations bool) (opened int, violations []string) {
 		for seed := range uint64(10) {
 			run := startFlowRun(seed)
-			run.RunsAlike = runsAlike
-			run.playFor(5)
-			crashed := run.take("roster")
+			run.RunsAlike = omitIncarnations
+			run.simulateFor(5)
+			crashed := run.takeTarget("roster")
 			run.RestartTarget(crashed, 1500*time.Millisecond, crashed.Address, func(later *FlowTarget) { crashed = later })
-			run.playFor(3)
+			run.simulateFor(3)
 			opened += len(crashed.flows)
 			violations = append(violations, run.Violations...)
 		}
 		return opened, violations
 	}
-	told, violations := opened(false)
+	distinguished, violations := opened(false)
 	assert.Equal(t, len(violations), 0, "%v", violations)
-	alike, _ := opened(true)
-	assert.Assert(t, told > alike, "%d flows opened at later incarnations that entries distinguish, %d at others", told, alike)
+	undistinguished, _ := opened(true)
+	assert.Assert(t, distinguished > undistinguished, "%d flows opened at later incarnations that entries distinguish, %d at others", distinguished, undistinguished)
 }
 
-// TestTheChecksFindAVerdictThatOutlivesItsRun applies the verdict on an earlier incarnation to the
+// TestCheckDetectsVerdictOnEarlierIncarnation applies the verdict on an earlier incarnation to the
 // later one.
-func TestTheChecksFindAVerdictThatOutlivesItsRun(t *testing.T) {
+func TestCheckDetectsVerdictOnEarlierIncarnation(t *testing.T) {
 	t.Parallel()
 	run := startFlowRun(1)
 	restarted := map[uint64]bool{}
@@ -89,11 +89,11 @@
 			decision.Action, decision.Reason = token.Refuse, token.ReasonDeadTarget
 		}
 	}
-	run.playFor(2)
-	crashed := run.take("roster")
+	run.simulateFor(2)
+	crashed := run.takeTarget("roster")
 	run.RestartTarget(crashed, time.Second, crashed.Address, func(later *FlowTarget) {
 		run.Clock.After(3*time.Second, func() { restarted[later.Identifier] = true })
 	})
-	run.playFor(8)
+	run.simulateFor(8)
 	assert.Assert(t, hasViolation(run, "FLOW"), "%v", run.Violations)
 }
