--- a/internal/simulation/balance.go
+++ b/internal/simulation/balance.go
@@ -10,14 +10,13 @@
 	"github.com/passtray/passtray/internal/statistics"
 )
 
-// BalancePolicy is a way to choose a target, whole or with a part left out.
+// BalancePolicy is a way to choose a target.
 type BalancePolicy string
 
-// The policies.
 const (
-	// PolicyWhole is what daemons do.
+	// PolicyWhole is the policy of daemons.
 	PolicyWhole BalancePolicy = "passtray"
-	// PolicyNoReports chooses by own picks alone, PolicyNoPicks by reports alone.
+	// PolicyNoReports uses only the daemon's own picks, PolicyNoPicks only the targets' reports.
 	PolicyNoReports BalancePolicy = "without reports"
 	PolicyNoPicks   BalancePolicy = "without own picks"
 	// PolicyRandom, PolicyModulo and PolicyRendezvous are baselines.
@@ -26,27 +25,27 @@
 	PolicyRendezvous BalancePolicy = "rendezvous"
 )
 
-// BalancePolicies are all of them, in the order of a table.
+// BalancePolicies returns all policies in the order of result tables.
 func BalancePolicies() []BalancePolicy {
 	return []BalancePolicy{PolicyWhole, PolicyNoReports, PolicyNoPicks, PolicyRandom, PolicyModulo, PolicyRendezvous}
 }
 
-// BalanceConfig is a load and how well it is known.
+// BalanceConfig describes a load and the reports that daemons get of it.
 type BalanceConfig struct {
 	Policy  BalancePolicy
 	Daemons int
 	Targets int
-	// FeedsPerSecond open for FeedLife on average; RequestsPerSecond take
-	// RequestWork of a slot each.
+	// FeedsPerSecond long-lived flows open per second and last FeedLife on average.
+	// RequestsPerSecond short flows occupy a slot for RequestWork each.
 	FeedsPerSecond    float64
 	FeedLife          time.Duration
 	RequestsPerSecond float64
 	RequestWork       time.Duration
-	// ReportInterval is how often each open feed brings its target's report to
-	// some daemon; ReportLag how old it is by then.
+	// ReportInterval is how often each open feed delivers its target's report to a random daemon,
+	// ReportLag how old the report is on delivery.
 	ReportInterval time.Duration
 	ReportLag      time.Duration
-	// Liars is how many targets report an empty house.
+	// Liars is the number of targets that report to be idle.
 	Liars int
 	Span  time.Duration
 	Seed  uint64
@@ -97,7 +96,7 @@
 	result     BalanceResult
 }
 
-// Balance plays one policy in virtual time.
+// Balance runs one policy in virtual time.
 func Balance(config BalanceConfig) BalanceResult {
 	run := &balanceRun{config: config, clock: NewClock(), random: rand.New(rand.NewPCG(config.Seed, 5))}
 	run.result.Policy = config.Policy
@@ -136,7 +135,7 @@
 	return time.Duration(r.random.ExpFloat64() * float64(mean))
 }
 
-// choose lets the flow's owner pick.
+// choose picks a target for a flow at the daemon that owns it.
 func (r *balanceRun) choose() int {
 	hash := r.random.Uint64()
 	switch r.config.Policy {
@@ -156,7 +155,7 @@
 	return picked
 }
 
-// reportTo brings a target's report, as it is now, to a random daemon later.
+// reportTo delivers a target's current report to a random daemon after ReportLag.
 func (r *balanceRun) reportTo(index int) {
 	if r.config.Policy == PolicyNoReports {
 		return
@@ -196,7 +195,7 @@
 	}
 	target.busy++
 	r.reportTo(index)
-	// With all slots busy, work is shared, so it takes that much longer.
+	// When all slots are busy, requests share them and take longer.
 	work := r.exponential(r.config.RequestWork) * time.Duration(1+target.busy/(slotsPerTarget+1))
 	r.clock.After(work, func() {
 		r.reportTo(index)
--- a/internal/simulation/broken_test.go
+++ b/internal/simulation/broken_test.go
@@ -13,17 +13,17 @@
 	"github.com/passtray/passtray/internal/identity"
 )
 
-// voteForAll breaks the rule of one vote a term for a log no older than one's
-// own (dissertation, sections 3.4 and 3.6.1).
+// voteForAll breaks the rules that a replica votes once per term, and only for a candidate whose
+// log is at least as up to date as its own (Raft dissertation, sections 3.4 and 3.6.1).
 func voteForAll(message *control.PeerMessage) {
 	if reply := message.Consensus; reply != nil && (reply.Kind == consensus.VoteReply || reply.Kind == consensus.PreVoteReply) {
 		reply.Accepted = true
 	}
 }
 
-// acknowledgeUnseen breaks the rule that a follower acknowledges only what it
-// holds (section 3.5): half of all entries get lost between receipt and log, and
-// are acknowledged all the same.
+// acknowledgeUnseen breaks the rule that a follower acknowledges only entries in its log (section
+// 3.5): half of the append requests lose their entries after receipt and are acknowledged
+// nevertheless.
 func acknowledgeUnseen(fleet *Fleet) {
 	received := map[identity.Identity]uint64{}
 	fleet.Tamper = func(message *control.PeerMessage) {
@@ -40,7 +40,7 @@
 	}
 }
 
-// findsFault runs schedules until a check speaks, and says which.
+// findsFault runs schedules until a check fails and returns its finding.
 func findsFault(t *testing.T, arrange func(*Fleet)) string {
 	t.Helper()
 	for seed := range uint64(60) {
@@ -53,7 +53,7 @@
 
 func runBroken(seed uint64, arrange func(*Fleet)) (finding string) {
 	defer func() {
-		// The core's own assertions count as checks.
+		// Assertions of the core count as checks.
 		if recovered := recover(); recovered != nil {
 			finding = fmt.Sprint("panic: ", recovered)
 		}
@@ -73,8 +73,8 @@
 	return ""
 }
 
-// crashOften restarts random daemons, the leader among them, at short intervals
-// and splits the fleet between.
+// crashOften restarts random daemons, including the leader, at short intervals, alternating at
+// random with partitions.
 func crashOften(fleet *Fleet, span time.Duration) {
 	end := fleet.Clock.Now().Add(span)
 	var next func()
@@ -104,8 +104,8 @@
 func TestTheChecksFindEachBrokenRule(t *testing.T) {
 	t.Parallel()
 	for name, arrange := range map[string]func(*Fleet){
-		"votes for anybody":          func(fleet *Fleet) { fleet.Tamper = voteForAll },
-		"acknowledges what it lacks": acknowledgeUnseen,
+		"votes for every candidate":          func(fleet *Fleet) { fleet.Tamper = voteForAll },
+		"acknowledges entries that it lacks": acknowledgeUnseen,
 	} {
 		t.Run(name, func(t *testing.T) {
 			finding := findsFault(t, arrange)
@@ -122,10 +122,9 @@
 	}
 }
 
-// loseVotersMemory is the schedule that a forgetful voter needs for its harm: a
-// change is committed by the leader and one follower alone, that follower
-// restarts, then the leader dies and the third comes back. It returns how many
-// changes were accepted, and the violations.
+// loseVotersMemory runs the schedule in which a voter that lost its log is harmful: the leader and
+// one follower commit a change, that follower restarts, the leader dies, and the third replica,
+// which was cut off, returns. It returns the number of accepted changes and the violations.
 func loseVotersMemory(seed uint64, keepIdentity bool) (int, []string) {
 	fleet := newTestFleet(seed, 3)
 	fleet.KeepIdentity = keepIdentity
@@ -149,7 +148,7 @@
 	fleet.Clock.Advance(100 * time.Millisecond)
 	fleet.Crash(follower)
 	fleet.Start(follower)
-	// Heartbeats bring the forgetful follower back into the group.
+	// Heartbeats bring the restarted follower back into the group.
 	fleet.Clock.Advance(500 * time.Millisecond)
 	fleet.Cut = nil
 	fleet.Crash(leader)
@@ -170,5 +169,5 @@
 		assert.Equal(t, accepted, 1, "seed %d: with two of three voters gone, nothing more may be accepted", seed)
 		assert.Equal(t, len(violations), 0, "seed %d: %v", seed, violations)
 	}
-	assert.Assert(t, found > 0, "no schedule with the old identity broke anything, so this test shows nothing")
+	assert.Assert(t, found > 0, "no schedule with the old identity violated an invariant, so this test is ineffective")
 }
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -15,7 +15,7 @@
 	"github.com/passtray/passtray/internal/control"
 )
 
-// seeds is how many seeds a test runs: a few in short mode.
+// seeds returns the number of seeds to run, which is smaller in short mode.
 func seeds(wanted int) uint64 {
 	if testing.Short() {
 		return uint64(max(1, wanted/shortShare))
@@ -23,7 +23,7 @@
 	return uint64(wanted)
 }
 
-// shortShare is how much shorter short mode is.
+// shortShare is the factor by which short mode reduces the number of seeds.
 const shortShare = 10
 
 var testZones = []string{"salt-a", "salt-b", "newtown-c"}
@@ -108,8 +108,8 @@
 	}
 }
 
-// casInput and casOutput make the configuration a register with
-// compare-and-set, which porcupine checks for linearizability.
+// casInput and casOutput model the configuration as a compare-and-set register, which porcupine
+// checks for linearizability.
 type casInput struct{ expected uint64 }
 
 type casOutput struct {
@@ -137,7 +137,7 @@
 	},
 }
 
-// scheduleFaults makes one random fault every so often and ends each again.
+// scheduleFaults injects random faults at intervals and ends each of them again.
 func scheduleFaults(fleet *Fleet, span time.Duration) {
 	end := fleet.Clock.Now().Add(span)
 	var next func()
@@ -169,8 +169,7 @@
 	next()
 }
 
-// runHistory lets clients make compare-and-set calls under faults and returns
-// the history.
+// runHistory has clients make compare-and-set calls during faults and returns the history.
 func runHistory(fleet *Fleet, span time.Duration) []porcupine.Operation {
 	var history []porcupine.Operation
 	end := fleet.Clock.Now().Add(span)
@@ -225,10 +224,10 @@
 	return count
 }
 
-// schedules is how many seeds the fault schedules run through; CI asks for more.
+// schedules is the number of seeds of the fault schedules; CI uses more.
 var schedules = flag.Int("schedules", 48, "seeds of the fault schedules")
 
-// forEachSeed runs a test for many seeds on all processors.
+// forEachSeed runs a test for many seeds in parallel.
 func forEachSeed(t *testing.T, run func(t *testing.T, seed uint64)) {
 	workers := runtime.GOMAXPROCS(0)
 	for worker := range workers {
--- a/internal/simulation/overload.go
+++ b/internal/simulation/overload.go
@@ -8,50 +8,50 @@
 	"github.com/passtray/passtray/internal/overload"
 )
 
-// OverloadConfig is a service that callers ask for more or less than its targets can serve.
+// OverloadConfig describes a service and the load on it, relative to its capacity.
 type OverloadConfig struct {
 	Daemons int
 	Targets int
-	// Bounds says whether daemons bound the service's work.
+	// Bounds enables admission control in the daemons.
 	Bounds bool
-	// BelievedDaemons, if not 0, is how many daemons each believes there are.
+	// BelievedDaemons, if not 0, is the fleet size that each daemon assumes.
 	BelievedDaemons int
-	// SlowShare of the targets take four times as long, DeadShare of them are known to be dead.
+	// SlowShare of the targets take four times as long; DeadShare of them are known to be dead.
 	SlowShare, DeadShare float64
-	// Load is the work that callers ask for, by what the targets can do at their usual speed,
-	// while Burst lasts; before and after it is a fifth of that.
+	// Load is the offered load relative to the capacity of all targets at their usual speed during
+	// Burst; before and after, it is a fifth of that.
 	Load  float64
 	Burst time.Duration
 	Seed  uint64
 }
 
-// OverloadResult is what a run shows.
+// OverloadResult holds the counts of a run.
 type OverloadResult struct {
 	// Asked and Served count requests by rank.
 	Asked, Served [2]int
-	// Arrivals came to targets, TurnedAway of them were not run; Refused are new flows that
-	// daemons refused.
+	// Arrivals counts requests that reached targets, TurnedAway those of them that the target
+	// rejected, and Refused those that daemons refused.
 	Arrivals, TurnedAway, Refused int
-	// RefusedAfter are those refused later than a second after the burst.
+	// RefusedAfter counts those refused more than a second after the burst.
 	RefusedAfter int
 }
 
-// Share is the part of a rank's requests that was served.
+// Share returns the share of a rank's requests that were served.
 func (r *OverloadResult) Share(rank overload.Rank) float64 {
 	return float64(r.Served[rank]) / float64(max(1, r.Asked[rank]))
 }
 
-// What targets and callers do.
+// Behaviour of targets and callers.
 const (
-	overloadQueue     = 8 // requests that a target lets wait
+	overloadQueue     = 8 // queue length of a target
 	overloadPatience  = 100 * time.Millisecond
 	overloadWork      = 32 * time.Millisecond
 	overloadSlowness  = 4
-	overloadPreferred = 0.22 // of all requests
+	overloadPreferred = 0.22 // share of all requests
 	overloadTries     = 3
-	overloadPause     = 150 * time.Millisecond // before another try, on average
-	overloadWay       = 6 * time.Millisecond   // there and back
-	overloadUsers     = 8                      // with a flow kept open, by daemon, of 88 daemons
+	overloadPause     = 150 * time.Millisecond // mean delay before a retry
+	overloadWay       = 6 * time.Millisecond   // round-trip time
+	overloadUsers     = 8                      // idle flows kept per daemon in a fleet of 88
 	overloadObjective = 600 * time.Millisecond
 	overloadLead      = 2 * time.Second
 	overloadAnswer    = 1000 // bytes
@@ -59,11 +59,11 @@
 	overloadRoute     = 1
 )
 
-// overloadCall is one request of a caller.
+// overloadCall is a request of a caller.
 type overloadCall struct {
 	rank  overload.Rank
 	tries int
-	// target is where its flow is open, -1 if it needs a new one.
+	// target is the target of its open flow, -1 if it needs a new flow.
 	target int
 	daemon *overloadDaemon
 }
@@ -72,7 +72,7 @@
 	load       *overload.Controller
 	queue      *overload.Queue[*overloadCall]
 	candidates []balance.Candidate
-	// idle are the targets at which flows of ordinary callers are open and at rest.
+	// idle holds the targets of the open, idle flows of ordinary callers.
 	idle []int
 }
 
@@ -92,7 +92,7 @@
 	result  OverloadResult
 }
 
-// Overload plays a load in virtual time.
+// Overload runs a load in virtual time.
 func Overload(config OverloadConfig) OverloadResult {
 	run := &overloadRun{config: config, clock: NewClock(), random: rand.New(rand.NewPCG(config.Seed, 31))}
 	run.begun = run.clock.Now()
@@ -126,7 +126,7 @@
 		daemon.candidates = append(daemon.candidates, balance.Candidate{Signal: signal, Weight: slotsPerTarget, Slots: slotsPerTarget})
 	}
 	daemon.load.SetShare(slots, o.believed())
-	for range 100 { // it has seen answers before
+	for range 100 { // warm up the response statistics
 		daemon.load.NoteAnswer(now, overloadRoute, overloadAnswer)
 	}
 	return daemon
@@ -139,7 +139,7 @@
 	return o.config.Daemons
 }
 
-// burstEnds is when the burst does.
+// burstEnds returns the end of the burst.
 func (o *overloadRun) burstEnds() time.Time { return o.begun.Add(overloadLead + o.config.Burst) }
 
 func (o *overloadRun) load(now time.Time) float64 {
@@ -149,7 +149,7 @@
 	return o.config.Load
 }
 
-// arrive lets callers' requests come.
+// arrive generates requests as a Poisson process.
 func (o *overloadRun) arrive() {
 	now := o.clock.Now()
 	perSecond := o.load(now) * float64(len(o.targets)*slotsPerTarget) / overloadWork.Seconds()
@@ -164,7 +164,7 @@
 	})
 }
 
-// try sends a call's request, on an open flow if that may be and one is at rest.
+// try sends a request, on an idle flow if mayReuse and one is available.
 func (o *overloadRun) try(call *overloadCall, mayReuse bool) {
 	call.daemon = o.daemons[o.random.IntN(len(o.daemons))]
 	call.target = -1
@@ -175,7 +175,7 @@
 	o.decide(call, o.clock.Now())
 }
 
-// decide does what the data path does with a packet that came at a time.
+// decide applies the data path's admission decision to a packet that arrived at cameAt.
 func (o *overloadRun) decide(call *overloadCall, cameAt time.Time) {
 	now, daemon, isOpening := o.clock.Now(), call.daemon, call.target < 0
 	hold := overload.HoldFor(overloadObjective)
@@ -215,7 +215,7 @@
 	}
 }
 
-// send brings a request to its target.
+// send forwards a request to a target.
 func (o *overloadRun) send(call *overloadCall) {
 	now, daemon := o.clock.Now(), call.daemon
 	if call.target < 0 {
@@ -237,7 +237,7 @@
 	}
 }
 
-// giveUp turns away a request that waited for too long at its target.
+// giveUp rejects a request that has waited too long in its target's queue.
 func (o *overloadRun) giveUp(target *overloadTarget, call *overloadCall) {
 	for index, waiting := range target.waiting {
 		if waiting == call {
@@ -248,7 +248,7 @@
 	}
 }
 
-// work occupies one of a target's slots.
+// work processes a request in one of the target's slots.
 func (o *overloadRun) work(target *overloadTarget, call *overloadCall) {
 	target.busy++
 	o.clock.After(time.Duration((0.5+o.random.Float64())*float64(target.work)), func() {
@@ -262,7 +262,7 @@
 	})
 }
 
-// answer brings a target's answer to the caller, and past its daemon what that shows.
+// answer returns a response to the caller and updates the daemon's statistics.
 func (o *overloadRun) answer(call *overloadCall, isServed bool) {
 	now, daemon, signal := o.clock.Now(), call.daemon, call.daemon.candidates[call.target].Signal
 	daemon.load.End(call.rank)
--- a/internal/simulation/overload_test.go
+++ b/internal/simulation/overload_test.go
@@ -10,24 +10,24 @@
 	"github.com/passtray/passtray/internal/overload"
 )
 
-// overloadOf is a load before 120 targets for 4 s.
+// overloadOf returns a load on 120 targets with a burst of 4 s.
 func overloadOf(daemons int, load, slow float64) OverloadConfig {
 	return OverloadConfig{Daemons: daemons, Targets: 120, Bounds: true, Load: load, SlowShare: slow, Burst: 4 * time.Second, Seed: 1}
 }
 
-// playBoth plays a load with bounded work and without.
+// playBoth runs a load with and without admission control.
 func playBoth(t *testing.T, config OverloadConfig) (bounded, free OverloadResult) {
 	t.Helper()
 	bounded = Overload(config)
 	config.Bounds = false
 	free = Overload(config)
 	t.Log("bounded:", bounded.String())
-	t.Log("free:   ", free.String())
+	t.Log("unbounded:", free.String())
 	return bounded, free
 }
 
 func (r *OverloadResult) String() string {
-	return fmt.Sprintf("preferred %.3f ordinary %.3f served %d turned away %d of %d refused %d, %d after the burst",
+	return fmt.Sprintf("preferred %.3f ordinary %.3f served %d rejected %d of %d, refused %d, %d after the burst",
 		r.Share(overload.Preferred), r.Share(overload.Ordinary), r.total(), r.TurnedAway, r.Arrivals, r.Refused, r.RefusedAfter)
 }
 
@@ -35,8 +35,9 @@
 	return r.Served[overload.Preferred] + r.Served[overload.Ordinary]
 }
 
-// TestPastCapacityTheFirstRankIsServed: 1.2 times what targets can do, with three in ten of
-// them slow that is half as much again. Without bounds targets turn away more than they serve.
+// TestPastCapacityTheFirstRankIsServed offers 1.2 times the nominal capacity. As three in ten
+// targets are slow, that is half as much again as they can serve. Without admission control targets
+// reject more than they serve.
 func TestPastCapacityTheFirstRankIsServed(t *testing.T) {
 	t.Parallel()
 	for _, daemons := range []int{8, 88, 350} {
@@ -48,15 +49,15 @@
 			assert.Assert(t, free.Share(overload.Preferred) < 0.85)
 			assert.Assert(t, bounded.Share(overload.Preferred) > 0.96)
 			assert.Assert(t, bounded.TurnedAway*4 < free.TurnedAway)
-			assert.Assert(t, float64(bounded.total()) > 0.95*float64(free.total()), "targets are not left idle")
-			assert.Assert(t, bounded.Share(overload.Ordinary) > 0.5, "nor others starved")
-			assert.Assert(t, bounded.RefusedAfter*100 < bounded.Refused, "callers that return do not keep it up")
+			assert.Assert(t, float64(bounded.total()) > 0.95*float64(free.total()), "targets are left idle")
+			assert.Assert(t, bounded.Share(overload.Ordinary) > 0.5, "ordinary requests are starved")
+			assert.Assert(t, bounded.RefusedAfter*100 < bounded.Refused, "retries sustain the overload")
 		})
 	}
 }
 
-// TestWithinCapacityNothingIsRefused: neither at the usual load, nor when a third of the
-// targets is dead, nor at a load that all can just serve.
+// TestWithinCapacityNothingIsRefused covers the usual load, a load with a third of the targets
+// dead, and one near the capacity.
 func TestWithinCapacityNothingIsRefused(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
@@ -73,8 +74,8 @@
 	}
 }
 
-// TestNearCapacityBoundsCostLittle: nine tenths of what the targets can do, three in ten of
-// which are slow and turn away what others could have served.
+// TestNearCapacityBoundsCostLittle offers nine tenths of the capacity of targets of which three in
+// ten are slow and reject requests that others could have served.
 func TestNearCapacityBoundsCostLittle(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
@@ -84,7 +85,8 @@
 	assert.Assert(t, float64(bounded.total()) > 0.98*float64(free.total()))
 }
 
-// TestWrongMembershipDegradesAndNoMore: daemons that count half or twice as many.
+// TestWrongMembershipDegradesAndNoMore covers daemons that assume half or twice the actual fleet
+// size.
 func TestWrongMembershipDegradesAndNoMore(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
--- a/internal/simulation/recovery_test.go
+++ b/internal/simulation/recovery_test.go
@@ -27,8 +27,7 @@
 	return voters
 }
 
-// TestALostMajorityAcceptsNothingUntilItIsRecovered crashes two of three voters
-// at once, for good.
+// TestALostMajorityAcceptsNothingUntilItIsRecovered crashes two of three voters permanently.
 func TestALostMajorityAcceptsNothingUntilItIsRecovered(t *testing.T) {
 	t.Parallel()
 	for seed := range seeds(10) {
@@ -57,8 +56,8 @@
 	}
 }
 
-// TestEveryDaemonIsReplacedInTurn restarts each daemon, under a new identity,
-// with a change between any two.
+// TestEveryDaemonIsReplacedInTurn restarts each daemon with a new identity and submits a change
+// after each restart.
 func TestEveryDaemonIsReplacedInTurn(t *testing.T) {
 	t.Parallel()
 	for seed := range seeds(10) {
@@ -83,7 +82,7 @@
 	}
 }
 
-// TestACutOffDaemonLosesItsLeaseAndGetsItBack cuts one daemon from all others.
+// TestACutOffDaemonLosesItsLeaseAndGetsItBack isolates one daemon from all others.
 func TestACutOffDaemonLosesItsLeaseAndGetsItBack(t *testing.T) {
 	t.Parallel()
 	fleet := newTestFleet(1, 7)
@@ -94,7 +93,7 @@
 	fleet.Clock.Advance(10 * time.Second)
 	assert.Assert(t, fleet.Daemons[away].Core.HoldsLease(fleet.Clock.Now()))
 	fleet.Clock.Advance(10 * time.Second)
-	assert.Assert(t, !fleet.Daemons[away].Core.HoldsLease(fleet.Clock.Now()), "without a renewal for 15 s the lease is over")
+	assert.Assert(t, !fleet.Daemons[away].Core.HoldsLease(fleet.Clock.Now()), "the lease expires without a renewal for 15 s")
 	assert.Equal(t, fleet.submitAndWait(1, "while away", 1).Status, control.ProposalDecided)
 	assert.Equal(t, fleet.Daemons[away].Core.State().Revision, uint64(0))
 	fleet.Cut = nil
@@ -104,8 +103,8 @@
 	fleet.noViolations(t)
 }
 
-// TestAPausedDaemonKnowsOnWakingThatItsLeaseIsOver asks before any message has
-// reached it.
+// TestAPausedDaemonKnowsOnWakingThatItsLeaseIsOver checks the lease before the daemon has processed
+// any message.
 func TestAPausedDaemonKnowsOnWakingThatItsLeaseIsOver(t *testing.T) {
 	t.Parallel()
 	fleet := newTestFleet(2, 5)
@@ -119,7 +118,7 @@
 	fleet.noViolations(t)
 }
 
-// TestTheGroupIsHealedAfterAnHourApart splits seven daemons for an hour.
+// TestTheGroupIsHealedAfterAnHourApart partitions seven daemons for an hour.
 func TestTheGroupIsHealedAfterAnHourApart(t *testing.T) {
 	t.Parallel()
 	fleet := newTestFleet(3, 7)
@@ -133,7 +132,7 @@
 			decided++
 		}
 	}
-	assert.Assert(t, decided == 3 || decided == 4, "%d daemons could have a change accepted: one side must, the other must not", decided)
+	assert.Assert(t, decided == 3 || decided == 4, "%d daemons had a change accepted, want those of exactly one side", decided)
 	fleet.Cut = nil
 	fleet.Clock.Advance(40 * time.Second)
 	lowest, highest := fleet.RevisionsInForce()
@@ -146,8 +145,8 @@
 	fleet.noViolations(t)
 }
 
-// TestAReplacementWithAClockBehindIsTakenIn restarts a daemon whose clock was an
-// hour ahead, at once and after the group has noticed its death.
+// TestAReplacementWithAClockBehindIsTakenIn restarts a daemon whose previous clock was an hour
+// fast, before and after the group detects its failure.
 func TestAReplacementWithAClockBehindIsTakenIn(t *testing.T) {
 	t.Parallel()
 	for _, wait := range []time.Duration{100 * time.Millisecond, 30 * time.Second} {
--- a/internal/simulation/speedload.go
+++ b/internal/simulation/speedload.go
@@ -11,60 +11,61 @@
 	"github.com/passtray/passtray/internal/targetspeed"
 )
 
-// SpeedLoadConfig is a zone's load on targets that work at different speeds: long flows
-// with requests now and then, and requests with a flow each.
+// SpeedLoadConfig describes a zone's load on targets of different speeds: long-lived flows with
+// occasional requests, and requests on a flow of their own.
 type SpeedLoadConfig struct {
 	Daemons, Targets int
-	// Speeds are those of the targets, by turns; Fleet is how many daemons there are in all
-	// zones, among which what targets can take is shared.
+	// Speeds are assigned to the targets in turn. Fleet is the number of daemons in all zones,
+	// which share the capacity of the targets.
 	Speeds []float64
 	Fleet  int
-	// Feeds are open at a time, for FeedLife on average, with requests that follow
-	// FeedPause after the last answer and take FeedWork of a slot.
+	// Feeds is the number of long-lived flows, which last FeedLife on average. Their requests
+	// follow FeedPause after the last response and take FeedWork of a slot.
 	Feeds               int
 	FeedLife, FeedPause time.Duration
 	FeedWork            time.Duration
-	// FreshPerSecond requests open a flow of their own and take FreshWork.
+	// FreshPerSecond requests per second open a flow of their own and take FreshWork.
 	FreshPerSecond float64
 	FreshWork      time.Duration
-	// LateShare of the answers are acknowledged only after another pause.
+	// LateShare of the responses are acknowledged only after another pause.
 	LateShare float64
-	// Queue is how many requests wait at a target before it turns others away.
+	// Queue is the number of requests that a target queues before it rejects others.
 	Queue int
-	// Learns says whether speeds are learned and told, and Liars how many daemons tell that
-	// every other target is four times as fast and the others four times as slow.
+	// Learns enables the learning and gossip of speeds. Liars is the number of daemons that report
+	// the targets to be four times as fast and four times as slow in turn.
 	Learns bool
 	Liars  int
-	// SlowFrom and SlowUntil bound the time in which SlowTargets, the first ones, work at a
-	// quarter of their speed; with IsCold they start anew then and say so.
+	// SlowTargets, the first ones, work at a quarter of their speed from SlowFrom until SlowUntil.
+	// With IsCold they have just started then and are known to be in slow start.
 	SlowTargets         int
 	SlowFrom, SlowUntil time.Duration
 	IsCold              bool
-	// What is measured begins at From.
+	// Measurements begin at From.
 	From, Span time.Duration
 	Seed       uint64
 }
 
-// SpeedLoadResult is what a run shows, from SpeedLoadConfig.From on.
+// SpeedLoadResult holds the measurements from SpeedLoadConfig.From on.
 type SpeedLoadResult struct {
 	Arrivals, TurnedAway int
-	// BusiestToMean compares targets by the share of the time in which their slots work.
+	// BusiestToMean is the ratio of the maximum to the mean work of a target.
 	BusiestToMean float64
 	P50, P99      time.Duration
-	// Estimates are the speeds that the first daemon knows in the end, by target.
+	// Estimates are the speeds by target that the first daemon has in the end.
 	Estimates []float64
-	// MessageBytes is how many bytes a second a daemon told on average.
+	// MessageBytes is the mean number of bytes that a daemon sends per second.
 	MessageBytes float64
 }
 
-// speedPath is from a caller's data by way of a target to the caller's acknowledgement.
+// speedPath is the time from a caller's data via the target's response to the caller's
+// acknowledgement.
 const speedPath = 7 * time.Millisecond
 
 type speedTarget struct {
 	speed float64
 	busy  int
 	queue []func()
-	// worked is how long slots worked.
+	// worked is the total time for which slots were busy.
 	worked time.Duration
 }
 
@@ -73,12 +74,12 @@
 	speeds     *targetspeed.Exchange
 	candidates []balance.Candidate
 	open       map[uint32]int
-	// usual are the usual latencies of the two kinds of requests.
+	// usual holds the usual latency of each kind of request.
 	usual [2]usualLatency
 	lies  bool
 }
 
-// usualLatency follows a median as the data path does.
+// usualLatency estimates a median as the data path does.
 type usualLatency struct {
 	count  int
 	median float64
@@ -110,7 +111,7 @@
 	bytes     int
 }
 
-// SpeedLoad plays a zone's load in virtual time.
+// SpeedLoad runs a zone's load in virtual time.
 func SpeedLoad(config SpeedLoadConfig) SpeedLoadResult {
 	run := &speedLoad{config: config, clock: NewClock(), random: rand.New(rand.NewPCG(config.Seed, 34))}
 	run.begun = run.clock.Now()
@@ -145,7 +146,7 @@
 	return daemon
 }
 
-// gossip lets a daemon tell some others what it knows, and use what it heard.
+// gossip sends a daemon's state to random peers and applies what it received.
 func (s *speedLoad) gossip(daemon *speedDaemon) {
 	now := s.clock.Now()
 	daemon.loads.Tick(now, func() map[uint32]int { return daemon.open })
@@ -181,7 +182,7 @@
 	s.clock.After(zoneGossipInterval, func() { s.gossip(daemon) })
 }
 
-// slow changes the speed of some targets. Cold ones are new: nothing is known of them.
+// slow scales the speed of the first targets. With IsCold, daemons also see them in slow start.
 func (s *speedLoad) slow(times float64) {
 	for index := range s.config.SlowTargets {
 		s.targets[index].speed *= times
@@ -194,8 +195,8 @@
 	}
 }
 
-// pick lets a daemon choose a target and calls with it; a flow for which all have enough to
-// do waits.
+// pick has a daemon choose a target and calls then. If all targets are at their limit, it retries
+// later.
 func (s *speedLoad) pick(daemon *speedDaemon, then func(index int)) {
 	now := s.clock.Now()
 	request := balance.Request{Now: now, Zone: zoneName, LeaseHeld: true, PrefersZone: true, KnowsOpen: true, Daemons: s.config.Fleet}
@@ -215,7 +216,7 @@
 	return time.Duration(s.random.ExpFloat64() * float64(mean))
 }
 
-// feed opens a long flow, which is followed by another.
+// feed opens a long-lived flow, which is replaced when it ends.
 func (s *speedLoad) feed() {
 	daemon := s.anyDaemon()
 	s.pick(daemon, func(index int) {
@@ -239,7 +240,7 @@
 	})
 }
 
-// fresh lets requests with a flow each arrive.
+// fresh generates requests that open a flow of their own.
 func (s *speedLoad) fresh() {
 	if s.config.FreshPerSecond <= 0 {
 		return
@@ -251,7 +252,7 @@
 	})
 }
 
-// request takes a request to a target and calls when it is over.
+// request sends a request to a target and calls over when it is complete.
 func (s *speedLoad) request(daemon *speedDaemon, index, kind int, mean time.Duration, over func(isServed bool)) {
 	begun, target, signal := s.clock.Now(), s.targets[index], daemon.candidates[index].Signal
 	isMeasured := begun.Sub(s.begun) >= s.config.From
@@ -275,7 +276,7 @@
 	})
 }
 
-// answered lets a daemon see that an answer began.
+// answered records the first byte of a response at a daemon.
 func (s *speedLoad) answered(daemon *speedDaemon, index, kind int, begun time.Time) {
 	now := s.clock.Now()
 	latency := now.Sub(begun)
@@ -293,7 +294,7 @@
 	}
 }
 
-// serve runs a request in one of the target's slots, now or when one is free.
+// serve processes a request in one of the target's slots, queued until one is free.
 func (s *speedLoad) serve(target *speedTarget, mean time.Duration, then func()) {
 	if target.busy >= slotsPerTarget {
 		target.queue = append(target.queue, func() { s.serve(target, mean, then) })
--- a/internal/simulation/speedload_test.go
+++ b/internal/simulation/speedload_test.go
@@ -9,11 +9,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// unequal are speeds of a service of which one target in four is old.
+// unequal are the speeds of a service of which one target in four is slower.
 var unequal = []float64{0.55, 1.2, 1.2, 1.2}
 
-// speedLoadAt is a zone of 30 targets whose slots are busy for 0.14 of the time at the usual
-// load and for 0.7 at five times that.
+// speedLoadAt returns the load of a zone of 30 targets whose slots are busy for 0.14 of the time at
+// the usual load, and for 0.7 at five times that.
 func speedLoadAt(daemons int, times float64) SpeedLoadConfig {
 	return SpeedLoadConfig{
 		Daemons: daemons, Targets: 30, Speeds: unequal, Fleet: 4 * daemons,
@@ -23,8 +23,8 @@
 	}
 }
 
-// meanSpeedLoad is the sum of counts and the mean of the rest over some seeds, learning
-// speeds or not.
+// meanSpeedLoad returns the sum of counts and the mean of other results over some seeds, with or
+// without learned speeds.
 func meanSpeedLoad(config SpeedLoadConfig, learns bool) SpeedLoadResult {
 	const seeds = 2
 	var mean SpeedLoadResult
@@ -44,14 +44,14 @@
 
 func logSpeedLoad(t *testing.T, without, with SpeedLoadResult) {
 	t.Helper()
-	t.Logf("turned away %d to %d of %d, busiest %.2f to %.2f, p50 %s to %s, p99 %s to %s, %.0f to %.0f B/s, estimates %.2f",
+	t.Logf("rejected %d to %d of %d, busiest %.2f to %.2f, p50 %s to %s, p99 %s to %s, %.0f to %.0f B/s, estimates %.2f",
 		without.TurnedAway, with.TurnedAway, with.Arrivals, without.BusiestToMean, with.BusiestToMean,
 		without.P50.Round(time.Millisecond), with.P50.Round(time.Millisecond),
 		without.P99.Round(time.Millisecond), with.P99.Round(time.Millisecond), without.MessageBytes, with.MessageBytes, with.Estimates)
 }
 
-// TestTargetsWorkAsTheirSpeeds in zones of fleets with 12, 88 and 350 daemons. Without learned
-// speeds the larger ones fail.
+// TestTargetsWorkAsTheirSpeeds covers zones of fleets of 12, 88 and 350 daemons. Without learned
+// speeds the larger ones exceed the bound.
 func TestTargetsWorkAsTheirSpeeds(t *testing.T) {
 	t.Parallel()
 	for _, daemons := range []int{3, 22, 88} {
@@ -84,7 +84,7 @@
 	})
 }
 
-// TestEqualTargetsAreNoWorseOff than without learned speeds: what estimates differ by is noise.
+// TestEqualTargetsAreNoWorseOff checks that noise in the estimates of equal targets does no harm.
 func TestEqualTargetsAreNoWorseOff(t *testing.T) {
 	t.Parallel()
 	for _, daemons := range []int{3, 22, 88} {
@@ -103,8 +103,8 @@
 	}
 }
 
-// estimateOfFirst is the speed of a zone's first target, one of equal ones that is slow for
-// twenty seconds or cold for three, as it is known after a span.
+// estimateOfFirst returns the speed estimate of the first of equal targets after span. The target
+// is slow for 20 s, or in slow start for 3 s.
 func estimateOfFirst(isCold bool, span time.Duration) float64 {
 	config := speedLoadAt(22, 3)
 	config.Speeds, config.IsCold, config.Span = []float64{1}, isCold, span
@@ -120,22 +120,22 @@
 	if testing.Short() {
 		t.Skip("takes minutes under the race detector")
 	}
-	t.Run("one that turned slow is known to be", func(t *testing.T) {
+	t.Run("slow target", func(t *testing.T) {
 		speed := estimateOfFirst(false, 30*time.Second)
 		assert.Assert(t, speed < 0.6, "%.2f", speed)
 	})
-	t.Run("one that recovered is as the others again", func(t *testing.T) {
+	t.Run("recovered target", func(t *testing.T) {
 		speed := estimateOfFirst(false, 60*time.Second)
 		assert.Assert(t, speed > 0.85, "%.2f", speed)
 	})
-	t.Run("one that was cold is not remembered as slow", func(t *testing.T) {
+	t.Run("target after slow start", func(t *testing.T) {
 		speed := estimateOfFirst(true, 14*time.Second)
 		assert.Assert(t, speed > 0.85, "%.2f", speed)
 	})
 }
 
-// TestADaemonThatLiesMovesLittle of what honest ones know. It chooses badly itself, and sees a
-// part of the flows.
+// TestADaemonThatLiesMovesLittle checks that one daemon that gossips wrong speeds hardly changes
+// the estimates of the others. It balances its own share of the flows badly.
 func TestADaemonThatLiesMovesLittle(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
@@ -158,7 +158,7 @@
 	}
 }
 
-// meanEvery4 is the mean of every fourth value from an index on.
+// meanEvery4 returns the mean of every fourth value, starting at an index.
 func meanEvery4(values []float64, from int) float64 {
 	var sum float64
 	count := 0
--- a/internal/simulation/zoneload.go
+++ b/internal/simulation/zoneload.go
@@ -9,36 +9,36 @@
 	"github.com/passtray/passtray/internal/loadshare"
 )
 
-// ZoneLoadConfig is a zone's load: long flows that carry requests now and then, opened
-// through many daemons.
+// ZoneLoadConfig describes a zone's load: long-lived flows with occasional requests, opened through
+// many daemons.
 type ZoneLoadConfig struct {
 	Daemons int
 	Targets int
-	// FlowsPerTarget is how many flows are open on average, FlowLife how long each is,
-	// and RequestsPerSecond how many requests each carries.
+	// FlowsPerTarget is the mean number of open flows per target, FlowLife their mean duration and
+	// RequestsPerSecond the request rate of each.
 	FlowsPerTarget    float64
 	FlowLife          time.Duration
 	RequestsPerSecond float64
 	// Work is how long a request occupies one of a target's slots.
 	Work time.Duration
-	// Shares says whether the daemons tell each other of their open flows.
+	// Shares enables the gossip of open flows between daemons.
 	Shares bool
-	// LoseShare of the targets go halfway, and BurstShare more flows come then.
+	// LoseShare of the targets fail halfway through the run, when BurstShare more flows open.
 	LoseShare  float64
 	BurstShare float64
 	Span       time.Duration
 	Seed       uint64
 }
 
-// ZoneLoadResult is what a run shows.
+// ZoneLoadResult holds the measurements of a run.
 type ZoneLoadResult struct {
-	// FlowsMaxToMean and RequestsMaxToMean compare the busiest target with the mean of
-	// those that are there to the end, over the second half.
+	// FlowsMaxToMean and RequestsMaxToMean compare the busiest target with the mean of the targets
+	// that survive, over the second half.
 	FlowsMaxToMean    float64
 	RequestsMaxToMean float64
-	// WaitedP99 is how long the slowest hundredth of requests waited for a slot.
+	// WaitedP99 is the 99th percentile of the time that requests waited for a slot.
 	WaitedP99 time.Duration
-	// MessageBytes is how many bytes a second a daemon told on average.
+	// MessageBytes is the mean number of bytes that a daemon sends per second.
 	MessageBytes float64
 }
 
@@ -74,7 +74,7 @@
 	bytes   int
 }
 
-// ZoneLoad plays a zone's load in virtual time.
+// ZoneLoad runs a zone's load in virtual time.
 func ZoneLoad(config ZoneLoadConfig) ZoneLoadResult {
 	run := &zoneLoad{config: config, clock: NewClock(), random: rand.New(rand.NewPCG(config.Seed, 21))}
 	run.begun = run.clock.Now()
@@ -102,7 +102,7 @@
 	return daemon
 }
 
-// gossip lets a daemon tell some others what it knows, and add up what it heard.
+// gossip sends a daemon's counts to random peers and adds up the received ones.
 func (z *zoneLoad) gossip(daemon *zoneDaemon) {
 	now := z.clock.Now()
 	daemon.exchange.Tick(now, func() map[uint32]int { return daemon.open })
@@ -122,10 +122,10 @@
 	z.clock.After(zoneGossipInterval, func() { z.gossip(daemon) })
 }
 
-// zoneToken is the token of a target.
+// zoneToken returns the token of a target.
 func zoneToken(index int) uint32 { return uint32(index) << 16 }
 
-// openMany opens flows within half a second, each followed by another when it ends.
+// openMany opens flows within half a second. Each is replaced when it ends.
 func (z *zoneLoad) openMany(after time.Duration, count int) {
 	for range count {
 		z.clock.After(after+time.Duration(z.random.Int64N(int64(500*time.Millisecond))), z.open)
@@ -154,10 +154,10 @@
 	z.openMany(0, 1)
 }
 
-// half is when what is measured begins.
+// half returns the time at which measurements begin.
 func (z *zoneLoad) half() time.Time { return z.begun.Add(z.config.Span / 2) }
 
-// change takes in that a flow was opened or closed.
+// change records that flows were opened or closed.
 func (t *zoneTarget) change(now, measuredFrom time.Time, by int) {
 	if since := t.changed; now.After(measuredFrom) {
 		if since.Before(measuredFrom) {
@@ -169,7 +169,7 @@
 	t.flows += by
 }
 
-// request serves a flow's next request, and those after it until the flow ends.
+// request serves the next request of a flow and schedules the following ones until the flow ends.
 func (z *zoneLoad) request(target *zoneTarget, flowEnds time.Time) {
 	pause := time.Duration(z.random.ExpFloat64() / z.config.RequestsPerSecond * float64(time.Second))
 	z.clock.After(pause, func() {
@@ -194,7 +194,7 @@
 	})
 }
 
-// disturb takes some targets away, whose flows open anew, and brings more flows.
+// disturb removes some targets, reopens their flows and opens additional ones.
 func (z *zoneLoad) disturb(more int) {
 	for index := range int(z.config.LoseShare * float64(len(z.targets))) {
 		target := z.targets[index]
--- a/internal/simulation/zoneload_test.go
+++ b/internal/simulation/zoneload_test.go
@@ -8,11 +8,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// zoneSizes are a zone's daemons and targets where the fleet has 8, 90, 350 and 1,400
+// zoneSizes are the numbers of daemons and targets in a zone of fleets of 8, 90, 350 and 1,400
 // daemons in 3, 3, 5 and 23 zones.
 var zoneSizes = []struct{ fleet, daemons, targets int }{{8, 3, 5}, {90, 30, 40}, {350, 60, 96}, {1400, 61, 650}}
 
-// zoneLoadAt is a load that keeps a share of the slots busy.
+// zoneLoadAt returns a load that keeps a share of the slots busy.
 func zoneLoadAt(daemons, targets int, busy float64) ZoneLoadConfig {
 	const flowsPerTarget, work = 3, 15 * time.Millisecond
 	return ZoneLoadConfig{
@@ -22,8 +22,8 @@
 	}
 }
 
-// TestToldFlowsSpreadLoad at each size and load, also with a burst while a third of the
-// targets goes: the busiest target has less above the mean, and nobody waits longer.
+// TestToldFlowsSpreadLoad checks that gossip of open flows reduces the imbalance at each size and
+// load, also during a burst while a third of the targets fails, without longer waits.
 func TestToldFlowsSpreadLoad(t *testing.T) {
 	t.Parallel()
 	for _, size := range zoneSizes {
@@ -48,8 +48,8 @@
 					t.Logf("flows %.2f to %.2f, requests %.2f to %.2f, p99 of waits %s to %s, %.0f B/s", without.FlowsMaxToMean, with.FlowsMaxToMean,
 						without.RequestsMaxToMean, with.RequestsMaxToMean, without.WaitedP99, with.WaitedP99, with.MessageBytes)
 					assert.Assert(t, with.MessageBytes < 2100)
-					// Where daemons have more flows than they can tell, each goes by its own,
-					// which is neither better nor worse; there seeds differ by more.
+					// Where daemons have more flows than fit into their messages, each uses its own
+					// counts, which changes little; results differ more between seeds there.
 					flowsMargin, waitsMargin := 1.05, 1.0
 					if !isTold {
 						flowsMargin, waitsMargin = 1.15, 1.3
@@ -62,7 +62,7 @@
 	}
 }
 
-// meanZoneLoad is the mean over some seeds.
+// meanZoneLoad returns the mean over some seeds.
 func meanZoneLoad(config ZoneLoadConfig) ZoneLoadResult {
 	const seeds = 3
 	var mean ZoneLoadResult
