--- a/internal/simulation/balance.go
+++ b/internal/simulation/balance.go
@@ -69,7 +69,7 @@
 type balanceTarget struct {
 	connections int
 	busy        int
-	liar        bool
+	reportsIdle bool
 }
 
 func (t *balanceTarget) report() encapsulation.Report {
@@ -77,7 +77,7 @@
 		State: encapsulation.TargetAccepting, BusySlots: uint16(t.busy), Slots: slotsPerTarget,
 		Connections: uint32(t.connections), MaximumConnections: 2000,
 	}
-	if t.liar {
+	if t.reportsIdle {
 		report.BusySlots, report.Connections = 0, 0
 	}
 	return report
@@ -101,7 +101,7 @@
 	run := &balanceRun{config: config, clock: NewClock(), random: rand.New(rand.NewPCG(config.Seed, 5))}
 	run.result.Policy = config.Policy
 	for index := range config.Targets {
-		run.targets = append(run.targets, &balanceTarget{liar: index < config.Liars})
+		run.targets = append(run.targets, &balanceTarget{reportsIdle: index < config.Liars})
 		run.nodes = append(run.nodes, ownership.Node{Seed: ownership.SeedOf([]byte{byte(index)}), Weight: 1})
 	}
 	for range config.Daemons {
@@ -111,15 +111,15 @@
 		}
 		run.candidates = append(run.candidates, candidates)
 	}
-	run.arrive(config.FeedsPerSecond, run.openFeed)
-	run.arrive(config.RequestsPerSecond, run.request)
+	run.scheduleArrivals(config.FeedsPerSecond, run.openFeed)
+	run.scheduleArrivals(config.RequestsPerSecond, run.request)
 	run.clock.After(config.Span/2, run.sample)
 	run.clock.Advance(config.Span)
 	run.finish()
 	return run.result
 }
 
-func (r *balanceRun) arrive(perSecond float64, call func()) {
+func (r *balanceRun) scheduleArrivals(perSecond float64, call func()) {
 	if perSecond <= 0 {
 		return
 	}
@@ -135,8 +135,8 @@
 	return time.Duration(r.random.ExpFloat64() * float64(mean))
 }
 
-// choose picks a target for a flow at the daemon that owns it.
-func (r *balanceRun) choose() int {
+// pickTarget picks a target for a flow at the daemon that owns it.
+func (r *balanceRun) pickTarget() int {
 	hash := r.random.Uint64()
 	switch r.config.Policy {
 	case PolicyRandom:
@@ -155,8 +155,8 @@
 	return picked
 }
 
-// reportTo delivers a target's current report to a random daemon after ReportLag.
-func (r *balanceRun) reportTo(index int) {
+// deliverReport delivers a target's current report to a random daemon after ReportLag.
+func (r *balanceRun) deliverReport(index int) {
 	if r.config.Policy == PolicyNoReports {
 		return
 	}
@@ -168,13 +168,13 @@
 }
 
 func (r *balanceRun) openFeed() {
-	index := r.choose()
+	index := r.pickTarget()
 	r.targets[index].connections++
 	isOpen := true
 	var report func()
 	report = func() {
 		if isOpen {
-			r.reportTo(index)
+			r.deliverReport(index)
 			r.clock.After(r.config.ReportInterval, report)
 		}
 	}
@@ -186,7 +186,7 @@
 }
 
 func (r *balanceRun) request() {
-	index := r.choose()
+	index := r.pickTarget()
 	target := r.targets[index]
 	target.connections++
 	r.requests++
@@ -194,11 +194,11 @@
 		r.waited++
 	}
 	target.busy++
-	r.reportTo(index)
+	r.deliverReport(index)
 	// When all slots are busy, requests share them and take longer.
 	work := r.exponential(r.config.RequestWork) * time.Duration(1+target.busy/(slotsPerTarget+1))
 	r.clock.After(work, func() {
-		r.reportTo(index)
+		r.deliverReport(index)
 		target.busy--
 		target.connections--
 	})
@@ -211,11 +211,11 @@
 		connections = append(connections, float64(target.connections))
 		busy = append(busy, float64(target.busy))
 	}
-	ofConnections, _ := statistics.ImbalanceOf(connections)
-	ofBusy, _ := statistics.ImbalanceOf(busy)
-	r.result.ConnectionsMaxToMean += ofConnections.MaximumToMean
-	r.result.ConnectionsVariation += ofConnections.Variation
-	r.result.BusyMaxToMean += ofBusy.MaximumToMean
+	connectionImbalance, _ := statistics.ImbalanceOf(connections)
+	busyImbalance, _ := statistics.ImbalanceOf(busy)
+	r.result.ConnectionsMaxToMean += connectionImbalance.MaximumToMean
+	r.result.ConnectionsVariation += connectionImbalance.Variation
+	r.result.BusyMaxToMean += busyImbalance.MaximumToMean
 	r.samples++
 	r.clock.After(balanceSampling, r.sample)
 }
--- a/internal/simulation/broken_test.go
+++ b/internal/simulation/broken_rules_test.go
@@ -40,18 +40,18 @@
 	}
 }
 
-// findsFault runs schedules until a check fails and returns its finding.
-func findsFault(t *testing.T, arrange func(*Fleet)) string {
+// findViolation runs schedules until a check fails and returns its finding.
+func findViolation(t *testing.T, breakRule func(*Fleet)) string {
 	t.Helper()
 	for seed := range uint64(60) {
-		if finding := runBroken(seed, arrange); finding != "" {
+		if finding := runBroken(seed, breakRule); finding != "" {
 			return fmt.Sprintf("seed %d: %s", seed, finding)
 		}
 	}
 	return ""
 }
 
-func runBroken(seed uint64, arrange func(*Fleet)) (finding string) {
+func runBroken(seed uint64, breakRule func(*Fleet)) (finding string) {
 	defer func() {
 		// Assertions of the core count as checks.
 		if recovered := recover(); recovered != nil {
@@ -59,7 +59,7 @@
 		}
 	}()
 	fleet := newTestFleet(seed, 5)
-	arrange(fleet)
+	breakRule(fleet)
 	fleet.StartAll()
 	fleet.Clock.Advance(8 * time.Second)
 	crashOften(fleet, 40*time.Second)
@@ -75,8 +75,8 @@
 
 // crashOften restarts random daemons, including the leader, at short intervals, alternating at
 // random with partitions.
-func crashOften(fleet *Fleet, span time.Duration) {
-	end := fleet.Clock.Now().Add(span)
+func crashOften(fleet *Fleet, duration time.Duration) {
+	end := fleet.Clock.Now().Add(duration)
 	var next func()
 	next = func() {
 		fleet.Cut = nil
@@ -101,31 +101,31 @@
 	next()
 }
 
-func TestTheChecksFindEachBrokenRule(t *testing.T) {
+func TestChecksDetectEachBrokenRule(t *testing.T) {
 	t.Parallel()
-	for name, arrange := range map[string]func(*Fleet){
+	for name, breakRule := range map[string]func(*Fleet){
 		"votes for every candidate":          func(fleet *Fleet) { fleet.Tamper = voteForAll },
 		"acknowledges entries that it lacks": acknowledgeUnseen,
 	} {
 		t.Run(name, func(t *testing.T) {
-			finding := findsFault(t, arrange)
+			finding := findViolation(t, breakRule)
 			assert.Assert(t, finding != "", "60 schedules with a broken rule passed every check")
 			t.Log(finding)
 		})
 	}
 }
 
-func TestTheSameSchedulesPassUnbroken(t *testing.T) {
+func TestSchedulesPassWithoutBrokenRules(t *testing.T) {
 	t.Parallel()
-	for seed := range seeds(20) {
+	for seed := range seedCount(20) {
 		assert.Equal(t, runBroken(seed, func(*Fleet) {}), "", "seed %d", seed)
 	}
 }
 
-// loseVotersMemory runs the schedule in which a voter that lost its log is harmful: the leader and
+// restartVoterAfterCommit runs the schedule in which a voter that lost its log is harmful: the leader and
 // one follower commit a change, that follower restarts, the leader dies, and the third replica,
 // which was cut off, returns. It returns the number of accepted changes and the violations.
-func loseVotersMemory(seed uint64, keepIdentity bool) (int, []string) {
+func restartVoterAfterCommit(seed uint64, keepIdentity bool) (int, []string) {
 	fleet := newTestFleet(seed, 3)
 	fleet.KeepIdentity = keepIdentity
 	fleet.StartAll()
@@ -136,15 +136,15 @@
 			leader = index
 		}
 	}
-	follower, away := (leader+1)%3, (leader+2)%3
+	follower, isolated := (leader+1)%3, (leader+2)%3
 	accepted := 0
-	note := func(result control.ProposalResult) {
+	onResult := func(result control.ProposalResult) {
 		if result.Status == control.ProposalDecided {
 			accepted++
 		}
 	}
-	fleet.Cut = func(from, to int) bool { return from == away || to == away }
-	fleet.Submit(leader, createService("one", 1), note)
+	fleet.Cut = func(from, to int) bool { return from == isolated || to == isolated }
+	fleet.Submit(leader, createService("one", 1), onResult)
 	fleet.Clock.Advance(100 * time.Millisecond)
 	fleet.Crash(follower)
 	fleet.Start(follower)
@@ -153,19 +153,19 @@
 	fleet.Cut = nil
 	fleet.Crash(leader)
 	fleet.Clock.Advance(8 * time.Second)
-	fleet.Submit(away, createService("two", 2), note)
+	fleet.Submit(isolated, createService("two", 2), onResult)
 	fleet.Clock.Advance(12 * time.Second)
 	return accepted, fleet.Violations
 }
 
-func TestARestartedVoterCountsForNothingUnderItsOldName(t *testing.T) {
+func TestRestartedVoterMustNotKeepItsIdentity(t *testing.T) {
 	t.Parallel()
 	found := 0
-	for seed := range seeds(20) {
-		if _, violations := loseVotersMemory(seed, true); len(violations) > 0 {
+	for seed := range seedCount(20) {
+		if _, violations := restartVoterAfterCommit(seed, true); len(violations) > 0 {
 			found++
 		}
-		accepted, violations := loseVotersMemory(seed, false)
+		accepted, violations := restartVoterAfterCommit(seed, false)
 		assert.Equal(t, accepted, 1, "seed %d: with two of three voters gone, nothing more may be accepted", seed)
 		assert.Equal(t, len(violations), 0, "seed %d: %v", seed, violations)
 	}
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -15,16 +15,16 @@
 	"github.com/passtray/passtray/internal/control"
 )
 
-// seeds returns the number of seeds to run, which is smaller in short mode.
-func seeds(wanted int) uint64 {
+// seedCount returns the number of seeds to run, which is smaller in short mode.
+func seedCount(want int) uint64 {
 	if testing.Short() {
-		return uint64(max(1, wanted/shortShare))
+		return uint64(max(1, want/shortModeDivisor))
 	}
-	return uint64(wanted)
+	return uint64(want)
 }
 
-// shortShare is the factor by which short mode reduces the number of seeds.
-const shortShare = 10
+// shortModeDivisor is the factor by which short mode reduces the number of seeds.
+const shortModeDivisor = 10
 
 var testZones = []string{"salt-a", "salt-b", "newtown-c"}
 
@@ -42,7 +42,7 @@
 	}
 }
 
-func (f *Fleet) noViolations(t *testing.T) {
+func (f *Fleet) assertNoViolations(t *testing.T) {
 	t.Helper()
 	for _, violation := range f.Violations {
 		t.Error(violation)
@@ -59,9 +59,9 @@
 	return count
 }
 
-func TestAFleetFormsOneGroupAndAcceptsChanges(t *testing.T) {
+func TestFleetFormsGroupAndAcceptsChanges(t *testing.T) {
 	t.Parallel()
-	for seed := range seeds(50) {
+	for seed := range seedCount(50) {
 		fleet := newTestFleet(seed, 7)
 		fleet.StartAll()
 		fleet.Clock.Advance(8 * time.Second)
@@ -73,13 +73,13 @@
 		lowest, highest := fleet.RevisionsInForce()
 		assert.Equal(t, lowest, uint64(1), "seed %d", seed)
 		assert.Equal(t, highest, uint64(1))
-		fleet.noViolations(t)
+		fleet.assertNoViolations(t)
 	}
 }
 
-func TestTheLeadersDeathLosesNothingAccepted(t *testing.T) {
+func TestLeaderCrashLosesNoAcceptedChange(t *testing.T) {
 	t.Parallel()
-	for seed := range seeds(30) {
+	for seed := range seedCount(30) {
 		fleet := newTestFleet(seed, 7)
 		fleet.StartAll()
 		fleet.Clock.Advance(8 * time.Second)
@@ -104,7 +104,7 @@
 		assert.Equal(t, accepted, 4, "seed %d", seed)
 		assert.Equal(t, lowest, highest, "seed %d", seed)
 		assert.Equal(t, int(highest), 4, "seed %d", seed)
-		fleet.noViolations(t)
+		fleet.assertNoViolations(t)
 	}
 }
 
@@ -138,8 +138,8 @@
 }
 
 // scheduleFaults injects random faults at intervals and ends each of them again.
-func scheduleFaults(fleet *Fleet, span time.Duration) {
-	end := fleet.Clock.Now().Add(span)
+func scheduleFaults(fleet *Fleet, duration time.Duration) {
+	end := fleet.Clock.Now().Add(duration)
 	var next func()
 	next = func() {
 		if fleet.Clock.Now().After(end) {
@@ -170,9 +170,9 @@
 }
 
 // runHistory has clients make compare-and-set calls during faults and returns the history.
-func runHistory(fleet *Fleet, span time.Duration) []porcupine.Operation {
+func runHistory(fleet *Fleet, duration time.Duration) []porcupine.Operation {
 	var history []porcupine.Operation
-	end := fleet.Clock.Now().Add(span)
+	end := fleet.Clock.Now().Add(duration)
 	number := 0
 	for client := range 3 {
 		var call func()
@@ -210,7 +210,7 @@
 		}
 		fleet.Clock.After(time.Duration(client)*100*time.Millisecond, call)
 	}
-	fleet.Clock.Advance(span + 30*time.Second)
+	fleet.Clock.Advance(duration + 30*time.Second)
 	return history
 }
 
@@ -233,7 +233,7 @@
 	for worker := range workers {
 		t.Run(fmt.Sprint("worker-", worker), func(t *testing.T) {
 			t.Parallel()
-			for seed := worker; seed < int(seeds(*schedules)); seed += workers {
+			for seed := worker; seed < int(seedCount(*schedules)); seed += workers {
 				run(t, uint64(seed))
 			}
 		})
--- a/internal/simulation/followed_scale_test.go
+++ b/internal/simulation/followed_scale_test.go
@@ -91,7 +91,7 @@
 }
 
 func (r *scaleRun) membershipView() membershipView {
-	var seen membershipView
+	var view membershipView
 	running := map[netip.AddrPort]bool{}
 	for _, daemon := range r.Daemons {
 		if daemon.Core != nil {
@@ -107,12 +107,12 @@
 			if running[member.Identity.Address] {
 				visible++
 			} else {
-				seen.stale++
+				view.stale++
 			}
 		}
-		seen.missing += len(running) - visible
+		view.missing += len(running) - visible
 	}
-	return seen
+	return view
 }
 
 // TestFailureDetectionInLargeFleet kills many daemons. All others must detect the failures in time, without
--- a/internal/simulation/overload.go
+++ b/internal/simulation/overload.go
@@ -43,33 +43,33 @@
 
 // Behaviour of targets and callers.
 const (
-	overloadQueue     = 8 // queue length of a target
-	overloadPatience  = 100 * time.Millisecond
-	overloadWork      = 32 * time.Millisecond
-	overloadSlowness  = 4
-	overloadPreferred = 0.22 // share of all requests
-	overloadTries     = 3
-	overloadPause     = 150 * time.Millisecond // mean delay before a retry
-	overloadWay       = 6 * time.Millisecond   // round-trip time
-	overloadUsers     = 8                      // idle flows kept per daemon in a fleet of 88
-	overloadObjective = 600 * time.Millisecond
-	overloadLead      = 2 * time.Second
-	overloadAnswer    = 1000 // bytes
-	overloadRejection = 100
-	overloadRoute     = 1
+	overloadQueueLength    = 8 // queue length of a target
+	overloadQueueTimeout   = 100 * time.Millisecond
+	overloadServiceTime    = 32 * time.Millisecond
+	overloadSlowFactor     = 4
+	overloadPreferredShare = 0.22 // share of all requests
+	overloadMaxAttempts    = 3
+	overloadRetryDelay     = 150 * time.Millisecond // mean delay before a retry
+	overloadRoundTrip      = 6 * time.Millisecond   // round-trip time
+	overloadIdleFlows      = 8                      // idle flows kept per daemon in a fleet of 88
+	overloadObjective      = 600 * time.Millisecond
+	overloadLeadTime       = 2 * time.Second
+	overloadResponseBytes  = 1000 // bytes
+	overloadRejectionBytes = 100
+	overloadRoute          = 1
 )
 
 // overloadCall is a request of a caller.
 type overloadCall struct {
-	rank  overload.Rank
-	tries int
+	rank     overload.Rank
+	attempts int
 	// target is the target of its open flow, -1 if it needs a new flow.
 	target int
 	daemon *overloadDaemon
 }
 
 type overloadDaemon struct {
-	load       *overload.Controller
+	controller *overload.Controller
 	queue      *overload.Queue[*overloadCall]
 	candidates []balance.Candidate
 	// idle holds the targets of the open, idle flows of ordinary callers.
@@ -97,24 +97,24 @@
 	run := &overloadRun{config: config, clock: NewClock(), random: rand.New(rand.NewPCG(config.Seed, 31))}
 	run.begun = run.clock.Now()
 	for index := range config.Targets {
-		target := &overloadTarget{work: overloadWork}
+		target := &overloadTarget{work: overloadServiceTime}
 		if float64(index) < config.SlowShare*float64(config.Targets) {
-			target.work *= overloadSlowness
+			target.work *= overloadSlowFactor
 		}
 		run.targets = append(run.targets, target)
 	}
 	for range config.Daemons {
 		run.daemons = append(run.daemons, run.newDaemon())
 	}
-	run.arrive()
-	run.clock.Advance(overloadLead + config.Burst + 2*overloadLead)
+	run.scheduleArrivals()
+	run.clock.Advance(overloadLeadTime + config.Burst + 2*overloadLeadTime)
 	return run.result
 }
 
 func (o *overloadRun) newDaemon() *overloadDaemon {
 	bounds := overload.DefaultConfig()
 	bounds.Enabled = o.config.Bounds
-	daemon := &overloadDaemon{load: overload.New(bounds), queue: overload.NewQueue[*overloadCall](512)}
+	daemon := &overloadDaemon{controller: overload.New(bounds), queue: overload.NewQueue[*overloadCall](512)}
 	now, slots := o.clock.Now(), 0
 	for index := range o.targets {
 		signal := &balance.Signal{}
@@ -125,14 +125,14 @@
 		}
 		daemon.candidates = append(daemon.candidates, balance.Candidate{Signal: signal, Weight: slotsPerTarget, Slots: slotsPerTarget})
 	}
-	daemon.load.SetShare(slots, o.believed())
+	daemon.controller.SetShare(slots, o.assumedDaemons())
 	for range 100 { // warm up the response statistics
-		daemon.load.NoteAnswer(now, overloadRoute, overloadAnswer)
+		daemon.controller.NoteAnswer(now, overloadRoute, overloadResponseBytes)
 	}
 	return daemon
 }
 
-func (o *overloadRun) believed() int {
+func (o *overloadRun) assumedDaemons() int {
 	if o.config.BelievedDaemons > 0 {
 		return o.config.BelievedDaemons
 	}
@@ -140,32 +140,32 @@
 }
 
 // burstEnds returns the end of the burst.
-func (o *overloadRun) burstEnds() time.Time { return o.begun.Add(overloadLead + o.config.Burst) }
+func (o *overloadRun) burstEnds() time.Time { return o.begun.Add(overloadLeadTime + o.config.Burst) }
 
-func (o *overloadRun) load(now time.Time) float64 {
-	if now.Before(o.begun.Add(overloadLead)) || !now.Before(o.burstEnds()) {
+func (o *overloadRun) offeredLoad(now time.Time) float64 {
+	if now.Before(o.begun.Add(overloadLeadTime)) || !now.Before(o.burstEnds()) {
 		return o.config.Load / 5
 	}
 	return o.config.Load
 }
 
-// arrive generates requests as a Poisson process.
-func (o *overloadRun) arrive() {
+// scheduleArrivals generates requests as a Poisson process.
+func (o *overloadRun) scheduleArrivals() {
 	now := o.clock.Now()
-	perSecond := o.load(now) * float64(len(o.targets)*slotsPerTarget) / overloadWork.Seconds()
+	perSecond := o.offeredLoad(now) * float64(len(o.targets)*slotsPerTarget) / overloadServiceTime.Seconds()
 	o.clock.After(time.Duration(o.random.ExpFloat64()/perSecond*float64(time.Second)), func() {
 		call := &overloadCall{rank: overload.Ordinary, target: -1}
-		if o.random.Float64() < overloadPreferred {
+		if o.random.Float64() < overloadPreferredShare {
 			call.rank = overload.Preferred
 		}
 		o.result.Asked[call.rank]++
-		o.try(call, true)
-		o.arrive()
+		o.attempt(call, true)
+		o.scheduleArrivals()
 	})
 }
 
-// try sends a request, on an idle flow if mayReuse and one is available.
-func (o *overloadRun) try(call *overloadCall, mayReuse bool) {
+// attempt sends a request, on an idle flow if mayReuse and one is available.
+func (o *overloadRun) attempt(call *overloadCall, mayReuse bool) {
 	call.daemon = o.daemons[o.random.IntN(len(o.daemons))]
 	call.target = -1
 	if idle := call.daemon.idle; mayReuse && call.rank == overload.Ordinary && len(idle) > 0 {
@@ -175,19 +175,19 @@
 	o.decide(call, o.clock.Now())
 }
 
-// decide applies the data path's admission decision to a packet that arrived at cameAt.
-func (o *overloadRun) decide(call *overloadCall, cameAt time.Time) {
+// decide applies the data path's admission decision to a packet that arrived at arrivedAt.
+func (o *overloadRun) decide(call *overloadCall, arrivedAt time.Time) {
 	now, daemon, isOpening := o.clock.Now(), call.daemon, call.target < 0
 	hold := overload.HoldFor(overloadObjective)
 	if !isOpening {
 		hold = overload.DataHoldFor(overloadObjective)
 	}
-	hasWaited := now.Sub(cameAt) >= hold
+	hasWaited := now.Sub(arrivedAt) >= hold
 	switch {
-	case isOpening && daemon.load.AdmitFlow(now, call.rank), !isOpening && (hasWaited || daemon.load.Admit(now, call.rank)):
+	case isOpening && daemon.controller.AdmitFlow(now, call.rank), !isOpening && (hasWaited || daemon.controller.Admit(now, call.rank)):
 		o.send(call)
 	case !hasWaited && daemon.queue.Put(now, overload.Waiting[*overloadCall]{
-		Load: daemon.load, Rank: call.rank, IsOpening: isOpening, At: cameAt, Until: cameAt.Add(hold), Packet: call,
+		Load: daemon.controller, Rank: call.rank, IsOpening: isOpening, At: arrivedAt, Until: arrivedAt.Add(hold), Packet: call,
 	}):
 		o.clock.After(hold, func() { o.release(daemon) })
 	default:
@@ -210,8 +210,8 @@
 }
 
 func (o *overloadRun) retry(call *overloadCall) {
-	if call.tries++; call.tries < overloadTries {
-		o.clock.After(time.Duration(o.random.ExpFloat64()*float64(overloadPause)), func() { o.try(call, false) })
+	if call.attempts++; call.attempts < overloadMaxAttempts {
+		o.clock.After(time.Duration(o.random.ExpFloat64()*float64(overloadRetryDelay)), func() { o.attempt(call, false) })
 	}
 }
 
@@ -222,27 +222,27 @@
 		request := balance.Request{Now: now, LeaseHeld: true}
 		call.target = balance.Pick(&request, daemon.candidates, o.random)
 	}
-	daemon.load.Begin(call.rank)
+	daemon.controller.Begin(call.rank)
 	daemon.candidates[call.target].Signal.NoteWaiting(1)
 	o.result.Arrivals++
 	target := o.targets[call.target]
 	switch {
 	case target.busy < slotsPerTarget:
 		o.work(target, call)
-	case len(target.waiting) >= overloadQueue:
-		o.clock.After(overloadWay, func() { o.answer(call, false) })
+	case len(target.waiting) >= overloadQueueLength:
+		o.clock.After(overloadRoundTrip, func() { o.respond(call, false) })
 	default:
 		target.waiting = append(target.waiting, call)
-		o.clock.After(overloadPatience, func() { o.giveUp(target, call) })
+		o.clock.After(overloadQueueTimeout, func() { o.rejectQueued(target, call) })
 	}
 }
 
-// giveUp rejects a request that has waited too long in its target's queue.
-func (o *overloadRun) giveUp(target *overloadTarget, call *overloadCall) {
+// rejectQueued rejects a request that has waited too long in its target's queue.
+func (o *overloadRun) rejectQueued(target *overloadTarget, call *overloadCall) {
 	for index, waiting := range target.waiting {
 		if waiting == call {
 			target.waiting = append(target.waiting[:index:index], target.waiting[index+1:]...)
-			o.clock.After(overloadWay, func() { o.answer(call, false) })
+			o.clock.After(overloadRoundTrip, func() { o.respond(call, false) })
 			return
 		}
 	}
@@ -253,7 +253,7 @@
 	target.busy++
 	o.clock.After(time.Duration((0.5+o.random.Float64())*float64(target.work)), func() {
 		target.busy--
-		o.clock.After(overloadWay, func() { o.answer(call, true) })
+		o.clock.After(overloadRoundTrip, func() { o.respond(call, true) })
 		if len(target.waiting) > 0 {
 			next := target.waiting[0]
 			target.waiting = target.waiting[1:]
@@ -262,20 +262,20 @@
 	})
 }
 
-// answer returns a response to the caller and updates the daemon's statistics.
-func (o *overloadRun) answer(call *overloadCall, isServed bool) {
+// respond returns a response to the caller and updates the daemon's statistics.
+func (o *overloadRun) respond(call *overloadCall, isServed bool) {
 	now, daemon, signal := o.clock.Now(), call.daemon, call.daemon.candidates[call.target].Signal
-	daemon.load.End(call.rank)
+	daemon.controller.End(call.rank)
 	signal.NoteWaiting(-1)
 	if isServed {
 		o.result.Served[call.rank]++
-		daemon.load.NoteAnswer(now, overloadRoute, overloadAnswer)
+		daemon.controller.NoteAnswer(now, overloadRoute, overloadResponseBytes)
 	} else {
 		o.result.TurnedAway++
-		daemon.load.NoteAnswer(now, overloadRoute, overloadRejection)
+		daemon.controller.NoteAnswer(now, overloadRoute, overloadRejectionBytes)
 		signal.NoteAwaited(now, 8)
 	}
-	if call.rank == overload.Ordinary && len(daemon.idle) < overloadUsers*88/len(o.daemons) {
+	if call.rank == overload.Ordinary && len(daemon.idle) < overloadIdleFlows*88/len(o.daemons) {
 		daemon.idle = append(daemon.idle, call.target)
 	}
 	if !isServed {
--- a/internal/simulation/overload_test.go
+++ b/internal/simulation/overload_test.go
@@ -10,20 +10,20 @@
 	"github.com/passtray/passtray/internal/overload"
 )
 
-// overloadOf returns a load on 120 targets with a burst of 4 s.
-func overloadOf(daemons int, load, slow float64) OverloadConfig {
+// newOverloadConfig returns a load on 120 targets with a burst of 4 s.
+func newOverloadConfig(daemons int, load, slow float64) OverloadConfig {
 	return OverloadConfig{Daemons: daemons, Targets: 120, Bounds: true, Load: load, SlowShare: slow, Burst: 4 * time.Second, Seed: 1}
 }
 
-// playBoth runs a load with and without admission control.
-func playBoth(t *testing.T, config OverloadConfig) (bounded, free OverloadResult) {
+// runBoth runs a load with and without admission control.
+func runBoth(t *testing.T, config OverloadConfig) (bounded, unbounded OverloadResult) {
 	t.Helper()
 	bounded = Overload(config)
 	config.Bounds = false
-	free = Overload(config)
+	unbounded = Overload(config)
 	t.Log("bounded:", bounded.String())
-	t.Log("unbounded:", free.String())
-	return bounded, free
+	t.Log("unbounded:", unbounded.String())
+	return bounded, unbounded
 }
 
 func (r *OverloadResult) String() string {
@@ -35,21 +35,21 @@
 	return r.Served[overload.Preferred] + r.Served[overload.Ordinary]
 }
 
-// TestPastCapacityTheFirstRankIsServed offers 1.2 times the nominal capacity. As three in ten
+// TestPreferredRankIsServedPastCapacity offers 1.2 times the nominal capacity. As three in ten
 // targets are slow, that is half as much again as they can serve. Without admission control targets
 // reject more than they serve.
-func TestPastCapacityTheFirstRankIsServed(t *testing.T) {
+func TestPreferredRankIsServedPastCapacity(t *testing.T) {
 	t.Parallel()
 	for _, daemons := range []int{8, 88, 350} {
 		t.Run(fmt.Sprint(daemons, " daemons"), func(t *testing.T) {
 			if testing.Short() && daemons > 8 {
 				t.Skip("takes minutes under the race detector")
 			}
-			bounded, free := playBoth(t, overloadOf(daemons, 1.2, 0.3))
-			assert.Assert(t, free.Share(overload.Preferred) < 0.85)
+			bounded, unbounded := runBoth(t, newOverloadConfig(daemons, 1.2, 0.3))
+			assert.Assert(t, unbounded.Share(overload.Preferred) < 0.85)
 			assert.Assert(t, bounded.Share(overload.Preferred) > 0.96)
-			assert.Assert(t, bounded.TurnedAway*4 < free.TurnedAway)
-			assert.Assert(t, float64(bounded.total()) > 0.95*float64(free.total()), "targets are left idle")
+			assert.Assert(t, bounded.TurnedAway*4 < unbounded.TurnedAway)
+			assert.Assert(t, float64(bounded.total()) > 0.95*float64(unbounded.total()), "targets are left idle")
 			assert.Assert(t, bounded.Share(overload.Ordinary) > 0.5, "ordinary requests are starved")
 			assert.Assert(t, bounded.RefusedAfter*100 < bounded.Refused, "retries sustain the overload")
 		})
@@ -63,43 +63,43 @@
 	if testing.Short() {
 		t.Skip("takes minutes under the race detector")
 	}
-	usual, dead, high := overloadOf(88, 0.2, 0), overloadOf(88, 0.5, 0), overloadOf(88, 0.7, 0)
+	usual, dead, high := newOverloadConfig(88, 0.2, 0), newOverloadConfig(88, 0.5, 0), newOverloadConfig(88, 0.7, 0)
 	dead.DeadShare = 1.0 / 3
 	for name, config := range map[string]OverloadConfig{"usual": usual, "a third dead": dead, "high": high} {
 		t.Run(name, func(t *testing.T) {
-			bounded, free := playBoth(t, config)
+			bounded, unbounded := runBoth(t, config)
 			assert.Equal(t, bounded.Refused, 0)
-			assert.Equal(t, bounded.total(), free.total())
+			assert.Equal(t, bounded.total(), unbounded.total())
 		})
 	}
 }
 
-// TestNearCapacityBoundsCostLittle offers nine tenths of the capacity of targets of which three in
+// TestAdmissionControlCostsLittleNearCapacity offers nine tenths of the capacity of targets of which three in
 // ten are slow and reject requests that others could have served.
-func TestNearCapacityBoundsCostLittle(t *testing.T) {
+func TestAdmissionControlCostsLittleNearCapacity(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
 		t.Skip("takes minutes under the race detector")
 	}
-	bounded, free := playBoth(t, overloadOf(88, 0.7, 0.3))
-	assert.Assert(t, float64(bounded.total()) > 0.98*float64(free.total()))
+	bounded, unbounded := runBoth(t, newOverloadConfig(88, 0.7, 0.3))
+	assert.Assert(t, float64(bounded.total()) > 0.98*float64(unbounded.total()))
 }
 
-// TestWrongMembershipDegradesAndNoMore covers daemons that assume half or twice the actual fleet
+// TestWrongFleetSizeOnlyDegrades covers daemons that assume half or twice the actual fleet
 // size.
-func TestWrongMembershipDegradesAndNoMore(t *testing.T) {
+func TestWrongFleetSizeOnlyDegrades(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
 		t.Skip("takes minutes under the race detector")
 	}
 	for _, believed := range []int{44, 176} {
 		t.Run(fmt.Sprint(believed, " of 88"), func(t *testing.T) {
-			config := overloadOf(88, 1.2, 0.3)
+			config := newOverloadConfig(88, 1.2, 0.3)
 			config.BelievedDaemons = believed
-			bounded, free := playBoth(t, config)
-			assert.Assert(t, bounded.Share(overload.Preferred) > free.Share(overload.Preferred)+0.1)
-			assert.Assert(t, bounded.TurnedAway*2 < free.TurnedAway)
-			assert.Assert(t, float64(bounded.total()) > 0.92*float64(free.total()))
+			bounded, unbounded := runBoth(t, config)
+			assert.Assert(t, bounded.Share(overload.Preferred) > unbounded.Share(overload.Preferred)+0.1)
+			assert.Assert(t, bounded.TurnedAway*2 < unbounded.TurnedAway)
+			assert.Assert(t, float64(bounded.total()) > 0.92*float64(unbounded.total()))
 		})
 	}
 }
--- a/internal/simulation/recovery_test.go
+++ b/internal/simulation/recovery_test.go
@@ -11,10 +11,10 @@
 )
 
 func (f *Fleet) submitAndWait(via int, request string, number int) control.ProposalResult {
-	var given control.ProposalResult
-	f.Submit(via, createService(request, number), func(result control.ProposalResult) { given = result })
+	var final control.ProposalResult
+	f.Submit(via, createService(request, number), func(result control.ProposalResult) { final = result })
 	f.Clock.Advance(10 * time.Second)
-	return given
+	return final
 }
 
 func (f *Fleet) voters() []int {
@@ -27,10 +27,10 @@
 	return voters
 }
 
-// TestALostMajorityAcceptsNothingUntilItIsRecovered crashes two of three voters permanently.
-func TestALostMajorityAcceptsNothingUntilItIsRecovered(t *testing.T) {
+// TestLostMajorityAcceptsNothingUntilRecovery crashes two of three voters permanently.
+func TestLostMajorityAcceptsNothingUntilRecovery(t *testing.T) {
 	t.Parallel()
-	for seed := range seeds(10) {
+	for seed := range seedCount(10) {
 		fleet := newTestFleet(seed, 7)
 		fleet.StartAll()
 		fleet.Clock.Advance(8 * time.Second)
@@ -52,15 +52,15 @@
 		assert.Equal(t, lowest, highest, "seed %d: every daemon must follow the recovered group", seed)
 		assert.Assert(t, highest >= 2)
 		assert.Equal(t, len(fleet.voters()), 3, "seed %d", seed)
-		fleet.noViolations(t)
+		fleet.assertNoViolations(t)
 	}
 }
 
-// TestEveryDaemonIsReplacedInTurn restarts each daemon with a new identity and submits a change
+// TestRollingReplacementOfAllDaemons restarts each daemon with a new identity and submits a change
 // after each restart.
-func TestEveryDaemonIsReplacedInTurn(t *testing.T) {
+func TestRollingReplacementOfAllDaemons(t *testing.T) {
 	t.Parallel()
-	for seed := range seeds(10) {
+	for seed := range seedCount(10) {
 		fleet := newTestFleet(seed, 7)
 		fleet.StartAll()
 		fleet.Clock.Advance(8 * time.Second)
@@ -78,34 +78,34 @@
 		lowest, highest := fleet.RevisionsInForce()
 		assert.Equal(t, lowest, uint64(7), "seed %d", seed)
 		assert.Equal(t, highest, uint64(7), "seed %d", seed)
-		fleet.noViolations(t)
+		fleet.assertNoViolations(t)
 	}
 }
 
-// TestACutOffDaemonLosesItsLeaseAndGetsItBack isolates one daemon from all others.
-func TestACutOffDaemonLosesItsLeaseAndGetsItBack(t *testing.T) {
+// TestIsolatedDaemonLosesAndRegainsLease isolates one daemon from all others.
+func TestIsolatedDaemonLosesAndRegainsLease(t *testing.T) {
 	t.Parallel()
 	fleet := newTestFleet(1, 7)
 	fleet.StartAll()
 	fleet.Clock.Advance(8 * time.Second)
-	const away = 5
-	fleet.Cut = func(from, to int) bool { return from == away || to == away }
+	const isolated = 5
+	fleet.Cut = func(from, to int) bool { return from == isolated || to == isolated }
 	fleet.Clock.Advance(10 * time.Second)
-	assert.Assert(t, fleet.Daemons[away].Core.HoldsLease(fleet.Clock.Now()))
+	assert.Assert(t, fleet.Daemons[isolated].Core.HoldsLease(fleet.Clock.Now()))
 	fleet.Clock.Advance(10 * time.Second)
-	assert.Assert(t, !fleet.Daemons[away].Core.HoldsLease(fleet.Clock.Now()), "the lease expires without a renewal for 15 s")
+	assert.Assert(t, !fleet.Daemons[isolated].Core.HoldsLease(fleet.Clock.Now()), "the lease expires without a renewal for 15 s")
 	assert.Equal(t, fleet.submitAndWait(1, "while away", 1).Status, control.ProposalDecided)
-	assert.Equal(t, fleet.Daemons[away].Core.State().Revision, uint64(0))
+	assert.Equal(t, fleet.Daemons[isolated].Core.State().Revision, uint64(0))
 	fleet.Cut = nil
 	fleet.Clock.Advance(25 * time.Second)
-	assert.Assert(t, fleet.Daemons[away].Core.HoldsLease(fleet.Clock.Now()))
-	assert.Equal(t, fleet.Daemons[away].Core.State().Revision, uint64(1))
-	fleet.noViolations(t)
+	assert.Assert(t, fleet.Daemons[isolated].Core.HoldsLease(fleet.Clock.Now()))
+	assert.Equal(t, fleet.Daemons[isolated].Core.State().Revision, uint64(1))
+	fleet.assertNoViolations(t)
 }
 
-// TestAPausedDaemonKnowsOnWakingThatItsLeaseIsOver checks the lease before the daemon has processed
+// TestLeaseExpiresDuringPause checks the lease before the daemon has processed
 // any message.
-func TestAPausedDaemonKnowsOnWakingThatItsLeaseIsOver(t *testing.T) {
+func TestLeaseExpiresDuringPause(t *testing.T) {
 	t.Parallel()
 	fleet := newTestFleet(2, 5)
 	fleet.StartAll()
@@ -115,11 +115,11 @@
 	assert.Assert(t, !fleet.Daemons[3].Core.HoldsLease(fleet.Clock.Now()))
 	fleet.Clock.Advance(20 * time.Second)
 	assert.Assert(t, fleet.Daemons[3].Core.HoldsLease(fleet.Clock.Now()))
-	fleet.noViolations(t)
+	fleet.assertNoViolations(t)
 }
 
-// TestTheGroupIsHealedAfterAnHourApart partitions seven daemons for an hour.
-func TestTheGroupIsHealedAfterAnHourApart(t *testing.T) {
+// TestGroupHealsAfterLongPartition partitions seven daemons for an hour.
+func TestGroupHealsAfterLongPartition(t *testing.T) {
 	t.Parallel()
 	fleet := newTestFleet(3, 7)
 	fleet.StartAll()
@@ -142,12 +142,12 @@
 	for index, daemon := range fleet.Daemons {
 		assert.Equal(t, len(daemon.Core.Live()), 7, "daemon %d", index)
 	}
-	fleet.noViolations(t)
+	fleet.assertNoViolations(t)
 }
 
-// TestAReplacementWithAClockBehindIsTakenIn restarts a daemon whose previous clock was an hour
+// TestReplacementWithEarlierClockJoins restarts a daemon whose previous clock was an hour
 // fast, before and after the group detects its failure.
-func TestAReplacementWithAClockBehindIsTakenIn(t *testing.T) {
+func TestReplacementWithEarlierClockJoins(t *testing.T) {
 	t.Parallel()
 	for _, wait := range []time.Duration{100 * time.Millisecond, 30 * time.Second} {
 		fleet := newTestFleet(4, 5)
@@ -164,6 +164,6 @@
 			assert.Equal(t, len(daemon.Core.Live()), 5, "after %s, daemon %d", wait, index)
 		}
 		assert.Equal(t, fleet.submitAndWait(ahead, "after", 1).Status, control.ProposalDecided)
-		fleet.noViolations(t)
+		fleet.assertNoViolations(t)
 	}
 }
--- a/internal/simulation/speedload.go
+++ b/internal/simulation/speedload.go
@@ -57,16 +57,16 @@
 	MessageBytes float64
 }
 
-// speedPath is the time from a caller's data via the target's response to the caller's
+// speedRoundTrip is the time from a caller's data via the target's response to the caller's
 // acknowledgement.
-const speedPath = 7 * time.Millisecond
+const speedRoundTrip = 7 * time.Millisecond
 
 type speedTarget struct {
 	speed float64
 	busy  int
 	queue []func()
-	// worked is the total time for which slots were busy.
-	worked time.Duration
+	// busyTime is the total time for which slots were busy.
+	busyTime time.Duration
 }
 
 type speedDaemon struct {
@@ -75,8 +75,8 @@
 	candidates []balance.Candidate
 	open       map[uint32]int
 	// usual holds the usual latency of each kind of request.
-	usual [2]usualLatency
-	lies  bool
+	usual              [2]usualLatency
+	gossipsFalseSpeeds bool
 }
 
 // usualLatency estimates a median as the data path does.
@@ -85,9 +85,9 @@
 	median float64
 }
 
-func (u *usualLatency) note(latency time.Duration) (times float64, isKnown bool) {
+func (u *usualLatency) note(latency time.Duration) (ratio float64, isKnown bool) {
 	const learnedAfter, step = 32, 0.05
-	times, isKnown = float64(latency)/u.median, u.count > learnedAfter
+	ratio, isKnown = float64(latency)/u.median, u.count > learnedAfter
 	switch u.count++; {
 	case u.count == 1:
 		u.median = float64(latency)
@@ -96,7 +96,7 @@
 	default:
 		u.median /= 1 + step
 	}
-	return times, isKnown
+	return ratio, isKnown
 }
 
 type speedLoad struct {
@@ -124,10 +124,10 @@
 	for range config.Feeds {
 		run.clock.After(time.Duration(run.random.Int64N(int64(time.Second))), run.feed)
 	}
-	run.fresh()
+	run.scheduleFreshRequests()
 	if config.SlowTargets > 0 {
-		run.clock.After(config.SlowFrom, func() { run.slow(0.25) })
-		run.clock.After(config.SlowUntil, func() { run.slow(4) })
+		run.clock.After(config.SlowFrom, func() { run.scaleSpeeds(0.25) })
+		run.clock.After(config.SlowUntil, func() { run.scaleSpeeds(4) })
 	}
 	run.clock.Advance(config.Span)
 	return run.finish()
@@ -137,7 +137,7 @@
 	self := machineAddress(index)
 	daemon := &speedDaemon{
 		loads: loadshare.New(self, 0), speeds: targetspeed.NewExchange(self, 0),
-		open: map[uint32]int{}, lies: index >= s.config.Daemons-s.config.Liars,
+		open: map[uint32]int{}, gossipsFalseSpeeds: index >= s.config.Daemons-s.config.Liars,
 	}
 	for range s.targets {
 		daemon.candidates = append(daemon.candidates, balance.Candidate{Signal: &balance.Signal{}, Weight: slotsPerTarget, Slots: slotsPerTarget, Zone: zoneName})
@@ -150,28 +150,28 @@
 func (s *speedLoad) gossip(daemon *speedDaemon) {
 	now := s.clock.Now()
 	daemon.loads.Tick(now, func() map[uint32]int { return daemon.open })
-	if daemon.lies {
+	if daemon.gossipsFalseSpeeds {
 		for index := range s.targets {
 			daemon.speeds.Note(now, loadshare.MarkOf(zoneToken(index)), []float64{0.25, 4}[index%2])
 		}
 	}
 	daemon.speeds.Tick(now)
 	for range zoneGossipFanout {
-		var told []byte
+		var speedMessage []byte
 		if s.config.Learns {
-			told = daemon.speeds.Message(now)
+			speedMessage = daemon.speeds.Message(now)
 		}
-		message := append(daemon.loads.MessageWithin(now, loadshare.MaximumBytes-len(told)), told...)
+		message := append(daemon.loads.MessageWithin(now, loadshare.MaximumBytes-len(speedMessage)), speedMessage...)
 		s.bytes += len(message)
 		other := s.daemons[s.random.IntN(len(s.daemons))]
 		other.speeds.Hear(now, message[len(message)-other.loads.Hear(now, message):])
 	}
-	totals, areWhole := daemon.loads.Totals(now)
+	totals, areComplete := daemon.loads.Totals(now)
 	estimates := daemon.speeds.Estimates(now)
 	for index := range daemon.candidates {
 		signal := daemon.candidates[index].Signal
 		open := daemon.open[zoneToken(index)]
-		if areWhole {
+		if areComplete {
 			open = totals[loadshare.MarkOf(zoneToken(index))]
 		}
 		signal.SetOpen(open)
@@ -182,11 +182,11 @@
 	s.clock.After(zoneGossipInterval, func() { s.gossip(daemon) })
 }
 
-// slow scales the speed of the first targets. With IsCold, daemons also see them in slow start.
-func (s *speedLoad) slow(times float64) {
+// scaleSpeeds scales the speed of the first targets. With IsCold, daemons also see them in slow start.
+func (s *speedLoad) scaleSpeeds(factor float64) {
 	for index := range s.config.SlowTargets {
-		s.targets[index].speed *= times
-		if !s.config.IsCold || times > 1 {
+		s.targets[index].speed *= factor
+		if !s.config.IsCold || factor > 1 {
 			continue
 		}
 		for _, daemon := range s.daemons {
@@ -206,11 +206,11 @@
 		return
 	}
 	daemon.candidates[index].Signal.NotePick(now)
-	s.clock.After(speedPath, func() { daemon.candidates[index].Signal.NoteOpened(s.clock.Now()) })
+	s.clock.After(speedRoundTrip, func() { daemon.candidates[index].Signal.NoteOpened(s.clock.Now()) })
 	then(index)
 }
 
-func (s *speedLoad) anyDaemon() *speedDaemon { return s.daemons[s.random.IntN(len(s.daemons))] }
+func (s *speedLoad) randomDaemon() *speedDaemon { return s.daemons[s.random.IntN(len(s.daemons))] }
 
 func (s *speedLoad) exponential(mean time.Duration) time.Duration {
 	return time.Duration(s.random.ExpFloat64() * float64(mean))
@@ -218,7 +218,7 @@
 
 // feed opens a long-lived flow, which is replaced when it ends.
 func (s *speedLoad) feed() {
-	daemon := s.anyDaemon()
+	daemon := s.randomDaemon()
 	s.pick(daemon, func(index int) {
 		daemon.open[zoneToken(index)]++
 		s.feedRequests(daemon, index, s.clock.Now().Add(s.exponential(s.config.FeedLife)))
@@ -240,20 +240,20 @@
 	})
 }
 
-// fresh generates requests that open a flow of their own.
-func (s *speedLoad) fresh() {
+// scheduleFreshRequests generates requests that open a flow of their own.
+func (s *speedLoad) scheduleFreshRequests() {
 	if s.config.FreshPerSecond <= 0 {
 		return
 	}
 	s.clock.After(s.exponential(time.Duration(float64(time.Second)/s.config.FreshPerSecond)), func() {
-		daemon := s.anyDaemon()
+		daemon := s.randomDaemon()
 		s.pick(daemon, func(index int) { s.request(daemon, index, 1, s.config.FreshWork, func(bool) {}) })
-		s.fresh()
+		s.scheduleFreshRequests()
 	})
 }
 
 // request sends a request to a target and calls over when it is complete.
-func (s *speedLoad) request(daemon *speedDaemon, index, kind int, mean time.Duration, over func(isServed bool)) {
+func (s *speedLoad) request(daemon *speedDaemon, index, kind int, mean time.Duration, done func(isServed bool)) {
 	begun, target, signal := s.clock.Now(), s.targets[index], daemon.candidates[index].Signal
 	isMeasured := begun.Sub(s.begun) >= s.config.From
 	if isMeasured {
@@ -263,21 +263,21 @@
 		if isMeasured {
 			s.result.TurnedAway++
 		}
-		s.clock.After(speedPath, func() { over(false) })
+		s.clock.After(speedRoundTrip, func() { done(false) })
 		return
 	}
 	signal.NoteWaiting(1)
 	s.serve(target, mean, func() {
-		s.clock.After(speedPath, func() {
+		s.clock.After(speedRoundTrip, func() {
 			signal.NoteWaiting(-1)
-			s.answered(daemon, index, kind, begun)
-			over(true)
+			s.noteResponse(daemon, index, kind, begun)
+			done(true)
 		})
 	})
 }
 
-// answered records the first byte of a response at a daemon.
-func (s *speedLoad) answered(daemon *speedDaemon, index, kind int, begun time.Time) {
+// noteResponse records the first byte of a response at a daemon.
+func (s *speedLoad) noteResponse(daemon *speedDaemon, index, kind int, begun time.Time) {
 	now := s.clock.Now()
 	latency := now.Sub(begun)
 	if begun.Sub(s.begun) >= s.config.From {
@@ -286,10 +286,10 @@
 	if s.random.Float64() < s.config.LateShare {
 		latency += s.exponential(s.config.FeedPause)
 	}
-	if times, isKnown := daemon.usual[kind].note(latency - speedPath); isKnown {
-		daemon.candidates[index].Signal.NoteLatency(now, times)
-		if !daemon.lies && !now.Before(daemon.candidates[index].WarmAt) {
-			daemon.speeds.Note(now, loadshare.MarkOf(zoneToken(index)), times)
+	if ratio, isKnown := daemon.usual[kind].note(latency - speedRoundTrip); isKnown {
+		daemon.candidates[index].Signal.NoteLatency(now, ratio)
+		if !daemon.gossipsFalseSpeeds && !now.Before(daemon.candidates[index].WarmAt) {
+			daemon.speeds.Note(now, loadshare.MarkOf(zoneToken(index)), ratio)
 		}
 	}
 }
@@ -304,7 +304,7 @@
 	work := float64(mean) * math.Exp(spread*s.random.NormFloat64()-spread*spread/2) / target.speed
 	target.busy++
 	if s.clock.Now().Sub(s.begun) >= s.config.From {
-		target.worked += time.Duration(work)
+		target.busyTime += time.Duration(work)
 	}
 	s.clock.After(time.Duration(work), func() {
 		target.busy--
@@ -318,13 +318,13 @@
 }
 
 func (s *speedLoad) finish() SpeedLoadResult {
-	var worked []float64
+	var busyTime []float64
 	for index, target := range s.targets {
-		worked = append(worked, target.worked.Seconds())
+		busyTime = append(busyTime, target.busyTime.Seconds())
 		s.result.Estimates = append(s.result.Estimates, s.daemons[0].candidates[index].Signal.Speed(s.clock.Now()))
 	}
 	slices.Sort(s.latencies)
-	s.result.BusiestToMean = maxToMean(worked)
+	s.result.BusiestToMean = maxToMean(busyTime)
 	s.result.P50, s.result.P99 = s.latencies[len(s.latencies)/2], s.latencies[len(s.latencies)*99/100]
 	s.result.MessageBytes = float64(s.bytes) / s.config.Span.Seconds() / float64(len(s.daemons))
 	return s.result
--- a/internal/simulation/speedload_test.go
+++ b/internal/simulation/speedload_test.go
@@ -9,16 +9,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// unequal are the speeds of a service of which one target in four is slower.
-var unequal = []float64{0.55, 1.2, 1.2, 1.2}
+// unequalSpeeds are the speeds of a service of which one target in four is slower.
+var unequalSpeeds = []float64{0.55, 1.2, 1.2, 1.2}
 
 // speedLoadAt returns the load of a zone of 30 targets whose slots are busy for 0.14 of the time at
 // the usual load, and for 0.7 at five times that.
-func speedLoadAt(daemons int, times float64) SpeedLoadConfig {
+func speedLoadAt(daemons int, load float64) SpeedLoadConfig {
 	return SpeedLoadConfig{
-		Daemons: daemons, Targets: 30, Speeds: unequal, Fleet: 4 * daemons,
-		Feeds: int(60 * times), FeedLife: 8 * time.Second, FeedPause: 220 * time.Millisecond, FeedWork: 30 * time.Millisecond,
-		FreshPerSecond: 62 * times, FreshWork: 39 * time.Millisecond,
+		Daemons: daemons, Targets: 30, Speeds: unequalSpeeds, Fleet: 4 * daemons,
+		Feeds: int(60 * load), FeedLife: 8 * time.Second, FeedPause: 220 * time.Millisecond, FeedWork: 30 * time.Millisecond,
+		FreshPerSecond: 62 * load, FreshWork: 39 * time.Millisecond,
 		LateShare: 0.02, Queue: 8, Learns: true, From: 10 * time.Second, Span: 25 * time.Second, Seed: 1,
 	}
 }
@@ -50,9 +50,9 @@
 		without.P99.Round(time.Millisecond), with.P99.Round(time.Millisecond), without.MessageBytes, with.MessageBytes, with.Estimates)
 }
 
-// TestTargetsWorkAsTheirSpeeds covers zones of fleets of 12, 88 and 350 daemons. Without learned
+// TestLoadFollowsTargetSpeeds covers zones of fleets of 12, 88 and 350 daemons. Without learned
 // speeds the larger ones exceed the bound.
-func TestTargetsWorkAsTheirSpeeds(t *testing.T) {
+func TestLoadFollowsTargetSpeeds(t *testing.T) {
 	t.Parallel()
 	for _, daemons := range []int{3, 22, 88} {
 		t.Run(fmt.Sprintf("%d daemons", daemons), func(t *testing.T) {
@@ -84,8 +84,8 @@
 	})
 }
 
-// TestEqualTargetsAreNoWorseOff checks that noise in the estimates of equal targets does no harm.
-func TestEqualTargetsAreNoWorseOff(t *testing.T) {
+// TestLearnedSpeedsDoNotHarmEqualTargets checks that noise in the estimates of equal targets does no harm.
+func TestLearnedSpeedsDoNotHarmEqualTargets(t *testing.T) {
 	t.Parallel()
 	for _, daemons := range []int{3, 22, 88} {
 		t.Run(fmt.Sprintf("%d daemons", daemons), func(t *testing.T) {
@@ -103,40 +103,40 @@
 	}
 }
 
-// estimateOfFirst returns the speed estimate of the first of equal targets after span. The target
+// firstEstimate returns the speed estimate of the first of equal targets after duration. The target
 // is slow for 20 s, or in slow start for 3 s.
-func estimateOfFirst(isCold bool, span time.Duration) float64 {
+func firstEstimate(isSlowStart bool, duration time.Duration) float64 {
 	config := speedLoadAt(22, 3)
-	config.Speeds, config.IsCold, config.Span = []float64{1}, isCold, span
+	config.Speeds, config.IsCold, config.Span = []float64{1}, isSlowStart, duration
 	config.SlowTargets, config.SlowFrom, config.SlowUntil = 1, 10*time.Second, 30*time.Second
-	if isCold {
+	if isSlowStart {
 		config.SlowUntil = 13 * time.Second
 	}
 	return SpeedLoad(config).Estimates[0]
 }
 
-func TestSpeedsFollowTargets(t *testing.T) {
+func TestEstimatesFollowTargetSpeeds(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
 		t.Skip("takes minutes under the race detector")
 	}
 	t.Run("slow target", func(t *testing.T) {
-		speed := estimateOfFirst(false, 30*time.Second)
+		speed := firstEstimate(false, 30*time.Second)
 		assert.Assert(t, speed < 0.6, "%.2f", speed)
 	})
 	t.Run("recovered target", func(t *testing.T) {
-		speed := estimateOfFirst(false, 60*time.Second)
+		speed := firstEstimate(false, 60*time.Second)
 		assert.Assert(t, speed > 0.85, "%.2f", speed)
 	})
 	t.Run("target after slow start", func(t *testing.T) {
-		speed := estimateOfFirst(true, 14*time.Second)
+		speed := firstEstimate(true, 14*time.Second)
 		assert.Assert(t, speed > 0.85, "%.2f", speed)
 	})
 }
 
-// TestADaemonThatLiesMovesLittle checks that one daemon that gossips wrong speeds hardly changes
+// TestFalseSpeedsOfOneDaemonHaveLittleEffect checks that one daemon that gossips wrong speeds hardly changes
 // the estimates of the others. It balances its own share of the flows badly.
-func TestADaemonThatLiesMovesLittle(t *testing.T) {
+func TestFalseSpeedsOfOneDaemonHaveLittleEffect(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
 		t.Skip("takes minutes under the race detector")
@@ -145,15 +145,15 @@
 		config := speedLoadAt(daemons, 5)
 		without, honest := meanSpeedLoad(config, false), meanSpeedLoad(config, true)
 		config.Liars = 1
-		lied := meanSpeedLoad(config, true)
-		logSpeedLoad(t, honest, lied)
+		withLiar := meanSpeedLoad(config, true)
+		logSpeedLoad(t, honest, withLiar)
 		for index := range 4 {
-			moved := math.Abs(meanEvery4(lied.Estimates, index) - meanEvery4(honest.Estimates, index))
+			moved := math.Abs(meanEvery4(withLiar.Estimates, index) - meanEvery4(honest.Estimates, index))
 			assert.Assert(t, moved < 0.1, "%.2f", moved)
 		}
-		assert.Assert(t, lied.BusiestToMean < honest.BusiestToMean*1.1)
+		assert.Assert(t, withLiar.BusiestToMean < honest.BusiestToMean*1.1)
 		if daemons == 22 {
-			assert.Assert(t, lied.P99 < (honest.P99+without.P99)/2)
+			assert.Assert(t, withLiar.P99 < (honest.P99+without.P99)/2)
 		}
 	}
 }
--- a/internal/simulation/store_restore_test.go
+++ b/internal/simulation/store_restore_test.go
@@ -41,8 +41,8 @@
 	if r.Clock.Now().Before(r.restoredUntil) || r.random.IntN(8) > 0 {
 		return
 	}
-	away := 300*time.Millisecond + time.Duration(r.random.Int64N(int64(4*time.Second)))
-	r.restoreStore(away, time.Second+time.Duration(r.random.Int64N(int64(9*time.Second))))
+	outage := 300*time.Millisecond + time.Duration(r.random.Int64N(int64(4*time.Second)))
+	r.restoreStore(outage, time.Second+time.Duration(r.random.Int64N(int64(9*time.Second))))
 }
 
 // configureAndDrain writes a new version, drains a number of targets and returns their keys.
@@ -77,7 +77,7 @@
 // reuses revision numbers that daemons have already seen.
 func TestWritesAfterStoreRestoreTakeEffect(t *testing.T) {
 	t.Parallel()
-	for seed := range seeds(20) {
+	for seed := range seedCount(20) {
 		run := startFollowedRun(seed, followed.DefaultFleetConfig())
 		for range 3 {
 			for range 4 {
@@ -101,7 +101,7 @@
 // an older backup, until their writers have written them again.
 func TestStoreRestoreRevertsNothing(t *testing.T) {
 	t.Parallel()
-	for seed := range seeds(20) {
+	for seed := range seedCount(20) {
 		run := startFollowedRun(seed, followed.DefaultFleetConfig())
 		run.Clock.Advance(6 * time.Second)
 		leaving := run.configureAndDrain(3)
@@ -129,7 +129,7 @@
 // holds only the backup. They must get the newer entries from peers.
 func TestDaemonStartedAfterRestoreSyncsFromPeers(t *testing.T) {
 	t.Parallel()
-	for seed := range seeds(20) {
+	for seed := range seedCount(20) {
 		run := startFollowedRun(seed, followed.DefaultFleetConfig())
 		run.Clock.Advance(6 * time.Second)
 		leaving := run.configureAndDrain(3)
@@ -167,7 +167,7 @@
 // beside an empty store in a later epoch.
 func TestFleetStartsWithEmptyRestoredStore(t *testing.T) {
 	t.Parallel()
-	for seed := range seeds(10) {
+	for seed := range seedCount(10) {
 		run := newFollowedRun(seed, NewFollowedFleet(seed, testDaemons, testZones, followed.DefaultFleetConfig(), DefaultNetworkConfig()))
 		run.Store.Restore(run.Clock.Now())
 		for index := range run.Daemons {
@@ -200,7 +200,7 @@
 	}
 	const convergence = 8 * time.Second
 	run := newColdStart(1, *fleetSize, largeTargets, followed.FleetConfigFor(convergence))
-	run.Links.TargetBytes = 16 * 300 // as long as 10,000 targets
+	run.Links.TargetBytes = 16 * 300 // as large as 10,000 targets
 	run.Links.SnapshotBytes = 300 << 10
 	run.Links.ConfigurationBytes = 20 << 10
 	run.Clock.Advance(15 * time.Second)
@@ -269,8 +269,8 @@
 		run := startFlowRun(seed)
 		for at := 5 * time.Second; at < flowSeconds*time.Second; at += 11 * time.Second {
 			run.Clock.After(at, func() {
-				away := 300*time.Millisecond + time.Duration(run.random.Int64N(int64(3*time.Second)))
-				run.restoreStoreDuringFlows(away, time.Second+time.Duration(run.random.Int64N(int64(6*time.Second))))
+				outage := 300*time.Millisecond + time.Duration(run.random.Int64N(int64(3*time.Second)))
+				run.restoreStoreDuringFlows(outage, time.Second+time.Duration(run.random.Int64N(int64(6*time.Second))))
 			})
 		}
 		run.simulate()
--- a/internal/simulation/zoneload.go
+++ b/internal/simulation/zoneload.go
@@ -49,12 +49,12 @@
 )
 
 type zoneTarget struct {
-	flows    int
-	flowTime time.Duration
-	changed  time.Time
-	requests int
-	freeAt   [slotsPerTarget]time.Time
-	isGone   bool
+	flows     int
+	flowTime  time.Duration
+	changed   time.Time
+	requests  int
+	freeAt    [slotsPerTarget]time.Time
+	isRemoved bool
 }
 
 type zoneDaemon struct {
@@ -86,7 +86,7 @@
 	}
 	flows := int(config.FlowsPerTarget * float64(config.Targets))
 	run.openMany(0, flows)
-	run.clock.After(config.Span/2, func() { run.disturb(int(float64(flows) * config.BurstShare)) })
+	run.clock.After(config.Span/2, func() { run.failTargets(int(float64(flows) * config.BurstShare)) })
 	run.clock.Advance(config.Span)
 	return run.result()
 }
@@ -111,10 +111,10 @@
 		z.bytes += len(message)
 		z.daemons[z.random.IntN(len(z.daemons))].exchange.Hear(now, message)
 	}
-	totals, areWhole := daemon.exchange.Totals(now)
+	totals, areComplete := daemon.exchange.Totals(now)
 	for index := range daemon.candidates {
 		open := daemon.open[zoneToken(index)]
-		if areWhole {
+		if areComplete {
 			open = totals[loadshare.MarkOf(zoneToken(index))]
 		}
 		daemon.candidates[index].Signal.SetOpen(open)
@@ -139,7 +139,7 @@
 	index := balance.Pick(&request, daemon.candidates, z.random)
 	daemon.candidates[index].Signal.NotePick(now)
 	target := z.targets[index]
-	target.change(now, z.half(), 1)
+	target.addFlows(now, z.measuredFrom(), 1)
 	daemon.open[zoneToken(index)]++
 	ends := now.Add(time.Duration(z.random.ExpFloat64() * float64(z.config.FlowLife)))
 	z.clock.After(ends.Sub(now), func() { z.close(daemon, index) })
@@ -147,18 +147,18 @@
 }
 
 func (z *zoneLoad) close(daemon *zoneDaemon, index int) {
-	z.targets[index].change(z.clock.Now(), z.half(), -1)
+	z.targets[index].addFlows(z.clock.Now(), z.measuredFrom(), -1)
 	if daemon.open[zoneToken(index)]--; daemon.open[zoneToken(index)] == 0 {
 		delete(daemon.open, zoneToken(index))
 	}
 	z.openMany(0, 1)
 }
 
-// half returns the time at which measurements begin.
-func (z *zoneLoad) half() time.Time { return z.begun.Add(z.config.Span / 2) }
+// measuredFrom returns the time at which measurements begin.
+func (z *zoneLoad) measuredFrom() time.Time { return z.begun.Add(z.config.Span / 2) }
 
-// change records that flows were opened or closed.
-func (t *zoneTarget) change(now, measuredFrom time.Time, by int) {
+// addFlows records that flows were opened or closed.
+func (t *zoneTarget) addFlows(now, measuredFrom time.Time, delta int) {
 	if since := t.changed; now.After(measuredFrom) {
 		if since.Before(measuredFrom) {
 			since = measuredFrom
@@ -166,7 +166,7 @@
 		t.flowTime += time.Duration(t.flows) * now.Sub(since)
 	}
 	t.changed = now
-	t.flows += by
+	t.flows += delta
 }
 
 // request serves the next request of a flow and schedules the following ones until the flow ends.
@@ -174,47 +174,47 @@
 	pause := time.Duration(z.random.ExpFloat64() / z.config.RequestsPerSecond * float64(time.Second))
 	z.clock.After(pause, func() {
 		now := z.clock.Now()
-		if !now.Before(flowEnds) || target.isGone {
+		if !now.Before(flowEnds) || target.isRemoved {
 			return
 		}
 		slot := 0
 		if target.freeAt[1].Before(target.freeAt[0]) {
 			slot = 1
 		}
-		begins := now
+		startsAt := now
 		if target.freeAt[slot].After(now) {
-			begins = target.freeAt[slot]
+			startsAt = target.freeAt[slot]
 		}
-		target.freeAt[slot] = begins.Add(z.config.Work)
-		if now.After(z.half()) {
+		target.freeAt[slot] = startsAt.Add(z.config.Work)
+		if now.After(z.measuredFrom()) {
 			target.requests++
-			z.waits = append(z.waits, begins.Sub(now))
+			z.waits = append(z.waits, startsAt.Sub(now))
 		}
 		z.request(target, flowEnds)
 	})
 }
 
-// disturb removes some targets, reopens their flows and opens additional ones.
-func (z *zoneLoad) disturb(more int) {
+// failTargets removes some targets, reopens their flows and opens additional ones.
+func (z *zoneLoad) failTargets(extraFlows int) {
 	for index := range int(z.config.LoseShare * float64(len(z.targets))) {
 		target := z.targets[index]
-		target.isGone = true
+		target.isRemoved = true
 		for _, daemon := range z.daemons {
 			daemon.candidates[index].Weight = 0
 			delete(daemon.open, zoneToken(index))
 		}
-		more += target.flows
+		extraFlows += target.flows
 	}
-	z.openMany(0, more)
+	z.openMany(0, extraFlows)
 }
 
 func (z *zoneLoad) result() ZoneLoadResult {
 	var flows, requests []float64
 	for _, target := range z.targets {
-		if target.isGone {
+		if target.isRemoved {
 			continue
 		}
-		target.change(z.clock.Now(), z.half(), 0)
+		target.addFlows(z.clock.Now(), z.measuredFrom(), 0)
 		flows = append(flows, target.flowTime.Seconds())
 		requests = append(requests, float64(target.requests))
 	}
--- a/internal/simulation/zoneload_test.go
+++ b/internal/simulation/zoneload_test.go
@@ -22,21 +22,21 @@
 	}
 }
 
-// TestToldFlowsSpreadLoad checks that gossip of open flows reduces the imbalance at each size and
+// TestGossipedFlowCountsSpreadLoad checks that gossip of open flows reduces the imbalance at each size and
 // load, also during a burst while a third of the targets fails, without longer waits.
-func TestToldFlowsSpreadLoad(t *testing.T) {
+func TestGossipedFlowCountsSpreadLoad(t *testing.T) {
 	t.Parallel()
 	for _, size := range zoneSizes {
 		for _, busy := range []float64{0.05, 0.3, 0.6} {
 			for _, isDisturbed := range []bool{false, true} {
-				isTold := size.targets < 100
-				isLong := !isTold && busy > 0.3 || testing.Short() && (size.targets > 50 || busy > 0.3)
-				if isLong {
+				fitsMessages := size.targets < 100
+				isSlow := !fitsMessages && busy > 0.3 || testing.Short() && (size.targets > 50 || busy > 0.3)
+				if isSlow {
 					continue
 				}
 				t.Run(fmt.Sprintf("%d daemons, %.0f %% busy, disturbed %t", size.fleet, 100*busy, isDisturbed), func(t *testing.T) {
 					config := zoneLoadAt(size.daemons, size.targets, busy)
-					if !isTold {
+					if !fitsMessages {
 						config.Span /= 2
 					}
 					if isDisturbed {
@@ -51,7 +51,7 @@
 					// Where daemons have more flows than fit into their messages, each uses its own
 					// counts, which changes little; results differ more between seeds there.
 					flowsMargin, waitsMargin := 1.05, 1.0
-					if !isTold {
+					if !fitsMessages {
 						flowsMargin, waitsMargin = 1.15, 1.3
 					}
 					assert.Assert(t, with.FlowsMaxToMean <= without.FlowsMaxToMean*flowsMargin)
