--- a/internal/simulation/broken_rules_test.go
+++ b/internal/simulation/broken_rules_test.go
@@ -122,9 +122,10 @@
 	}
 }
 
-// restartVoterAfterCommit runs the schedule in which a voter that lost its log is harmful: the leader and
-// one follower commit a change, that follower restarts, the leader dies, and the third replica,
-// which was cut off, returns. It returns the number of accepted changes and the violations.
+// restartVoterAfterCommit runs the schedule in which a voter that lost its log is harmful: the
+// leader and one follower commit a change, that follower restarts, the leader dies, and the third
+// replica, which was cut off, returns. It returns the number of accepted changes and the
+// violations.
 func restartVoterAfterCommit(seed uint64, keepIdentity bool) (int, []string) {
 	fleet := newTestFleet(seed, 3)
 	fleet.KeepIdentity = keepIdentity
--- a/internal/simulation/coldstart_test.go
+++ b/internal/simulation/coldstart_test.go
@@ -21,13 +21,13 @@
 // coldStart is the start of a whole fleet without any state.
 type coldStart struct {
 	*followedRun
-	begun time.Time
+	startedAt time.Time
 }
 
 // newColdStart starts a fleet in random order, its seeds last, on links of two rates.
 func newColdStart(seed uint64, daemons, targets int, config followed.FleetConfig) *coldStart {
 	fleet := NewFollowedFleet(seed, daemons, testZones, config, DefaultNetworkConfig())
-	run := &coldStart{followedRun: newFollowedRun(seed, fleet), begun: fleet.Clock.Now()}
+	run := &coldStart{followedRun: newFollowedRun(seed, fleet), startedAt: fleet.Clock.Now()}
 	run.Links = NewLinks()
 	run.Store.Links = run.Links
 	run.configure()
@@ -51,7 +51,7 @@
 	for _, daemon := range r.Daemons {
 		delay := time.Hour
 		if !daemon.ReadyAt.IsZero() {
-			delay = daemon.ReadyAt.Sub(r.begun)
+			delay = daemon.ReadyAt.Sub(r.startedAt)
 		}
 		delays = append(delays, delay)
 	}
@@ -160,8 +160,8 @@
 	assert.Assert(t, looked > 10 && late == looked, "%d of %d late", late, looked)
 }
 
-// testPagedStart starts 1,000 daemons with a store whose content is as large as 10,000 targets, in 50
-// pages. Nine tenths must have it within 5 s.
+// testPagedStart starts 1,000 daemons with a store whose content is as large as 10,000 targets, in
+// 50 pages. Nine tenths must have it within 5 s.
 func testPagedStart(t *testing.T, targetBytes int64) {
 	t.Helper()
 	t.Parallel()
--- a/internal/simulation/dead_targets_test.go
+++ b/internal/simulation/dead_targets_test.go
@@ -99,8 +99,8 @@
 	assert.Assert(t, found > 0)
 }
 
-// notificationDelays crashes three targets at once. It returns how long callers with open flows to them
-// waited for a reset, or until the end of the run.
+// notificationDelays crashes three targets at once. It returns how long callers with open flows to
+// them waited for a reset, or until the end of the run.
 func notificationDelays(seed uint64, notify ToldWhen) []time.Duration {
 	run := startFlowRun(seed)
 	run.Told = notify
@@ -143,8 +143,8 @@
 	assert.Assert(t, median[ToldNever] > 2*time.Second)
 }
 
-// TestIdleTargetOfUnresponsiveZoneKeepsItsFlows crashes all other targets of a zone while the callers of
-// one target are idle, so that it shows no activity.
+// TestIdleTargetOfUnresponsiveZoneKeepsItsFlows crashes all other targets of a zone while the
+// callers of one target are idle, so that it shows no activity.
 func TestIdleTargetOfUnresponsiveZoneKeepsItsFlows(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, seed uint64) {
@@ -183,8 +183,8 @@
 	})
 }
 
-// TestCallersOfLostZoneWithFewFlowsPerTargetAreNotified crashes a zone in which hardly any target has
-// several callers with pending requests.
+// TestCallersOfLostZoneWithFewFlowsPerTargetAreNotified crashes a zone in which hardly any target
+// has several callers with pending requests.
 func TestCallersOfLostZoneWithFewFlowsPerTargetAreNotified(t *testing.T) {
 	t.Parallel()
 	var waits []time.Duration
--- a/internal/simulation/flows_liveness.go
+++ b/internal/simulation/flows_liveness.go
@@ -94,9 +94,9 @@
 		return
 	}
 	isDead := func(target uint32) bool { return m.shouldResetIdle(path, target) }
-	for _, resting := range path.requests.TakeResting(isDead, flowTableSize) {
+	for _, idle := range path.requests.TakeResting(isDead, flowTableSize) {
 		m.Resting++
-		m.reset(resting.Source, resting.Token)
+		m.reset(idle.Source, idle.Token)
 	}
 }
 
@@ -105,8 +105,8 @@
 	return m.AllRestAtDead || path.table.IsDeadToken(m.Clock.Now(), target)
 }
 
-// notificationBound is the time from the first detection of a dead target until all its idle flows are
-// reset. It covers the gossip of the verdict, the daemons' ticks and the resets.
+// notificationBound is the time from the first detection of a dead target until all its idle flows
+// are reset. It covers the gossip of the verdict, the daemons' ticks and the resets.
 const notificationBound = 300 * time.Millisecond
 
 // noteVerdict records when a target was first declared dead.
--- a/internal/simulation/followed_scale_test.go
+++ b/internal/simulation/followed_scale_test.go
@@ -115,8 +115,8 @@
 	return view
 }
 
-// TestFailureDetectionInLargeFleet kills many daemons. All others must detect the failures in time, without
-// false positives and without exceeding the bandwidth bound.
+// TestFailureDetectionInLargeFleet kills many daemons. All others must detect the failures in time,
+// without false positives and without exceeding the bandwidth bound.
 func TestFailureDetectionInLargeFleet(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
@@ -124,8 +124,8 @@
 	}
 	daemons := *fleetSize
 	const (
-		// detectionBound is the detection bound. Gossip spreads most failures within 15 s; failures that
-		// exceed what its messages carry spread by anti-entropy, once a minute.
+		// detectionBound is the detection bound. Gossip spreads most failures within 15 s; failures
+		// that exceed what its messages carry spread by anti-entropy, once a minute.
 		detectionBound = 75 * time.Second
 		// maxBytesPerSecond is the maximum rate at which a daemon sends, in bytes per second.
 		maxBytesPerSecond = 4 << 10
--- a/internal/simulation/idle_flows_test.go
+++ b/internal/simulation/idle_flows_test.go
@@ -45,7 +45,8 @@
 	}
 }
 
-// simulateCrashes repeats crashes, together with faults that resemble dead targets if disturb is set.
+// simulateCrashes repeats crashes, together with faults that resemble dead targets if disturb is
+// set.
 func (r *flowRun) simulateCrashes(disturb bool) {
 	for range 4 {
 		r.crashTargets()
@@ -108,8 +109,8 @@
 	assert.Assert(t, hasViolation(run, "FLOW"), "%v", run.Violations)
 }
 
-// TestCheckDetectsHastyVerdictOnIdleFlows checks that a detector that trusts a single report, without
-// probes or a refutation period, is detected.
+// TestCheckDetectsHastyVerdictOnIdleFlows checks that a detector that trusts a single report,
+// without probes or a refutation period, is detected.
 func TestCheckDetectsHastyVerdictOnIdleFlows(t *testing.T) {
 	t.Parallel()
 	found := 0
@@ -138,8 +139,8 @@
 	}
 }
 
-// TestVerdictReachesDaemonThatMissedItsDatagram uses schedules in which a daemon misses the datagram with
-// a verdict, and must not forward a request to the dead target.
+// TestVerdictReachesDaemonThatMissedItsDatagram uses schedules in which a daemon misses the
+// datagram with a verdict, and must not forward a request to the dead target.
 func TestVerdictReachesDaemonThatMissedItsDatagram(t *testing.T) {
 	t.Parallel()
 	for _, seed := range []uint64{238, 283, 344, 347, 372, 378} {
--- a/internal/simulation/links.go
+++ b/internal/simulation/links.go
@@ -90,8 +90,8 @@
 	return bytes
 }
 
-// transferAnswer transfers a response of the store over both links and returns the time it takes. A response
-// larger than the call's limit is aborted.
+// transferAnswer transfers a response of the store over both links and returns the time it takes. A
+// response larger than the call's limit is aborted.
 func (l *Links) transferAnswer(now time.Time, daemon int, call *followed.Call, answer *followed.Answer) time.Duration {
 	l.store.bytesPerSecond = l.Store
 	bytes := l.answerBytes(answer)
@@ -108,8 +108,8 @@
 	return l.daemonLink(daemon).backlog(now) >= l.BusyAfter
 }
 
-// transferDelta transfers a delta from a peer over both links and returns the time it takes. Only snapshots
-// count.
+// transferDelta transfers a delta from a peer over both links and returns the time it takes. Only
+// snapshots count.
 func (l *Links) transferDelta(now time.Time, from, to int, delta *followed.Delta) time.Duration {
 	if delta.Since > 0 || len(delta.Entries) == 0 {
 		return 0
--- a/internal/simulation/orders_test.go
+++ b/internal/simulation/orders_test.go
@@ -11,8 +11,8 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// evacuatedIn returns the zones under an evacuation order in a view.
-func evacuatedIn(view *storeview.View) []string {
+// evacuatedZones returns the zones under an evacuation order in a view.
+func evacuatedZones(view *storeview.View) []string {
 	var zones []string
 	for _, order := range view.Orders() {
 		zones = append(zones, order.Zone)
@@ -87,7 +87,7 @@
 		}
 		run.Clock.Advance(3 * time.Second)
 		for _, daemon := range killed {
-			assert.DeepEqual(t, evacuatedIn(run.Daemons[daemon].Core.View()), []string{testZones[0]})
+			assert.DeepEqual(t, evacuatedZones(run.Daemons[daemon].Core.View()), []string{testZones[0]})
 		}
 	}
 }
@@ -147,7 +147,7 @@
 		{"105 daemons", 105, 5, failNone, time.Second},
 		{"350 daemons", 350, 1, failNone, time.Second},
 		{"105 daemons, reader killed", 105, 5, (*followedRun).killReaders, convergenceBound},
-		{"105 daemons, reader refused", 105, 5, (*followedRun).refuseReaders, convergenceBound},
+		{"105 daemons, reader refused", 105, 5, (*followedRun).throttleReaders, convergenceBound},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var longest time.Duration
@@ -186,7 +186,7 @@
 // waitForRevision returns the time until every running daemon has a revision.
 func (r *followedRun) waitForRevision(t *testing.T, revision uint64, within time.Duration) time.Duration {
 	t.Helper()
-	began := r.Clock.Now()
+	start := r.Clock.Now()
 	for {
 		outdated := 0
 		for _, daemon := range r.Daemons {
@@ -194,11 +194,11 @@
 				outdated++
 			}
 		}
-		took := r.Clock.Now().Sub(began)
+		elapsed := r.Clock.Now().Sub(start)
 		if outdated == 0 {
-			return took
+			return elapsed
 		}
-		assert.Assert(t, took < within, "%d daemons do not have revision %d after %s", outdated, revision, took)
+		assert.Assert(t, elapsed < within, "%d daemons do not have revision %d after %s", outdated, revision, elapsed)
 		r.Clock.Advance(10 * time.Millisecond)
 	}
 }
--- a/internal/simulation/overload.go
+++ b/internal/simulation/overload.go
@@ -83,19 +83,19 @@
 }
 
 type overloadRun struct {
-	config  OverloadConfig
-	clock   *Clock
-	random  *rand.Rand
-	begun   time.Time
-	daemons []*overloadDaemon
-	targets []*overloadTarget
-	result  OverloadResult
+	config    OverloadConfig
+	clock     *Clock
+	random    *rand.Rand
+	startedAt time.Time
+	daemons   []*overloadDaemon
+	targets   []*overloadTarget
+	result    OverloadResult
 }
 
 // Overload runs a load in virtual time.
 func Overload(config OverloadConfig) OverloadResult {
 	run := &overloadRun{config: config, clock: NewClock(), random: rand.New(rand.NewPCG(config.Seed, 31))}
-	run.begun = run.clock.Now()
+	run.startedAt = run.clock.Now()
 	for index := range config.Targets {
 		target := &overloadTarget{work: overloadServiceTime}
 		if float64(index) < config.SlowShare*float64(config.Targets) {
@@ -140,10 +140,12 @@
 }
 
 // burstEnds returns the end of the burst.
-func (o *overloadRun) burstEnds() time.Time { return o.begun.Add(overloadLeadTime + o.config.Burst) }
+func (o *overloadRun) burstEnds() time.Time {
+	return o.startedAt.Add(overloadLeadTime + o.config.Burst)
+}
 
 func (o *overloadRun) offeredLoad(now time.Time) float64 {
-	if now.Before(o.begun.Add(overloadLeadTime)) || !now.Before(o.burstEnds()) {
+	if now.Before(o.startedAt.Add(overloadLeadTime)) || !now.Before(o.burstEnds()) {
 		return o.config.Load / 5
 	}
 	return o.config.Load
--- a/internal/simulation/overload_test.go
+++ b/internal/simulation/overload_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestAdmissionControlCostsLittleNearCapacity offers nine tenths of the capacity of targets of which three in
-// ten are slow and reject requests that others could have served.
+// TestAdmissionControlCostsLittleNearCapacity offers nine tenths of the capacity of targets of
+// which three in ten are slow and reject requests that others could have served.
 func TestAdmissionControlCostsLittleNearCapacity(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
--- a/internal/simulation/readers_test.go
+++ b/internal/simulation/readers_test.go
@@ -15,8 +15,8 @@
 	// also right after a start. It allows for the loss of a gossip message and for a pull to a
 	// daemon that is down.
 	updateBound = 1500 * time.Millisecond
-	// readerReplacementBound is the time within which a reader that died, paused or lost the store is
-	// replaced; updateBound applies again from then on.
+	// readerReplacementBound is the time within which a reader that died, paused or lost the store
+	// is replaced; updateBound applies again from then on.
 	readerReplacementBound = 2700 * time.Millisecond
 	// updateInterval is the time between two updates.
 	updateInterval = 100 * time.Millisecond
@@ -25,8 +25,8 @@
 // readersRun runs a fleet with a healthy store, while daemons start, die, pause and lose the store.
 type readersRun struct {
 	*followedRun
-	// lostAt is when a daemon was last lost, or lost or regained the store.
-	lostAt time.Time
+	// lastFailure is when a daemon last failed, or lost or regained the store.
+	lastFailure time.Time
 }
 
 func startReadersRun(seed uint64, config followed.FleetConfig) *readersRun {
@@ -35,18 +35,18 @@
 	return run
 }
 
-func (r *readersRun) noteLoss() { r.lostAt = r.Clock.Now() }
+func (r *readersRun) noteFailure() { r.lastFailure = r.Clock.Now() }
 
 // restartShare kills some daemons and restarts them together. If all are killed, none waits for a
 // lost reader, so the bound applies at once.
 func (r *readersRun) restartShare(share float64) {
 	if share < 1 {
-		r.noteLoss()
+		r.noteFailure()
 	}
-	down := time.Duration(r.random.Int64N(int64(2 * time.Second)))
+	downtime := time.Duration(r.random.Int64N(int64(2 * time.Second)))
 	for index, daemon := range r.Daemons {
 		if daemon.Core != nil && r.random.Float64() < share {
-			r.restart(index, down+time.Duration(r.random.Int64N(int64(300*time.Millisecond))))
+			r.restart(index, downtime+time.Duration(r.random.Int64N(int64(300*time.Millisecond))))
 		}
 	}
 }
@@ -60,24 +60,24 @@
 		}
 	}
 	duration := 500*time.Millisecond + time.Duration(r.random.Int64N(int64(6*time.Second)))
-	r.noteLoss()
+	r.noteFailure()
 	switch r.random.IntN(3) {
 	case 0:
 		r.Pause(daemon, duration)
-		r.Clock.After(duration, r.noteLoss)
+		r.Clock.After(duration, r.noteFailure)
 	case 1:
-		r.markFor(r.refused, daemon, duration, false)
-		r.Clock.After(duration, r.noteLoss)
+		r.markFor(r.throttled, daemon, duration, false)
+		r.Clock.After(duration, r.noteFailure)
 	case 2:
 		r.markFor(r.unreachable, daemon, duration, false)
-		r.Clock.After(duration, r.noteLoss)
+		r.Clock.After(duration, r.noteFailure)
 	}
 }
 
 // checkUpdates checks updateBound for every daemon that is up and not paused.
 func (r *readersRun) checkUpdates() {
 	now := r.Clock.Now()
-	if now.Sub(r.lostAt) < readerReplacementBound+updateBound {
+	if now.Sub(r.lastFailure) < readerReplacementBound+updateBound {
 		return
 	}
 	required := r.Store.RevisionAt(now.Add(-updateBound))
@@ -124,8 +124,8 @@
 	})
 }
 
-// TestUpdatesArriveDespiteReaderFailures covers readers that die, pause, or are throttled or cut off by
-// a store that serves the others.
+// TestUpdatesArriveDespiteReaderFailures covers readers that die, pause, or are throttled or cut
+// off by a store that serves the others.
 func TestUpdatesArriveDespiteReaderFailures(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, seed uint64) {
@@ -141,8 +141,8 @@
 	})
 }
 
-// TestSingleReaderAfterFaults checks that exactly one daemon reads on behalf of the group some time after
-// the faults.
+// TestSingleReaderAfterFaults checks that exactly one daemon reads on behalf of the group some time
+// after the faults.
 func TestSingleReaderAfterFaults(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, seed uint64) {
--- a/internal/simulation/speedload.go
+++ b/internal/simulation/speedload.go
@@ -103,7 +103,7 @@
 	config    SpeedLoadConfig
 	clock     *Clock
 	random    *rand.Rand
-	begun     time.Time
+	startedAt time.Time
 	targets   []*speedTarget
 	daemons   []*speedDaemon
 	latencies []time.Duration
@@ -114,7 +114,7 @@
 // SpeedLoad runs a zone's load in virtual time.
 func SpeedLoad(config SpeedLoadConfig) SpeedLoadResult {
 	run := &speedLoad{config: config, clock: NewClock(), random: rand.New(rand.NewPCG(config.Seed, 34))}
-	run.begun = run.clock.Now()
+	run.startedAt = run.clock.Now()
 	for index := range config.Targets {
 		run.targets = append(run.targets, &speedTarget{speed: config.Speeds[index%len(config.Speeds)]})
 	}
@@ -182,7 +182,8 @@
 	s.clock.After(zoneGossipInterval, func() { s.gossip(daemon) })
 }
 
-// scaleSpeeds scales the speed of the first targets. With IsCold, daemons also see them in slow start.
+// scaleSpeeds scales the speed of the first targets. With IsCold, daemons also see them in slow
+// start.
 func (s *speedLoad) scaleSpeeds(factor float64) {
 	for index := range s.config.SlowTargets {
 		s.targets[index].speed *= factor
@@ -190,7 +191,7 @@
 			continue
 		}
 		for _, daemon := range s.daemons {
-			daemon.candidates[index].WarmAt = s.begun.Add(s.config.SlowUntil)
+			daemon.candidates[index].WarmAt = s.startedAt.Add(s.config.SlowUntil)
 		}
 	}
 }
@@ -254,8 +255,8 @@
 
 // request sends a request to a target and calls over when it is complete.
 func (s *speedLoad) request(daemon *speedDaemon, index, kind int, mean time.Duration, done func(isServed bool)) {
-	begun, target, signal := s.clock.Now(), s.targets[index], daemon.candidates[index].Signal
-	isMeasured := begun.Sub(s.begun) >= s.config.From
+	startedAt, target, signal := s.clock.Now(), s.targets[index], daemon.candidates[index].Signal
+	isMeasured := startedAt.Sub(s.startedAt) >= s.config.From
 	if isMeasured {
 		s.result.Arrivals++
 	}
@@ -270,17 +271,17 @@
 	s.serve(target, mean, func() {
 		s.clock.After(speedRoundTrip, func() {
 			signal.NoteWaiting(-1)
-			s.noteResponse(daemon, index, kind, begun)
+			s.noteResponse(daemon, index, kind, startedAt)
 			done(true)
 		})
 	})
 }
 
 // noteResponse records the first byte of a response at a daemon.
-func (s *speedLoad) noteResponse(daemon *speedDaemon, index, kind int, begun time.Time) {
+func (s *speedLoad) noteResponse(daemon *speedDaemon, index, kind int, startedAt time.Time) {
 	now := s.clock.Now()
-	latency := now.Sub(begun)
-	if begun.Sub(s.begun) >= s.config.From {
+	latency := now.Sub(startedAt)
+	if startedAt.Sub(s.startedAt) >= s.config.From {
 		s.latencies = append(s.latencies, latency)
 	}
 	if s.random.Float64() < s.config.LateShare {
@@ -303,7 +304,7 @@
 	const spread = 0.5
 	work := float64(mean) * math.Exp(spread*s.random.NormFloat64()-spread*spread/2) / target.speed
 	target.busy++
-	if s.clock.Now().Sub(s.begun) >= s.config.From {
+	if s.clock.Now().Sub(s.startedAt) >= s.config.From {
 		target.busyTime += time.Duration(work)
 	}
 	s.clock.After(time.Duration(work), func() {
--- a/internal/simulation/speedload_test.go
+++ b/internal/simulation/speedload_test.go
@@ -84,7 +84,8 @@
 	})
 }
 
-// TestLearnedSpeedsDoNotHarmEqualTargets checks that noise in the estimates of equal targets does no harm.
+// TestLearnedSpeedsDoNotHarmEqualTargets checks that noise in the estimates of equal targets does
+// no harm.
 func TestLearnedSpeedsDoNotHarmEqualTargets(t *testing.T) {
 	t.Parallel()
 	for _, daemons := range []int{3, 22, 88} {
@@ -134,8 +135,8 @@
 	})
 }
 
-// TestFalseSpeedsOfOneDaemonHaveLittleEffect checks that one daemon that gossips wrong speeds hardly changes
-// the estimates of the others. It balances its own share of the flows badly.
+// TestFalseSpeedsOfOneDaemonHaveLittleEffect checks that one daemon that gossips wrong speeds
+// hardly changes the estimates of the others. It balances its own share of the flows badly.
 func TestFalseSpeedsOfOneDaemonHaveLittleEffect(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
--- a/internal/simulation/state_loss_test.go
+++ b/internal/simulation/state_loss_test.go
@@ -87,7 +87,7 @@
 	case 6:
 		r.Store.Forget()
 	case 7:
-		r.disturbStore([]StoreState{StoreSilent, StoreBroken, StoreRefusing}[r.random.IntN(3)], duration)
+		r.setStoreState([]StoreState{StoreSilent, StoreBroken, StoreRefusing}[r.random.IntN(3)], duration)
 	}
 }
 
@@ -106,8 +106,8 @@
 	r.Clock.After(duration, func() { r.Cut, r.Store.StateFor = nil, nil })
 }
 
-// sendStrays sends packets with tokens that are invalid at their address: bound to another address, for
-// a target of each service; an unbound one; zero; and a random one.
+// sendStrays sends packets with tokens that are invalid at their address: bound to another address,
+// for a target of each service; an unbound one; zero; and a random one.
 func (r *stateLossRun) sendStrays() {
 	caller := netip.MustParseAddrPort("100.127.0.1:9")
 	for _, targets := range r.activeTargets {
@@ -155,9 +155,9 @@
 	r.Clock.After(5700*time.Millisecond, func() { r.add(r.otherService(service), target.Address) })
 }
 
-// TestFlowsSurviveLossOfDaemonState checks that daemons that were restarted or isolated still forward
-// the flows of routes that changed, reset only the flows of removed routes, and forward no invalid
-// token.
+// TestFlowsSurviveLossOfDaemonState checks that daemons that were restarted or isolated still
+// forward the flows of routes that changed, reset only the flows of removed routes, and forward no
+// invalid token.
 func TestFlowsSurviveLossOfDaemonState(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, seed uint64) {
--- a/internal/simulation/store_outage_test.go
+++ b/internal/simulation/store_outage_test.go
@@ -9,8 +9,8 @@
 	"github.com/passtray/passtray/internal/followed"
 )
 
-// callsDuringOutage returns the number of calls made by the daemons from the start of a store outage
-// until some time after it.
+// callsDuringOutage returns the number of calls made by the daemons from the start of a store
+// outage until some time after it.
 func callsDuringOutage(t *testing.T, daemons int, config followed.FleetConfig) int {
 	t.Helper()
 	run := newFollowedRun(1, NewFollowedFleet(1, daemons, testZones, config, DefaultNetworkConfig()))
@@ -35,13 +35,13 @@
 
 const (
 	outageDuration = 7 * time.Second
-	// maxOutageCallsPerSecond limits the calls of all daemons to an unavailable store: one every 25 ms in
-	// turn, and at most as many retries.
+	// maxOutageCallsPerSecond limits the calls of all daemons to an unavailable store: one every 25
+	// ms in turn, and at most as many retries.
 	maxOutageCallsPerSecond = 100
 )
 
-// TestOutageCallsIndependentOfFleetSize checks that the number of calls depends on the duration of an
-// outage, not on the number of daemons.
+// TestOutageCallsIndependentOfFleetSize checks that the number of calls depends on the duration of
+// an outage, not on the number of daemons.
 func TestOutageCallsIndependentOfFleetSize(t *testing.T) {
 	t.Parallel()
 	for _, daemons := range []int{20, 80, 240} {
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestOutageCallsGrowWithFleetSizeWithoutStaggering disables the staggering by rank: all daemons call as
-// soon as their view is stale.
+// TestOutageCallsGrowWithFleetSizeWithoutStaggering disables the staggering by rank: all daemons
+// call as soon as their view is stale.
 func TestOutageCallsGrowWithFleetSizeWithoutStaggering(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
--- a/internal/simulation/store_restore_test.go
+++ b/internal/simulation/store_restore_test.go
@@ -17,15 +17,15 @@
 	expiryTime  = 3600 * time.Millisecond
 )
 
-// restoreStore takes the store down for some time and restores it from a backup that was made age
-// before the outage.
-func (r *followedRun) restoreStore(outage, age time.Duration) {
-	copiedAt := r.Clock.Now().Add(-age)
+// restoreStore takes the store down for some time and restores it from a backup that was made
+// backupAge before the outage.
+func (r *followedRun) restoreStore(outage, backupAge time.Duration) {
+	backupAt := r.Clock.Now().Add(-backupAge)
 	r.restoredUntil = r.Clock.Now().Add(outage + r.rewriteAfter + expiryTime)
 	r.setStoreState(StoreBroken, outage)
 	r.Clock.After(outage, func() {
 		r.disturbStoreUntil(r.Clock.Now().Add(expiryTime))
-		for _, lost := range r.Store.Restore(copiedAt) {
+		for _, lost := range r.Store.Restore(backupAt) {
 			delay := r.rewriteAfter + time.Duration(r.random.Int64N(int64(rewriteTime)))
 			if lost.IsRemoval() && !isNotTarget(lost) {
 				delay = expiryTime // a stopped target writes nothing; its entry expires
@@ -97,8 +97,8 @@
 	}
 }
 
-// TestStoreRestoreRevertsNothing checks that daemons keep newer entries when the store is restored from
-// an older backup, until their writers have written them again.
+// TestStoreRestoreRevertsNothing checks that daemons keep newer entries when the store is restored
+// from an older backup, until their writers have written them again.
 func TestStoreRestoreRevertsNothing(t *testing.T) {
 	t.Parallel()
 	for seed := range seedCount(20) {
@@ -117,7 +117,7 @@
 			for index, daemon := range run.Daemons {
 				view := daemon.Core.View()
 				assert.Equal(t, view.Target(started).State(), storeview.StateOpen, "seed %d, daemon %d", seed, index)
-				assert.DeepEqual(t, evacuatedIn(view), []string{testZones[0]})
+				assert.DeepEqual(t, evacuatedZones(view), []string{testZones[0]})
 			}
 		}
 		run.verifyConverged()
@@ -215,7 +215,7 @@
 		if activeAfter == 0 && len(run.outdated(nil)) == 0 {
 			activeAfter = run.Clock.Now().Sub(writtenAt)
 		}
-		if run.allKnowEpoch(1) {
+		if run.allInEpoch(1) {
 			enteredAfter = run.Clock.Now().Sub(writtenAt)
 		}
 	}
@@ -225,7 +225,7 @@
 	assert.Assert(t, enteredAfter > 0 && enteredAfter <= convergence, "epoch entered after %s", enteredAfter)
 }
 
-func (r *followedRun) allKnowEpoch(epoch uint64) bool {
+func (r *followedRun) allInEpoch(epoch uint64) bool {
 	for _, daemon := range r.Daemons {
 		if storeview.EpochOf(daemon.Core.View().Revision()) < epoch {
 			return false
@@ -236,11 +236,11 @@
 
 // restoreStoreDuringFlows takes the store down and restores it from a backup. Operators and running
 // targets write lost entries again; entries of other targets expire.
-func (r *flowRun) restoreStoreDuringFlows(outage, age time.Duration) {
-	copiedAt := r.Clock.Now().Add(-age)
-	r.disturbStore(StoreBroken, outage)
+func (r *flowRun) restoreStoreDuringFlows(outage, backupAge time.Duration) {
+	backupAt := r.Clock.Now().Add(-backupAge)
+	r.setStoreState(StoreBroken, outage)
 	r.Clock.After(outage, func() {
-		for _, lost := range r.Store.Restore(copiedAt) {
+		for _, lost := range r.Store.Restore(backupAt) {
 			isExpiring := lost.IsRemoval() || lost.Target != nil && !r.isAlive(lost.Key)
 			delay := time.Duration(r.random.Int64N(int64(rewriteTime)))
 			if isExpiring {
--- a/internal/simulation/strong_daemons_test.go
+++ b/internal/simulation/strong_daemons_test.go
@@ -40,14 +40,15 @@
 	return run
 }
 
-// maxUpdateLatency returns the longest time in which one of several separate updates reached every daemon.
+// maxUpdateLatency returns the longest time in which one of several separate updates reached every
+// daemon.
 func (r *readersRun) maxUpdateLatency() time.Duration {
 	longest := time.Duration(0)
 	for range 10 {
 		r.Clock.Advance(1100 * time.Millisecond)
 		r.addTarget()
 		revision, written := r.Store.Revision(), r.Clock.Now()
-		for r.Clock.Now().Sub(written) < 5*time.Second && !r.allKnow(revision) {
+		for r.Clock.Now().Sub(written) < 5*time.Second && !r.allHaveRevision(revision) {
 			r.Clock.Advance(time.Millisecond)
 		}
 		longest = max(longest, r.Clock.Now().Sub(written))
@@ -55,7 +56,7 @@
 	return longest
 }
 
-func (r *readersRun) allKnow(revision uint64) bool {
+func (r *readersRun) allHaveRevision(revision uint64) bool {
 	for _, daemon := range r.Daemons {
 		if daemon.Core != nil && daemon.Core.View().Revision() < revision {
 			return false
@@ -79,12 +80,13 @@
 	assert.Assert(t, without > within, "%s", without)
 }
 
-// disturbStrongDaemon kills or pauses a strong daemon, or takes the store and its peers away from it.
+// disturbStrongDaemon kills or pauses a strong daemon, or takes the store and its peers away from
+// it.
 func (r *readersRun) disturbStrongDaemon() {
 	daemon := r.random.IntN(mixedDaemons/strongInterval) * strongInterval
 	duration := 500*time.Millisecond + time.Duration(r.random.Int64N(int64(6*time.Second)))
-	r.noteLoss()
-	r.Clock.After(duration, r.noteLoss)
+	r.noteFailure()
+	r.Clock.After(duration, r.noteFailure)
 	switch r.random.IntN(4) {
 	case 0:
 		r.restart(daemon, duration)
@@ -99,8 +101,8 @@
 	}
 }
 
-// TestUpdatesArriveDespiteStrongDaemonFailures checks the update bound and the number of calls while
-// strong daemons die, pause or are cut off.
+// TestUpdatesArriveDespiteStrongDaemonFailures checks the update bound and the number of calls
+// while strong daemons die, pause or are cut off.
 func TestUpdatesArriveDespiteStrongDaemonFailures(t *testing.T) {
 	t.Parallel()
 	seeds := uint64(6)
@@ -126,7 +128,7 @@
 			fail(index, duration)
 		}
 	}
-	r.noteLoss()
+	r.noteFailure()
 	r.simulateUpdates(int(duration.Seconds()), func() {})
 }
 
@@ -166,8 +168,8 @@
 	}
 }
 
-// maxSentBytes starts all daemons of a fleet at once. It returns the snapshot bytes that the busiest
-// daemon sends, and the time until nine tenths have a configuration.
+// maxSentBytes starts all daemons of a fleet at once. It returns the snapshot bytes that the
+// busiest daemon sends, and the time until nine tenths have a configuration.
 func maxSentBytes(seed uint64, daemons int, config followed.FleetConfig) (bytes int64, ready time.Duration) {
 	run := newColdStart(seed, daemons, maxEarlyTargets, config)
 	run.Clock.Advance(3 * time.Second)
--- a/internal/simulation/target_restarts_test.go
+++ b/internal/simulation/target_restarts_test.go
@@ -55,8 +55,8 @@
 	})
 }
 
-// TestRestartedTargetIsUsedImmediately checks that a verdict on an earlier incarnation neither keeps
-// flows from the later one nor resets its flows.
+// TestRestartedTargetIsUsedImmediately checks that a verdict on an earlier incarnation neither
+// keeps flows from the later one nor resets its flows.
 func TestRestartedTargetIsUsedImmediately(t *testing.T) {
 	t.Parallel()
 	opened := func(omitIncarnations bool) (opened int, violations []string) {
--- a/internal/simulation/zoneload.go
+++ b/internal/simulation/zoneload.go
@@ -64,22 +64,22 @@
 }
 
 type zoneLoad struct {
-	config  ZoneLoadConfig
-	clock   *Clock
-	random  *rand.Rand
-	begun   time.Time
-	targets []*zoneTarget
-	daemons []*zoneDaemon
-	waits   []time.Duration
-	bytes   int
+	config    ZoneLoadConfig
+	clock     *Clock
+	random    *rand.Rand
+	startedAt time.Time
+	targets   []*zoneTarget
+	daemons   []*zoneDaemon
+	waits     []time.Duration
+	bytes     int
 }
 
 // ZoneLoad runs a zone's load in virtual time.
 func ZoneLoad(config ZoneLoadConfig) ZoneLoadResult {
 	run := &zoneLoad{config: config, clock: NewClock(), random: rand.New(rand.NewPCG(config.Seed, 21))}
-	run.begun = run.clock.Now()
+	run.startedAt = run.clock.Now()
 	for range config.Targets {
-		run.targets = append(run.targets, &zoneTarget{changed: run.begun})
+		run.targets = append(run.targets, &zoneTarget{changed: run.startedAt})
 	}
 	for index := range config.Daemons {
 		run.daemons = append(run.daemons, run.newDaemon(index))
@@ -155,7 +155,7 @@
 }
 
 // measuredFrom returns the time at which measurements begin.
-func (z *zoneLoad) measuredFrom() time.Time { return z.begun.Add(z.config.Span / 2) }
+func (z *zoneLoad) measuredFrom() time.Time { return z.startedAt.Add(z.config.Span / 2) }
 
 // addFlows records that flows were opened or closed.
 func (t *zoneTarget) addFlows(now, measuredFrom time.Time, delta int) {
