--- a/internal/simulation/balance.go
+++ b/internal/simulation/balance.go
@@ -10,14 +10,13 @@
 	"github.com/passtray/passtray/internal/statistics"
 )
 
-// BalancePolicy is a way to choose a target, whole or with a part left out.
+// BalancePolicy is a way to choose a target.
 type BalancePolicy string
 
-// The policies.
 const (
-	// PolicyWhole is what daemons do.
+	// PolicyWhole is the policy of daemons.
 	PolicyWhole BalancePolicy = "passtray"
-	// PolicyNoReports chooses by own picks alone, PolicyNoPicks by reports alone.
+	// PolicyNoReports uses only the daemon's own picks, PolicyNoPicks only the targets' reports.
 	PolicyNoReports BalancePolicy = "without reports"
 	PolicyNoPicks   BalancePolicy = "without own picks"
 	// PolicyRandom, PolicyModulo and PolicyRendezvous are baselines.
@@ -26,27 +25,27 @@
 	PolicyRendezvous BalancePolicy = "rendezvous"
 )
 
-// BalancePolicies are all of them, in the order of a table.
+// BalancePolicies returns all policies in the order of result tables.
 func BalancePolicies() []BalancePolicy {
 	return []BalancePolicy{PolicyWhole, PolicyNoReports, PolicyNoPicks, PolicyRandom, PolicyModulo, PolicyRendezvous}
 }
 
-// BalanceConfig is a load and how well it is known.
+// BalanceConfig describes a load and the reports that daemons get of it.
 type BalanceConfig struct {
 	Policy  BalancePolicy
 	Daemons int
 	Targets int
-	// FeedsPerSecond open for FeedLife on average; RequestsPerSecond take
-	// RequestWork of a slot each.
+	// FeedsPerSecond long-lived flows open per second and last FeedLife on average.
+	// RequestsPerSecond short flows occupy a slot for RequestWork each.
 	FeedsPerSecond    float64
 	FeedLife          time.Duration
 	RequestsPerSecond float64
 	RequestWork       time.Duration
-	// ReportInterval is how often each open feed brings its target's report to
-	// some daemon; ReportLag how old it is by then.
+	// ReportInterval is how often each open feed delivers its target's report to a random daemon,
+	// ReportLag how old the report is on delivery.
 	ReportInterval time.Duration
 	ReportLag      time.Duration
-	// Liars is how many targets report an empty house.
+	// Liars is the number of targets that report to be idle.
 	Liars int
 	Span  time.Duration
 	Seed  uint64
@@ -70,7 +69,7 @@
 type balanceTarget struct {
 	connections int
 	busy        int
-	liar        bool
+	reportsIdle bool
 }
 
 func (t *balanceTarget) report() encapsulation.Report {
@@ -78,7 +77,7 @@
 		State: encapsulation.TargetAccepting, BusySlots: uint16(t.busy), Slots: slotsPerTarget,
 		Connections: uint32(t.connections), MaximumConnections: 2000,
 	}
-	if t.liar {
+	if t.reportsIdle {
 		report.BusySlots, report.Connections = 0, 0
 	}
 	return report
@@ -97,12 +96,12 @@
 	result     BalanceResult
 }
 
-// Balance plays one policy in virtual time.
+// Balance runs one policy in virtual time.
 func Balance(config BalanceConfig) BalanceResult {
 	run := &balanceRun{config: config, clock: NewClock(), random: rand.New(rand.NewPCG(config.Seed, 5))}
 	run.result.Policy = config.Policy
 	for index := range config.Targets {
-		run.targets = append(run.targets, &balanceTarget{liar: index < config.Liars})
+		run.targets = append(run.targets, &balanceTarget{reportsIdle: index < config.Liars})
 		run.nodes = append(run.nodes, ownership.Node{Seed: ownership.SeedOf([]byte{byte(index)}), Weight: 1})
 	}
 	for range config.Daemons {
@@ -112,15 +111,15 @@
 		}
 		run.candidates = append(run.candidates, candidates)
 	}
-	run.arrive(config.FeedsPerSecond, run.openFeed)
-	run.arrive(config.RequestsPerSecond, run.request)
+	run.scheduleArrivals(config.FeedsPerSecond, run.openFeed)
+	run.scheduleArrivals(config.RequestsPerSecond, run.request)
 	run.clock.After(config.Span/2, run.sample)
 	run.clock.Advance(config.Span)
 	run.finish()
 	return run.result
 }
 
-func (r *balanceRun) arrive(perSecond float64, call func()) {
+func (r *balanceRun) scheduleArrivals(perSecond float64, call func()) {
 	if perSecond <= 0 {
 		return
 	}
@@ -136,8 +135,8 @@
 	return time.Duration(r.random.ExpFloat64() * float64(mean))
 }
 
-// choose lets the flow's owner pick.
-func (r *balanceRun) choose() int {
+// pickTarget picks a target for a flow at the daemon that owns it.
+func (r *balanceRun) pickTarget() int {
 	hash := r.random.Uint64()
 	switch r.config.Policy {
 	case PolicyRandom:
@@ -156,8 +155,8 @@
 	return picked
 }
 
-// reportTo brings a target's report, as it is now, to a random daemon later.
-func (r *balanceRun) reportTo(index int) {
+// deliverReport delivers a target's current report to a random daemon after ReportLag.
+func (r *balanceRun) deliverReport(index int) {
 	if r.config.Policy == PolicyNoReports {
 		return
 	}
@@ -169,13 +168,13 @@
 }
 
 func (r *balanceRun) openFeed() {
-	index := r.choose()
+	index := r.pickTarget()
 	r.targets[index].connections++
 	isOpen := true
 	var report func()
 	report = func() {
 		if isOpen {
-			r.reportTo(index)
+			r.deliverReport(index)
 			r.clock.After(r.config.ReportInterval, report)
 		}
 	}
@@ -187,7 +186,7 @@
 }
 
 func (r *balanceRun) request() {
-	index := r.choose()
+	index := r.pickTarget()
 	target := r.targets[index]
 	target.connections++
 	r.requests++
@@ -195,11 +194,11 @@
 		r.waited++
 	}
 	target.busy++
-	r.reportTo(index)
-	// With all slots busy, work is shared, so it takes that much longer.
+	r.deliverReport(index)
+	// When all slots are busy, requests share them and take longer.
 	work := r.exponential(r.config.RequestWork) * time.Duration(1+target.busy/(slotsPerTarget+1))
 	r.clock.After(work, func() {
-		r.reportTo(index)
+		r.deliverReport(index)
 		target.busy--
 		target.connections--
 	})
@@ -212,11 +211,11 @@
 		connections = append(connections, float64(target.connections))
 		busy = append(busy, float64(target.busy))
 	}
-	ofConnections, _ := statistics.ImbalanceOf(connections)
-	ofBusy, _ := statistics.ImbalanceOf(busy)
-	r.result.ConnectionsMaxToMean += ofConnections.MaximumToMean
-	r.result.ConnectionsVariation += ofConnections.Variation
-	r.result.BusyMaxToMean += ofBusy.MaximumToMean
+	connectionImbalance, _ := statistics.ImbalanceOf(connections)
+	busyImbalance, _ := statistics.ImbalanceOf(busy)
+	r.result.ConnectionsMaxToMean += connectionImbalance.MaximumToMean
+	r.result.ConnectionsVariation += connectionImbalance.Variation
+	r.result.BusyMaxToMean += busyImbalance.MaximumToMean
 	r.samples++
 	r.clock.After(balanceSampling, r.sample)
 }
--- a/internal/simulation/flows_targets.go
+++ b/internal/simulation/flows_targets.go
@@ -8,7 +8,7 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// FlowTarget is one run of a back end in the model.
+// FlowTarget is one incarnation of a target.
 type FlowTarget struct {
 	Key        string
 	Identifier uint64
@@ -16,27 +16,25 @@
 	Address    netip.AddrPort
 	Zone       string
 	Alive      bool
-	// Mute has the target take flows and leave their requests unanswered.
+	// Mute has the target accept flows and leave their requests unanswered.
 	Mute bool
-	// Hangs has the target acknowledge requests and never answer them.
+	// Hangs has the target acknowledge requests and never respond.
 	Hangs bool
-	// LeavingAt is when the store took its word that it leaves, or its removal;
-	// zero while it stays.
+	// LeavingAt is when the store recorded that the target drains or was removed, zero before.
 	LeavingAt time.Time
 
-	// startedAt is when the run began.
 	startedAt time.Time
 	flows     map[*Flow]bool
 }
 
-// answersCallers reports whether the target takes in what its callers send.
-func (t *FlowTarget) answersCallers() bool { return t.Alive && !t.Mute }
+// isServing reports whether the target processes packets of callers.
+func (t *FlowTarget) isServing() bool { return t.Alive && !t.Mute }
 
-// AddTarget starts a target at an address and has the store say so.
+// AddTarget starts a target at an address and registers it in the store.
 func (m *FlowModel) AddTarget(service, zone string, address netip.AddrPort) *FlowTarget {
-	m.number++
+	m.targetCount++
 	target := &FlowTarget{
-		Key: fmt.Sprint("target-", m.number), Identifier: 0x1_0000_0000 + uint64(m.number), Service: service,
+		Key: fmt.Sprint("target-", m.targetCount), Identifier: 0x1_0000_0000 + uint64(m.targetCount), Service: service,
 		Address: address, Zone: zone, Alive: true, startedAt: m.Clock.Now(), flows: map[*Flow]bool{},
 	}
 	m.targets[address] = target
@@ -45,36 +43,35 @@
 }
 
 func (m *FlowModel) putTarget(target *FlowTarget, draining bool) {
-	described := &storeview.Target{
+	entry := &storeview.Target{
 		Identifier: target.Identifier, Service: target.Service, Address: target.Address,
 		Zone: target.Zone, Slots: 2, Draining: draining,
 	}
 	if !m.RunsAlike {
-		described.Incarnation = uint64(target.startedAt.UnixMilli())
+		entry.Incarnation = uint64(target.startedAt.UnixMilli())
 	}
-	m.Store.Put(storeview.Entry{Key: target.Key, Target: described})
+	m.Store.Put(storeview.Entry{Key: target.Key, Target: entry})
 }
 
-// DrainTarget has a target say that it leaves, serve on for a while, and end.
+// DrainTarget marks a target as draining, then stops it and removes its entry.
 func (m *FlowModel) DrainTarget(target *FlowTarget) {
 	target.LeavingAt = m.Clock.Now()
 	m.putTarget(target, true)
 	m.Clock.After(drainBound+500*time.Millisecond, func() {
-		m.end(target)
+		m.stopTarget(target)
 		m.Store.Put(storeview.Entry{Key: target.Key})
 	})
 }
 
-// RemoveTarget lets a target's entry go although it never said that it leaves; it
-// serves on for a while, and ends.
+// RemoveTarget removes a target's entry without draining, and stops the target later.
 func (m *FlowModel) RemoveTarget(target *FlowTarget) {
 	target.LeavingAt = m.Clock.Now()
 	m.Store.Put(storeview.Entry{Key: target.Key})
-	m.Clock.After(drainBound+500*time.Millisecond, func() { m.end(target) })
+	m.Clock.After(drainBound+500*time.Millisecond, func() { m.stopTarget(target) })
 }
 
-// LapseTarget lets a target's entry go while the store is away, and has the target
-// renew it a while after, if it lives then and has not left.
+// LapseTarget removes a target's entry as on expiry. The target registers again later if it is
+// alive and not leaving.
 func (m *FlowModel) LapseTarget(target *FlowTarget, renewAfter time.Duration) {
 	if !target.LeavingAt.IsZero() {
 		return
@@ -87,52 +84,52 @@
 	})
 }
 
-// entryOutlives is how long the entry of a target stays that renews it no more.
-const entryOutlives = 3600 * time.Millisecond
+// entryTTL is how long the entry of a target stays after its last renewal.
+const entryTTL = 3600 * time.Millisecond
 
-// RestartTarget crashes a target and, after a while, starts it again under its identifier, at an
-// address. started is called with the later run.
+// RestartTarget crashes a target and later starts it again with the same identifier at an address.
+// started is called with the new incarnation.
 func (m *FlowModel) RestartTarget(target *FlowTarget, after time.Duration, address netip.AddrPort, started func(later *FlowTarget)) {
-	m.end(target)
+	m.stopTarget(target)
 	later := &FlowTarget{
 		Key: target.Key, Identifier: target.Identifier, Service: target.Service, Address: address, Zone: target.Zone,
 		flows: map[*Flow]bool{},
 	}
-	if after > entryOutlives {
-		m.Clock.After(entryOutlives, func() { m.Store.Put(storeview.Entry{Key: target.Key}) })
+	if after > entryTTL {
+		m.Clock.After(entryTTL, func() { m.Store.Put(storeview.Entry{Key: target.Key}) })
 	}
 	m.Clock.After(after, func() {
 		later.Alive, later.startedAt = true, m.Clock.Now()
 		m.targets[address] = later
-		delete(m.verdictAt, later.Identifier)
+		delete(m.declaredDeadAt, later.Identifier)
 		m.putTarget(later, false)
 		started(later)
 	})
 }
 
-// CrashTarget crashes a target; its entry goes later.
+// CrashTarget crashes a target; its entry expires later.
 func (m *FlowModel) CrashTarget(target *FlowTarget) {
-	m.end(target)
-	m.Clock.After(entryOutlives, func() {
+	m.stopTarget(target)
+	m.Clock.After(entryTTL, func() {
 		target.LeavingAt = m.Clock.Now()
 		m.Store.Put(storeview.Entry{Key: target.Key})
 	})
 }
 
-func (m *FlowModel) end(target *FlowTarget) {
+func (m *FlowModel) stopTarget(target *FlowTarget) {
 	target.Alive = false
 	if m.targets[target.Address] == target {
 		delete(m.targets, target.Address)
 	}
 }
 
-// EvacuateZone orders that a zone's targets get no new flows.
+// EvacuateZone writes an order to evacuate a zone, whose targets then get no new flows.
 func (m *FlowModel) EvacuateZone(zone string) {
 	m.Store.Evacuate(zone)
 	m.evacuated[zone] = m.Clock.Now()
 }
 
-// WithdrawZone takes the order back.
+// WithdrawZone withdraws the order.
 func (m *FlowModel) WithdrawZone(zone string) {
 	m.Store.Withdraw(zone)
 	delete(m.evacuated, zone)
--- a/internal/simulation/orders_test.go
+++ b/internal/simulation/orders_test.go
@@ -11,8 +11,8 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// evacuatedIn returns the zones that a view holds for evacuated, in order.
-func evacuatedIn(view *storeview.View) []string {
+// evacuatedZones returns the zones under an evacuation order in a view.
+func evacuatedZones(view *storeview.View) []string {
 	var zones []string
 	for _, order := range view.Orders() {
 		zones = append(zones, order.Zone)
@@ -20,8 +20,8 @@
 	return zones
 }
 
-// someOrder evacuates a zone, which may have no targets, or takes that back.
-func (r *followedRun) someOrder() {
+// changeOrders evacuates a random zone, which may have no targets, or withdraws its order.
+func (r *followedRun) changeOrders() {
 	zone := append(testZones[:len(testZones):len(testZones)], "nowhere")[r.random.IntN(len(testZones)+1)]
 	switch {
 	case !slices.Contains(r.Store.Evacuated(), zone):
@@ -29,57 +29,57 @@
 	case r.random.IntN(3) > 0:
 		r.Store.Withdraw(zone)
 	default:
-		r.Store.Evacuate(zone) // written once more
+		r.Store.Evacuate(zone) // rewrites the order
 	}
 }
 
-// TestOrdersKeepTheBoundsUnderEverySchedule: orders come and go under all troubles of the
-// store and of membership, and every daemon in touch knows within the bound.
-func TestOrdersKeepTheBoundsUnderEverySchedule(t *testing.T) {
+// TestOrdersConvergeWithinBoundUnderFaults writes and withdraws orders under the fault schedules;
+// undisturbed daemons must have them within the bound.
+func TestOrdersConvergeWithinBoundUnderFaults(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, first uint64) {
-		for seed := first * followedShare; seed < (first+1)*followedShare; seed++ {
+		for seed := first * schedulesPerSeed; seed < (first+1)*schedulesPerSeed; seed++ {
 			run := startFollowedRun(seed, followed.DefaultFleetConfig())
-			run.givesOrders = true
-			run.play(scheduleSeconds)
-			run.settle()
+			run.issuesOrders = true
+			run.simulate(scheduleSeconds)
+			run.verifyConverged()
 			assert.Equal(t, len(run.Violations), 0, "seed %d: %v", seed, run.Violations)
 		}
 	})
 }
 
-// TestADroppedHistoryWithdrawsAnOrder: the withdrawal falls into history that the store
-// drops, so that only a list without the order's key tells of it.
-func TestADroppedHistoryWithdrawsAnOrder(t *testing.T) {
+// TestOrderWithdrawnInCompactedHistory compacts the history that holds the withdrawal, so that only
+// a list without the order's key shows it.
+func TestOrderWithdrawnInCompactedHistory(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(20) {
 		run := startFollowedRun(seed, followed.DefaultFleetConfig())
 		run.Clock.Advance(5 * time.Second)
 		run.Store.Evacuate(testZones[0])
 		run.Store.Evacuate(testZones[1])
-		run.Clock.Advance(convergeSpan)
+		run.Clock.Advance(convergenceBound)
 		run.Store.State = StoreSilent
 		run.Store.Withdraw(testZones[0])
 		run.Store.Forget()
 		run.Clock.Advance(2 * time.Second)
 		run.Store.State = StoreWell
-		run.Clock.Advance(2 * convergeSpan)
-		run.settle()
+		run.Clock.Advance(2 * convergenceBound)
+		run.verifyConverged()
 		assert.Equal(t, len(run.Violations), 0, "seed %d: %v", seed, run.Violations)
 	}
 }
 
-// TestARestartUnderADeadStoreLearnsOrdersFromPeers, those that were withdrawn among them.
-func TestARestartUnderADeadStoreLearnsOrdersFromPeers(t *testing.T) {
+// TestRestartDuringStoreOutageSyncsOrdersFromPeers includes withdrawn orders.
+func TestRestartDuringStoreOutageSyncsOrdersFromPeers(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(20) {
 		run := startFollowedRun(seed, followed.DefaultFleetConfig())
 		run.Clock.Advance(5 * time.Second)
 		run.Store.Evacuate(testZones[0])
 		run.Store.Evacuate(testZones[1])
-		run.Clock.Advance(convergeSpan)
+		run.Clock.Advance(convergenceBound)
 		run.Store.Withdraw(testZones[1])
-		run.Clock.Advance(convergeSpan)
+		run.Clock.Advance(convergenceBound)
 		run.Store.State = StoreSilent
 		killed := run.random.Perm(testDaemons)[:testDaemons/2]
 		for _, daemon := range killed {
@@ -87,36 +87,36 @@
 		}
 		run.Clock.Advance(3 * time.Second)
 		for _, daemon := range killed {
-			assert.DeepEqual(t, evacuatedIn(run.Daemons[daemon].Core.View()), []string{testZones[0]})
+			assert.DeepEqual(t, evacuatedZones(run.Daemons[daemon].Core.View()), []string{testZones[0]})
 		}
 	}
 }
 
-// TestFlowsKeepEvacuationsUnderFaults plays whole flows while zones are evacuated and
-// taken back, under the faults of the other flow schedules.
-func TestFlowsKeepEvacuationsUnderFaults(t *testing.T) {
+// TestEvacuationsHoldUnderFaults evacuates zones and withdraws the orders during the flow
+// schedules.
+func TestEvacuationsHoldUnderFaults(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, seed uint64) {
 		run := startFlowRun(seed)
-		run.evacuateInTurn(6 * time.Second)
-		run.play()
+		run.evacuateZonesInTurn(6 * time.Second)
+		run.simulate()
 		assert.Equal(t, len(run.Violations), 0, "seed %d: %v", seed, run.Violations)
 		assert.Assert(t, run.Opened > run.Begun/2, "seed %d: only %d of %d flows opened", seed, run.Opened, run.Begun)
 	})
 }
 
-// evacuateInTurn evacuates one zone after the other, each for a span, until the run ends.
-func (r *flowRun) evacuateInTurn(span time.Duration) {
+// evacuateZonesInTurn evacuates zones one after another until the run ends.
+func (r *flowRun) evacuateZonesInTurn(duration time.Duration) {
 	zone := testZones[r.random.IntN(len(testZones))]
 	r.EvacuateZone(zone)
-	r.Clock.After(span, func() {
+	r.Clock.After(duration, func() {
 		r.WithdrawZone(zone)
-		r.Clock.After(span/4, func() { r.evacuateInTurn(span) })
+		r.Clock.After(duration/4, func() { r.evacuateZonesInTurn(duration) })
 	})
 }
 
-// TestTheChecksFindAnEvacuatedZoneThatGetsFlows: an order that nobody is told of.
-func TestTheChecksFindAnEvacuatedZoneThatGetsFlows(t *testing.T) {
+// TestCheckDetectsFlowToEvacuatedZone uses an order that no daemon receives.
+func TestCheckDetectsFlowToEvacuatedZone(t *testing.T) {
 	t.Parallel()
 	run := startFlowRun(1)
 	run.Clock.Advance(5 * time.Second)
@@ -124,45 +124,45 @@
 		run.evacuated[zone] = run.Clock.Now().Add(-10 * time.Second)
 	}
 	for range 20 {
-		run.begin()
+		run.beginFlow()
 	}
 	run.Clock.Advance(time.Second)
 	assert.Assert(t, hasViolation(run, "EVAC"), "%v", run.Violations)
 }
 
-// TestAnOrderIsSoonInForceEverywhere measures fleets of two sizes: while all is well, and
-// with whoever reads the store killed or turned away just when the order is written.
-func TestAnOrderIsSoonInForceEverywhere(t *testing.T) {
+// TestOrderPropagationTime measures fleets of two sizes without faults, and with the
+// reader killed or throttled just before the order is written.
+func TestOrderPropagationTime(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
 		t.Skip("fleets of hundreds take minutes under the race detector")
 	}
-	loseNobody := func(*followedRun) {}
-	for _, one := range []struct {
+	failNone := func(*followedRun) {}
+	for _, tc := range []struct {
 		name           string
 		daemons, seeds int
-		lose           func(run *followedRun)
+		fail           func(run *followedRun)
 		within         time.Duration
 	}{
-		{"105 daemons", 105, 5, loseNobody, time.Second},
-		{"350 daemons", 350, 1, loseNobody, time.Second},
-		{"105 daemons, reader killed", 105, 5, (*followedRun).killReaders, convergeSpan},
-		{"105 daemons, reader refused", 105, 5, (*followedRun).refuseReaders, convergeSpan},
+		{"105 daemons", 105, 5, failNone, time.Second},
+		{"350 daemons", 350, 1, failNone, time.Second},
+		{"105 daemons, reader killed", 105, 5, (*followedRun).killReaders, convergenceBound},
+		{"105 daemons, reader refused", 105, 5, (*followedRun).throttleReaders, convergenceBound},
 	} {
-		t.Run(one.name, func(t *testing.T) {
+		t.Run(tc.name, func(t *testing.T) {
 			var longest time.Duration
-			for seed := range uint64(one.seeds) {
-				run := startLargeRun(seed, one.daemons)
+			for seed := range uint64(tc.seeds) {
+				run := startLargeRun(seed, tc.daemons)
 				run.Clock.Advance(time.Duration(run.random.Int64N(int64(time.Second))))
-				one.lose(run)
-				longest = max(longest, run.waitForRevision(t, run.Store.Evacuate(testZones[0]), one.within))
+				tc.fail(run)
+				longest = max(longest, run.waitForRevision(t, run.Store.Evacuate(testZones[0]), tc.within))
 			}
-			t.Logf("known to all after %s at most", longest)
+			t.Logf("reached all daemons after %s at most", longest)
 		})
 	}
 }
 
-// startLargeRun starts a fleet and lets it come to rest.
+// startLargeRun starts a fleet and waits until it has converged.
 func startLargeRun(seed uint64, daemons int) *followedRun {
 	run := newFollowedRun(seed, NewFollowedFleet(seed, daemons, testZones, followed.DefaultFleetConfig(), DefaultNetworkConfig()))
 	run.configure()
@@ -174,7 +174,7 @@
 	return run
 }
 
-// killReaders ends whoever reads the store for all.
+// killReaders stops the daemons that read the store.
 func (r *followedRun) killReaders() {
 	for index, daemon := range r.Daemons {
 		if daemon.Core.IsReading() {
@@ -183,22 +183,22 @@
 	}
 }
 
-// waitForRevision returns how long it takes until every running daemon knows a revision.
+// waitForRevision returns the time until every running daemon has a revision.
 func (r *followedRun) waitForRevision(t *testing.T, revision uint64, within time.Duration) time.Duration {
 	t.Helper()
-	began := r.Clock.Now()
+	start := r.Clock.Now()
 	for {
-		lacking := 0
+		outdated := 0
 		for _, daemon := range r.Daemons {
 			if daemon.Core != nil && daemon.Core.View().Revision() < revision {
-				lacking++
+				outdated++
 			}
 		}
-		took := r.Clock.Now().Sub(began)
-		if lacking == 0 {
-			return took
+		elapsed := r.Clock.Now().Sub(start)
+		if outdated == 0 {
+			return elapsed
 		}
-		assert.Assert(t, took < within, "%d daemons do not know revision %d after %s", lacking, revision, took)
+		assert.Assert(t, elapsed < within, "%d daemons do not have revision %d after %s", outdated, revision, elapsed)
 		r.Clock.Advance(10 * time.Millisecond)
 	}
 }
--- a/internal/simulation/overload.go
+++ b/internal/simulation/overload.go
@@ -8,71 +8,71 @@
 	"github.com/passtray/passtray/internal/overload"
 )
 
-// OverloadConfig is a service that callers ask for more or less than its targets can serve.
+// OverloadConfig describes a service and the load on it, relative to its capacity.
 type OverloadConfig struct {
 	Daemons int
 	Targets int
-	// Bounds says whether daemons bound the service's work.
+	// Bounds enables admission control in the daemons.
 	Bounds bool
-	// BelievedDaemons, if not 0, is how many daemons each believes there are.
+	// BelievedDaemons, if not 0, is the fleet size that each daemon assumes.
 	BelievedDaemons int
-	// SlowShare of the targets take four times as long, DeadShare of them are known to be dead.
+	// SlowShare of the targets take four times as long; DeadShare of them are known to be dead.
 	SlowShare, DeadShare float64
-	// Load is the work that callers ask for, by what the targets can do at their usual speed,
-	// while Burst lasts; before and after it is a fifth of that.
+	// Load is the offered load relative to the capacity of all targets at their usual speed during
+	// Burst; before and after, it is a fifth of that.
 	Load  float64
 	Burst time.Duration
 	Seed  uint64
 }
 
-// OverloadResult is what a run shows.
+// OverloadResult holds the counts of a run.
 type OverloadResult struct {
 	// Asked and Served count requests by rank.
 	Asked, Served [2]int
-	// Arrivals came to targets, TurnedAway of them were not run; Refused are new flows that
-	// daemons refused.
+	// Arrivals counts requests that reached targets, TurnedAway those of them that the target
+	// rejected, and Refused those that daemons refused.
 	Arrivals, TurnedAway, Refused int
-	// RefusedAfter are those refused later than a second after the burst.
+	// RefusedAfter counts those refused more than a second after the burst.
 	RefusedAfter int
 }
 
-// Share is the part of a rank's requests that was served.
+// Share returns the share of a rank's requests that were served.
 func (r *OverloadResult) Share(rank overload.Rank) float64 {
 	return float64(r.Served[rank]) / float64(max(1, r.Asked[rank]))
 }
 
-// What targets and callers do.
+// Behaviour of targets and callers.
 const (
-	overloadQueue     = 8 // requests that a target lets wait
-	overloadPatience  = 100 * time.Millisecond
-	overloadWork      = 32 * time.Millisecond
-	overloadSlowness  = 4
-	overloadPreferred = 0.22 // of all requests
-	overloadTries     = 3
-	overloadPause     = 150 * time.Millisecond // before another try, on average
-	overloadWay       = 6 * time.Millisecond   // there and back
-	overloadUsers     = 8                      // with a flow kept open, by daemon, of 88 daemons
-	overloadObjective = 600 * time.Millisecond
-	overloadLead      = 2 * time.Second
-	overloadAnswer    = 1000 // bytes
-	overloadRejection = 100
-	overloadRoute     = 1
+	overloadQueueLength    = 8 // queue length of a target
+	overloadQueueTimeout   = 100 * time.Millisecond
+	overloadServiceTime    = 32 * time.Millisecond
+	overloadSlowFactor     = 4
+	overloadPreferredShare = 0.22 // share of all requests
+	overloadMaxAttempts    = 3
+	overloadRetryDelay     = 150 * time.Millisecond // mean delay before a retry
+	overloadRoundTrip      = 6 * time.Millisecond   // round-trip time
+	overloadIdleFlows      = 8                      // idle flows kept per daemon in a fleet of 88
+	overloadObjective      = 600 * time.Millisecond
+	overloadLeadTime       = 2 * time.Second
+	overloadResponseBytes  = 1000 // bytes
+	overloadRejectionBytes = 100
+	overloadRoute          = 1
 )
 
-// overloadCall is one request of a caller.
+// overloadCall is a request of a caller.
 type overloadCall struct {
-	rank  overload.Rank
-	tries int
-	// target is where its flow is open, -1 if it needs a new one.
+	rank     overload.Rank
+	attempts int
+	// target is the target of its open flow, -1 if it needs a new flow.
 	target int
 	daemon *overloadDaemon
 }
 
 type overloadDaemon struct {
-	load       *overload.Controller
+	controller *overload.Controller
 	queue      *overload.Queue[*overloadCall]
 	candidates []balance.Candidate
-	// idle are the targets at which flows of ordinary callers are open and at rest.
+	// idle holds the targets of the open, idle flows of ordinary callers.
 	idle []int
 }
 
@@ -83,38 +83,38 @@
 }
 
 type overloadRun struct {
-	config  OverloadConfig
-	clock   *Clock
-	random  *rand.Rand
-	begun   time.Time
-	daemons []*overloadDaemon
-	targets []*overloadTarget
-	result  OverloadResult
+	config    OverloadConfig
+	clock     *Clock
+	random    *rand.Rand
+	startedAt time.Time
+	daemons   []*overloadDaemon
+	targets   []*overloadTarget
+	result    OverloadResult
 }
 
-// Overload plays a load in virtual time.
+// Overload runs a load in virtual time.
 func Overload(config OverloadConfig) OverloadResult {
 	run := &overloadRun{config: config, clock: NewClock(), random: rand.New(rand.NewPCG(config.Seed, 31))}
-	run.begun = run.clock.Now()
+	run.startedAt = run.clock.Now()
 	for index := range config.Targets {
-		target := &overloadTarget{work: overloadWork}
+		target := &overloadTarget{work: overloadServiceTime}
 		if float64(index) < config.SlowShare*float64(config.Targets) {
-			target.work *= overloadSlowness
+			target.work *= overloadSlowFactor
 		}
 		run.targets = append(run.targets, target)
 	}
 	for range config.Daemons {
 		run.daemons = append(run.daemons, run.newDaemon())
 	}
-	run.arrive()
-	run.clock.Advance(overloadLead + config.Burst + 2*overloadLead)
+	run.scheduleArrivals()
+	run.clock.Advance(overloadLeadTime + config.Burst + 2*overloadLeadTime)
 	return run.result
 }
 
 func (o *overloadRun) newDaemon() *overloadDaemon {
 	bounds := overload.DefaultConfig()
 	bounds.Enabled = o.config.Bounds
-	daemon := &overloadDaemon{load: overload.New(bounds), queue: overload.NewQueue[*overloadCall](512)}
+	daemon := &overloadDaemon{controller: overload.New(bounds), queue: overload.NewQueue[*overloadCall](512)}
 	now, slots := o.clock.Now(), 0
 	for index := range o.targets {
 		signal := &balance.Signal{}
@@ -125,47 +125,49 @@
 		}
 		daemon.candidates = append(daemon.candidates, balance.Candidate{Signal: signal, Weight: slotsPerTarget, Slots: slotsPerTarget})
 	}
-	daemon.load.SetShare(slots, o.believed())
-	for range 100 { // it has seen answers before
-		daemon.load.NoteAnswer(now, overloadRoute, overloadAnswer)
+	daemon.controller.SetShare(slots, o.assumedDaemons())
+	for range 100 { // warm up the response statistics
+		daemon.controller.NoteAnswer(now, overloadRoute, overloadResponseBytes)
 	}
 	return daemon
 }
 
-func (o *overloadRun) believed() int {
+func (o *overloadRun) assumedDaemons() int {
 	if o.config.BelievedDaemons > 0 {
 		return o.config.BelievedDaemons
 	}
 	return o.config.Daemons
 }
 
-// burstEnds is when the burst does.
-func (o *overloadRun) burstEnds() time.Time { return o.begun.Add(overloadLead + o.config.Burst) }
+// burstEnds returns the end of the burst.
+func (o *overloadRun) burstEnds() time.Time {
+	return o.startedAt.Add(overloadLeadTime + o.config.Burst)
+}
 
-func (o *overloadRun) load(now time.Time) float64 {
-	if now.Before(o.begun.Add(overloadLead)) || !now.Before(o.burstEnds()) {
+func (o *overloadRun) offeredLoad(now time.Time) float64 {
+	if now.Before(o.startedAt.Add(overloadLeadTime)) || !now.Before(o.burstEnds()) {
 		return o.config.Load / 5
 	}
 	return o.config.Load
 }
 
-// arrive lets callers' requests come.
-func (o *overloadRun) arrive() {
+// scheduleArrivals generates requests as a Poisson process.
+func (o *overloadRun) scheduleArrivals() {
 	now := o.clock.Now()
-	perSecond := o.load(now) * float64(len(o.targets)*slotsPerTarget) / overloadWork.Seconds()
+	perSecond := o.offeredLoad(now) * float64(len(o.targets)*slotsPerTarget) / overloadServiceTime.Seconds()
 	o.clock.After(time.Duration(o.random.ExpFloat64()/perSecond*float64(time.Second)), func() {
 		call := &overloadCall{rank: overload.Ordinary, target: -1}
-		if o.random.Float64() < overloadPreferred {
+		if o.random.Float64() < overloadPreferredShare {
 			call.rank = overload.Preferred
 		}
 		o.result.Asked[call.rank]++
-		o.try(call, true)
-		o.arrive()
+		o.attempt(call, true)
+		o.scheduleArrivals()
 	})
 }
 
-// try sends a call's request, on an open flow if that may be and one is at rest.
-func (o *overloadRun) try(call *overloadCall, mayReuse bool) {
+// attempt sends a request, on an idle flow if mayReuse and one is available.
+func (o *overloadRun) attempt(call *overloadCall, mayReuse bool) {
 	call.daemon = o.daemons[o.random.IntN(len(o.daemons))]
 	call.target = -1
 	if idle := call.daemon.idle; mayReuse && call.rank == overload.Ordinary && len(idle) > 0 {
@@ -175,19 +177,19 @@
 	o.decide(call, o.clock.Now())
 }
 
-// decide does what the data path does with a packet that came at a time.
-func (o *overloadRun) decide(call *overloadCall, cameAt time.Time) {
+// decide applies the data path's admission decision to a packet that arrived at arrivedAt.
+func (o *overloadRun) decide(call *overloadCall, arrivedAt time.Time) {
 	now, daemon, isOpening := o.clock.Now(), call.daemon, call.target < 0
 	hold := overload.HoldFor(overloadObjective)
 	if !isOpening {
 		hold = overload.DataHoldFor(overloadObjective)
 	}
-	hasWaited := now.Sub(cameAt) >= hold
+	hasWaited := now.Sub(arrivedAt) >= hold
 	switch {
-	case isOpening && daemon.load.AdmitFlow(now, call.rank), !isOpening && (hasWaited || daemon.load.Admit(now, call.rank)):
+	case isOpening && daemon.controller.AdmitFlow(now, call.rank), !isOpening && (hasWaited || daemon.controller.Admit(now, call.rank)):
 		o.send(call)
 	case !hasWaited && daemon.queue.Put(now, overload.Waiting[*overloadCall]{
-		Load: daemon.load, Rank: call.rank, IsOpening: isOpening, At: cameAt, Until: cameAt.Add(hold), Packet: call,
+		Load: daemon.controller, Rank: call.rank, IsOpening: isOpening, At: arrivedAt, Until: arrivedAt.Add(hold), Packet: call,
 	}):
 		o.clock.After(hold, func() { o.release(daemon) })
 	default:
@@ -210,50 +212,50 @@
 }
 
 func (o *overloadRun) retry(call *overloadCall) {
-	if call.tries++; call.tries < overloadTries {
-		o.clock.After(time.Duration(o.random.ExpFloat64()*float64(overloadPause)), func() { o.try(call, false) })
+	if call.attempts++; call.attempts < overloadMaxAttempts {
+		o.clock.After(time.Duration(o.random.ExpFloat64()*float64(overloadRetryDelay)), func() { o.attempt(call, false) })
 	}
 }
 
-// send brings a request to its target.
+// send forwards a request to a target.
 func (o *overloadRun) send(call *overloadCall) {
 	now, daemon := o.clock.Now(), call.daemon
 	if call.target < 0 {
 		request := balance.Request{Now: now, LeaseHeld: true}
 		call.target = balance.Pick(&request, daemon.candidates, o.random)
 	}
-	daemon.load.Begin(call.rank)
+	daemon.controller.Begin(call.rank)
 	daemon.candidates[call.target].Signal.NoteWaiting(1)
 	o.result.Arrivals++
 	target := o.targets[call.target]
 	switch {
 	case target.busy < slotsPerTarget:
 		o.work(target, call)
-	case len(target.waiting) >= overloadQueue:
-		o.clock.After(overloadWay, func() { o.answer(call, false) })
+	case len(target.waiting) >= overloadQueueLength:
+		o.clock.After(overloadRoundTrip, func() { o.respond(call, false) })
 	default:
 		target.waiting = append(target.waiting, call)
-		o.clock.After(overloadPatience, func() { o.giveUp(target, call) })
+		o.clock.After(overloadQueueTimeout, func() { o.rejectQueued(target, call) })
 	}
 }
 
-// giveUp turns away a request that waited for too long at its target.
-func (o *overloadRun) giveUp(target *overloadTarget, call *overloadCall) {
+// rejectQueued rejects a request that has waited too long in its target's queue.
+func (o *overloadRun) rejectQueued(target *overloadTarget, call *overloadCall) {
 	for index, waiting := range target.waiting {
 		if waiting == call {
 			target.waiting = append(target.waiting[:index:index], target.waiting[index+1:]...)
-			o.clock.After(overloadWay, func() { o.answer(call, false) })
+			o.clock.After(overloadRoundTrip, func() { o.respond(call, false) })
 			return
 		}
 	}
 }
 
-// work occupies one of a target's slots.
+// work processes a request in one of the target's slots.
 func (o *overloadRun) work(target *overloadTarget, call *overloadCall) {
 	target.busy++
 	o.clock.After(time.Duration((0.5+o.random.Float64())*float64(target.work)), func() {
 		target.busy--
-		o.clock.After(overloadWay, func() { o.answer(call, true) })
+		o.clock.After(overloadRoundTrip, func() { o.respond(call, true) })
 		if len(target.waiting) > 0 {
 			next := target.waiting[0]
 			target.waiting = target.waiting[1:]
@@ -262,20 +264,20 @@
 	})
 }
 
-// answer brings a target's answer to the caller, and past its daemon what that shows.
-func (o *overloadRun) answer(call *overloadCall, isServed bool) {
+// respond returns a response to the caller and updates the daemon's statistics.
+func (o *overloadRun) respond(call *overloadCall, isServed bool) {
 	now, daemon, signal := o.clock.Now(), call.daemon, call.daemon.candidates[call.target].Signal
-	daemon.load.End(call.rank)
+	daemon.controller.End(call.rank)
 	signal.NoteWaiting(-1)
 	if isServed {
 		o.result.Served[call.rank]++
-		daemon.load.NoteAnswer(now, overloadRoute, overloadAnswer)
+		daemon.controller.NoteAnswer(now, overloadRoute, overloadResponseBytes)
 	} else {
 		o.result.TurnedAway++
-		daemon.load.NoteAnswer(now, overloadRoute, overloadRejection)
+		daemon.controller.NoteAnswer(now, overloadRoute, overloadRejectionBytes)
 		signal.NoteAwaited(now, 8)
 	}
-	if call.rank == overload.Ordinary && len(daemon.idle) < overloadUsers*88/len(o.daemons) {
+	if call.rank == overload.Ordinary && len(daemon.idle) < overloadIdleFlows*88/len(o.daemons) {
 		daemon.idle = append(daemon.idle, call.target)
 	}
 	if !isServed {
--- a/internal/simulation/speedload_test.go
+++ b/internal/simulation/speedload_test.go
@@ -9,22 +9,22 @@
 	"gotest.tools/v3/assert"
 )
 
-// unequal are speeds of a service of which one target in four is old.
-var unequal = []float64{0.55, 1.2, 1.2, 1.2}
+// unequalSpeeds are the speeds of a service of which one target in four is slower.
+var unequalSpeeds = []float64{0.55, 1.2, 1.2, 1.2}
 
-// speedLoadAt is a zone of 30 targets whose slots are busy for 0.14 of the time at the usual
-// load and for 0.7 at five times that.
-func speedLoadAt(daemons int, times float64) SpeedLoadConfig {
+// speedLoadAt returns the load of a zone of 30 targets whose slots are busy for 0.14 of the time at
+// the usual load, and for 0.7 at five times that.
+func speedLoadAt(daemons int, load float64) SpeedLoadConfig {
 	return SpeedLoadConfig{
-		Daemons: daemons, Targets: 30, Speeds: unequal, Fleet: 4 * daemons,
-		Feeds: int(60 * times), FeedLife: 8 * time.Second, FeedPause: 220 * time.Millisecond, FeedWork: 30 * time.Millisecond,
-		FreshPerSecond: 62 * times, FreshWork: 39 * time.Millisecond,
+		Daemons: daemons, Targets: 30, Speeds: unequalSpeeds, Fleet: 4 * daemons,
+		Feeds: int(60 * load), FeedLife: 8 * time.Second, FeedPause: 220 * time.Millisecond, FeedWork: 30 * time.Millisecond,
+		FreshPerSecond: 62 * load, FreshWork: 39 * time.Millisecond,
 		LateShare: 0.02, Queue: 8, Learns: true, From: 10 * time.Second, Span: 25 * time.Second, Seed: 1,
 	}
 }
 
-// meanSpeedLoad is the sum of counts and the mean of the rest over some seeds, learning
-// speeds or not.
+// meanSpeedLoad returns the sum of counts and the mean of other results over some seeds, with or
+// without learned speeds.
 func meanSpeedLoad(config SpeedLoadConfig, learns bool) SpeedLoadResult {
 	const seeds = 2
 	var mean SpeedLoadResult
@@ -44,15 +44,15 @@
 
 func logSpeedLoad(t *testing.T, without, with SpeedLoadResult) {
 	t.Helper()
-	t.Logf("turned away %d to %d of %d, busiest %.2f to %.2f, p50 %s to %s, p99 %s to %s, %.0f to %.0f B/s, estimates %.2f",
+	t.Logf("rejected %d to %d of %d, busiest %.2f to %.2f, p50 %s to %s, p99 %s to %s, %.0f to %.0f B/s, estimates %.2f",
 		without.TurnedAway, with.TurnedAway, with.Arrivals, without.BusiestToMean, with.BusiestToMean,
 		without.P50.Round(time.Millisecond), with.P50.Round(time.Millisecond),
 		without.P99.Round(time.Millisecond), with.P99.Round(time.Millisecond), without.MessageBytes, with.MessageBytes, with.Estimates)
 }
 
-// TestTargetsWorkAsTheirSpeeds in zones of fleets with 12, 88 and 350 daemons. Without learned
-// speeds the larger ones fail.
-func TestTargetsWorkAsTheirSpeeds(t *testing.T) {
+// TestLoadFollowsTargetSpeeds covers zones of fleets of 12, 88 and 350 daemons. Without learned
+// speeds the larger ones exceed the bound.
+func TestLoadFollowsTargetSpeeds(t *testing.T) {
 	t.Parallel()
 	for _, daemons := range []int{3, 22, 88} {
 		t.Run(fmt.Sprintf("%d daemons", daemons), func(t *testing.T) {
@@ -84,8 +84,9 @@
 	})
 }
 
-// TestEqualTargetsAreNoWorseOff than without learned speeds: what estimates differ by is noise.
-func TestEqualTargetsAreNoWorseOff(t *testing.T) {
+// TestLearnedSpeedsDoNotHarmEqualTargets checks that noise in the estimates of equal targets does
+// no harm.
+func TestLearnedSpeedsDoNotHarmEqualTargets(t *testing.T) {
 	t.Parallel()
 	for _, daemons := range []int{3, 22, 88} {
 		t.Run(fmt.Sprintf("%d daemons", daemons), func(t *testing.T) {
@@ -103,40 +104,40 @@
 	}
 }
 
-// estimateOfFirst is the speed of a zone's first target, one of equal ones that is slow for
-// twenty seconds or cold for three, as it is known after a span.
-func estimateOfFirst(isCold bool, span time.Duration) float64 {
+// firstEstimate returns the speed estimate of the first of equal targets after duration. The target
+// is slow for 20 s, or in slow start for 3 s.
+func firstEstimate(isSlowStart bool, duration time.Duration) float64 {
 	config := speedLoadAt(22, 3)
-	config.Speeds, config.IsCold, config.Span = []float64{1}, isCold, span
+	config.Speeds, config.IsCold, config.Span = []float64{1}, isSlowStart, duration
 	config.SlowTargets, config.SlowFrom, config.SlowUntil = 1, 10*time.Second, 30*time.Second
-	if isCold {
+	if isSlowStart {
 		config.SlowUntil = 13 * time.Second
 	}
 	return SpeedLoad(config).Estimates[0]
 }
 
-func TestSpeedsFollowTargets(t *testing.T) {
+func TestEstimatesFollowTargetSpeeds(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
 		t.Skip("takes minutes under the race detector")
 	}
-	t.Run("one that turned slow is known to be", func(t *testing.T) {
-		speed := estimateOfFirst(false, 30*time.Second)
+	t.Run("slow target", func(t *testing.T) {
+		speed := firstEstimate(false, 30*time.Second)
 		assert.Assert(t, speed < 0.6, "%.2f", speed)
 	})
-	t.Run("one that recovered is as the others again", func(t *testing.T) {
-		speed := estimateOfFirst(false, 60*time.Second)
+	t.Run("recovered target", func(t *testing.T) {
+		speed := firstEstimate(false, 60*time.Second)
 		assert.Assert(t, speed > 0.85, "%.2f", speed)
 	})
-	t.Run("one that was cold is not remembered as slow", func(t *testing.T) {
-		speed := estimateOfFirst(true, 14*time.Second)
+	t.Run("target after slow start", func(t *testing.T) {
+		speed := firstEstimate(true, 14*time.Second)
 		assert.Assert(t, speed > 0.85, "%.2f", speed)
 	})
 }
 
-// TestADaemonThatLiesMovesLittle of what honest ones know. It chooses badly itself, and sees a
-// part of the flows.
-func TestADaemonThatLiesMovesLittle(t *testing.T) {
+// TestFalseSpeedsOfOneDaemonHaveLittleEffect checks that one daemon that gossips wrong speeds
+// hardly changes the estimates of the others. It balances its own share of the flows badly.
+func TestFalseSpeedsOfOneDaemonHaveLittleEffect(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
 		t.Skip("takes minutes under the race detector")
@@ -145,20 +146,20 @@
 		config := speedLoadAt(daemons, 5)
 		without, honest := meanSpeedLoad(config, false), meanSpeedLoad(config, true)
 		config.Liars = 1
-		lied := meanSpeedLoad(config, true)
-		logSpeedLoad(t, honest, lied)
+		withLiar := meanSpeedLoad(config, true)
+		logSpeedLoad(t, honest, withLiar)
 		for index := range 4 {
-			moved := math.Abs(meanEvery4(lied.Estimates, index) - meanEvery4(honest.Estimates, index))
+			moved := math.Abs(meanEvery4(withLiar.Estimates, index) - meanEvery4(honest.Estimates, index))
 			assert.Assert(t, moved < 0.1, "%.2f", moved)
 		}
-		assert.Assert(t, lied.BusiestToMean < honest.BusiestToMean*1.1)
+		assert.Assert(t, withLiar.BusiestToMean < honest.BusiestToMean*1.1)
 		if daemons == 22 {
-			assert.Assert(t, lied.P99 < (honest.P99+without.P99)/2)
+			assert.Assert(t, withLiar.P99 < (honest.P99+without.P99)/2)
 		}
 	}
 }
 
-// meanEvery4 is the mean of every fourth value from an index on.
+// meanEvery4 returns the mean of every fourth value, starting at an index.
 func meanEvery4(values []float64, from int) float64 {
 	var sum float64
 	count := 0
--- a/internal/simulation/zoneload.go
+++ b/internal/simulation/zoneload.go
@@ -9,36 +9,36 @@
 	"github.com/passtray/passtray/internal/loadshare"
 )
 
-// ZoneLoadConfig is a zone's load: long flows that carry requests now and then, opened
-// through many daemons.
+// ZoneLoadConfig describes a zone's load: long-lived flows with occasional requests, opened through
+// many daemons.
 type ZoneLoadConfig struct {
 	Daemons int
 	Targets int
-	// FlowsPerTarget is how many flows are open on average, FlowLife how long each is,
-	// and RequestsPerSecond how many requests each carries.
+	// FlowsPerTarget is the mean number of open flows per target, FlowLife their mean duration and
+	// RequestsPerSecond the request rate of each.
 	FlowsPerTarget    float64
 	FlowLife          time.Duration
 	RequestsPerSecond float64
 	// Work is how long a request occupies one of a target's slots.
 	Work time.Duration
-	// Shares says whether the daemons tell each other of their open flows.
+	// Shares enables the gossip of open flows between daemons.
 	Shares bool
-	// LoseShare of the targets go halfway, and BurstShare more flows come then.
+	// LoseShare of the targets fail halfway through the run, when BurstShare more flows open.
 	LoseShare  float64
 	BurstShare float64
 	Span       time.Duration
 	Seed       uint64
 }
 
-// ZoneLoadResult is what a run shows.
+// ZoneLoadResult holds the measurements of a run.
 type ZoneLoadResult struct {
-	// FlowsMaxToMean and RequestsMaxToMean compare the busiest target with the mean of
-	// those that are there to the end, over the second half.
+	// FlowsMaxToMean and RequestsMaxToMean compare the busiest target with the mean of the targets
+	// that survive, over the second half.
 	FlowsMaxToMean    float64
 	RequestsMaxToMean float64
-	// WaitedP99 is how long the slowest hundredth of requests waited for a slot.
+	// WaitedP99 is the 99th percentile of the time that requests waited for a slot.
 	WaitedP99 time.Duration
-	// MessageBytes is how many bytes a second a daemon told on average.
+	// MessageBytes is the mean number of bytes that a daemon sends per second.
 	MessageBytes float64
 }
 
@@ -49,12 +49,12 @@
 )
 
 type zoneTarget struct {
-	flows    int
-	flowTime time.Duration
-	changed  time.Time
-	requests int
-	freeAt   [slotsPerTarget]time.Time
-	isGone   bool
+	flows     int
+	flowTime  time.Duration
+	changed   time.Time
+	requests  int
+	freeAt    [slotsPerTarget]time.Time
+	isRemoved bool
 }
 
 type zoneDaemon struct {
@@ -64,29 +64,29 @@
 }
 
 type zoneLoad struct {
-	config  ZoneLoadConfig
-	clock   *Clock
-	random  *rand.Rand
-	begun   time.Time
-	targets []*zoneTarget
-	daemons []*zoneDaemon
-	waits   []time.Duration
-	bytes   int
+	config    ZoneLoadConfig
+	clock     *Clock
+	random    *rand.Rand
+	startedAt time.Time
+	targets   []*zoneTarget
+	daemons   []*zoneDaemon
+	waits     []time.Duration
+	bytes     int
 }
 
-// ZoneLoad plays a zone's load in virtual time.
+// ZoneLoad runs a zone's load in virtual time.
 func ZoneLoad(config ZoneLoadConfig) ZoneLoadResult {
 	run := &zoneLoad{config: config, clock: NewClock(), random: rand.New(rand.NewPCG(config.Seed, 21))}
-	run.begun = run.clock.Now()
+	run.startedAt = run.clock.Now()
 	for range config.Targets {
-		run.targets = append(run.targets, &zoneTarget{changed: run.begun})
+		run.targets = append(run.targets, &zoneTarget{changed: run.startedAt})
 	}
 	for index := range config.Daemons {
 		run.daemons = append(run.daemons, run.newDaemon(index))
 	}
 	flows := int(config.FlowsPerTarget * float64(config.Targets))
 	run.openMany(0, flows)
-	run.clock.After(config.Span/2, func() { run.disturb(int(float64(flows) * config.BurstShare)) })
+	run.clock.After(config.Span/2, func() { run.failTargets(int(float64(flows) * config.BurstShare)) })
 	run.clock.Advance(config.Span)
 	return run.result()
 }
@@ -102,7 +102,7 @@
 	return daemon
 }
 
-// gossip lets a daemon tell some others what it knows, and add up what it heard.
+// gossip sends a daemon's counts to random peers and adds up the received ones.
 func (z *zoneLoad) gossip(daemon *zoneDaemon) {
 	now := z.clock.Now()
 	daemon.exchange.Tick(now, func() map[uint32]int { return daemon.open })
@@ -111,10 +111,10 @@
 		z.bytes += len(message)
 		z.daemons[z.random.IntN(len(z.daemons))].exchange.Hear(now, message)
 	}
-	totals, areWhole := daemon.exchange.Totals(now)
+	totals, areComplete := daemon.exchange.Totals(now)
 	for index := range daemon.candidates {
 		open := daemon.open[zoneToken(index)]
-		if areWhole {
+		if areComplete {
 			open = totals[loadshare.MarkOf(zoneToken(index))]
 		}
 		daemon.candidates[index].Signal.SetOpen(open)
@@ -122,10 +122,10 @@
 	z.clock.After(zoneGossipInterval, func() { z.gossip(daemon) })
 }
 
-// zoneToken is the token of a target.
+// zoneToken returns the token of a target.
 func zoneToken(index int) uint32 { return uint32(index) << 16 }
 
-// openMany opens flows within half a second, each followed by another when it ends.
+// openMany opens flows within half a second. Each is replaced when it ends.
 func (z *zoneLoad) openMany(after time.Duration, count int) {
 	for range count {
 		z.clock.After(after+time.Duration(z.random.Int64N(int64(500*time.Millisecond))), z.open)
@@ -139,7 +139,7 @@
 	index := balance.Pick(&request, daemon.candidates, z.random)
 	daemon.candidates[index].Signal.NotePick(now)
 	target := z.targets[index]
-	target.change(now, z.half(), 1)
+	target.addFlows(now, z.measuredFrom(), 1)
 	daemon.open[zoneToken(index)]++
 	ends := now.Add(time.Duration(z.random.ExpFloat64() * float64(z.config.FlowLife)))
 	z.clock.After(ends.Sub(now), func() { z.close(daemon, index) })
@@ -147,18 +147,18 @@
 }
 
 func (z *zoneLoad) close(daemon *zoneDaemon, index int) {
-	z.targets[index].change(z.clock.Now(), z.half(), -1)
+	z.targets[index].addFlows(z.clock.Now(), z.measuredFrom(), -1)
 	if daemon.open[zoneToken(index)]--; daemon.open[zoneToken(index)] == 0 {
 		delete(daemon.open, zoneToken(index))
 	}
 	z.openMany(0, 1)
 }
 
-// half is when what is measured begins.
-func (z *zoneLoad) half() time.Time { return z.begun.Add(z.config.Span / 2) }
+// measuredFrom returns the time at which measurements begin.
+func (z *zoneLoad) measuredFrom() time.Time { return z.startedAt.Add(z.config.Span / 2) }
 
-// change takes in that a flow was opened or closed.
-func (t *zoneTarget) change(now, measuredFrom time.Time, by int) {
+// addFlows records that flows were opened or closed.
+func (t *zoneTarget) addFlows(now, measuredFrom time.Time, delta int) {
 	if since := t.changed; now.After(measuredFrom) {
 		if since.Before(measuredFrom) {
 			since = measuredFrom
@@ -166,55 +166,55 @@
 		t.flowTime += time.Duration(t.flows) * now.Sub(since)
 	}
 	t.changed = now
-	t.flows += by
+	t.flows += delta
 }
 
-// request serves a flow's next request, and those after it until the flow ends.
+// request serves the next request of a flow and schedules the following ones until the flow ends.
 func (z *zoneLoad) request(target *zoneTarget, flowEnds time.Time) {
 	pause := time.Duration(z.random.ExpFloat64() / z.config.RequestsPerSecond * float64(time.Second))
 	z.clock.After(pause, func() {
 		now := z.clock.Now()
-		if !now.Before(flowEnds) || target.isGone {
+		if !now.Before(flowEnds) || target.isRemoved {
 			return
 		}
 		slot := 0
 		if target.freeAt[1].Before(target.freeAt[0]) {
 			slot = 1
 		}
-		begins := now
+		startsAt := now
 		if target.freeAt[slot].After(now) {
-			begins = target.freeAt[slot]
+			startsAt = target.freeAt[slot]
 		}
-		target.freeAt[slot] = begins.Add(z.config.Work)
-		if now.After(z.half()) {
+		target.freeAt[slot] = startsAt.Add(z.config.Work)
+		if now.After(z.measuredFrom()) {
 			target.requests++
-			z.waits = append(z.waits, begins.Sub(now))
+			z.waits = append(z.waits, startsAt.Sub(now))
 		}
 		z.request(target, flowEnds)
 	})
 }
 
-// disturb takes some targets away, whose flows open anew, and brings more flows.
-func (z *zoneLoad) disturb(more int) {
+// failTargets removes some targets, reopens their flows and opens additional ones.
+func (z *zoneLoad) failTargets(extraFlows int) {
 	for index := range int(z.config.LoseShare * float64(len(z.targets))) {
 		target := z.targets[index]
-		target.isGone = true
+		target.isRemoved = true
 		for _, daemon := range z.daemons {
 			daemon.candidates[index].Weight = 0
 			delete(daemon.open, zoneToken(index))
 		}
-		more += target.flows
+		extraFlows += target.flows
 	}
-	z.openMany(0, more)
+	z.openMany(0, extraFlows)
 }
 
 func (z *zoneLoad) result() ZoneLoadResult {
 	var flows, requests []float64
 	for _, target := range z.targets {
-		if target.isGone {
+		if target.isRemoved {
 			continue
 		}
-		target.change(z.clock.Now(), z.half(), 0)
+		target.addFlows(z.clock.Now(), z.measuredFrom(), 0)
 		flows = append(flows, target.flowTime.Seconds())
 		requests = append(requests, float64(target.requests))
 	}
--- a/internal/simulation/zoneload_test.go
+++ b/internal/simulation/zoneload_test.go
@@ -8,11 +8,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// zoneSizes are a zone's daemons and targets where the fleet has 8, 90, 350 and 1,400
+// zoneSizes are the numbers of daemons and targets in a zone of fleets of 8, 90, 350 and 1,400
 // daemons in 3, 3, 5 and 23 zones.
 var zoneSizes = []struct{ fleet, daemons, targets int }{{8, 3, 5}, {90, 30, 40}, {350, 60, 96}, {1400, 61, 650}}
 
-// zoneLoadAt is a load that keeps a share of the slots busy.
+// zoneLoadAt returns a load that keeps a share of the slots busy.
 func zoneLoadAt(daemons, targets int, busy float64) ZoneLoadConfig {
 	const flowsPerTarget, work = 3, 15 * time.Millisecond
 	return ZoneLoadConfig{
@@ -22,21 +22,21 @@
 	}
 }
 
-// TestToldFlowsSpreadLoad at each size and load, also with a burst while a third of the
-// targets goes: the busiest target has less above the mean, and nobody waits longer.
-func TestToldFlowsSpreadLoad(t *testing.T) {
+// TestGossipedFlowCountsSpreadLoad checks that gossip of open flows reduces the imbalance at each
+// size and load, also during a burst while a third of the targets fails, without longer waits.
+func TestGossipedFlowCountsSpreadLoad(t *testing.T) {
 	t.Parallel()
 	for _, size := range zoneSizes {
 		for _, busy := range []float64{0.05, 0.3, 0.6} {
 			for _, isDisturbed := range []bool{false, true} {
-				isTold := size.targets < 100
-				isLong := !isTold && busy > 0.3 || testing.Short() && (size.targets > 50 || busy > 0.3)
-				if isLong {
+				fitsMessages := size.targets < 100
+				isSlow := !fitsMessages && busy > 0.3 || testing.Short() && (size.targets > 50 || busy > 0.3)
+				if isSlow {
 					continue
 				}
 				t.Run(fmt.Sprintf("%d daemons, %.0f %% busy, disturbed %t", size.fleet, 100*busy, isDisturbed), func(t *testing.T) {
 					config := zoneLoadAt(size.daemons, size.targets, busy)
-					if !isTold {
+					if !fitsMessages {
 						config.Span /= 2
 					}
 					if isDisturbed {
@@ -48,10 +48,10 @@
 					t.Logf("flows %.2f to %.2f, requests %.2f to %.2f, p99 of waits %s to %s, %.0f B/s", without.FlowsMaxToMean, with.FlowsMaxToMean,
 						without.RequestsMaxToMean, with.RequestsMaxToMean, without.WaitedP99, with.WaitedP99, with.MessageBytes)
 					assert.Assert(t, with.MessageBytes < 2100)
-					// Where daemons have more flows than they can tell, each goes by its own,
-					// which is neither better nor worse; there seeds differ by more.
+					// Where daemons have more flows than fit into their messages, each uses its own
+					// counts, which changes little; results differ more between seeds there.
 					flowsMargin, waitsMargin := 1.05, 1.0
-					if !isTold {
+					if !fitsMessages {
 						flowsMargin, waitsMargin = 1.15, 1.3
 					}
 					assert.Assert(t, with.FlowsMaxToMean <= without.FlowsMaxToMean*flowsMargin)
@@ -62,7 +62,7 @@
 	}
 }
 
-// meanZoneLoad is the mean over some seeds.
+// meanZoneLoad returns the mean over some seeds.
 func meanZoneLoad(config ZoneLoadConfig) ZoneLoadResult {
 	const seeds = 3
 	var mean ZoneLoadResult
