--- a/internal/lab/history/check.go
+++ b/internal/lab/history/check.go
@@ -25,7 +25,7 @@
 // Verdict is the result of checking one invariant.
 type Verdict struct {
 	Invariant string
-	// Checked counts the cases that the invariant applied to. If it is 0, the run proves nothing.
+	// Checked counts the cases that the invariant applied to. If it is 0, the run proves nothing about it.
 	Checked    int
 	Violations []string
 	// Total counts all violations; Violations lists only the first ones.
--- a/internal/lab/operators.go
+++ b/internal/lab/operators.go
@@ -19,7 +19,8 @@
 type operatorCall func(context.Context, passtrayv1.OperatorClient, *passtrayv1.ChangeOptions) (*passtrayv1.ChangeResponse, error)
 
 // operate makes one call to the operator API of a running daemon. It retries failed calls at other
-// daemons with the same request ID until operatorTimeout has passed.
+// daemons until operatorTimeout has passed, with the same request ID, so that a change whose outcome
+// is unknown is applied only once.
 func (c *cluster) operate(call operatorCall) error {
 	c.mutex.Lock()
 	c.lastRequest++
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -66,8 +66,9 @@
 	// lab's process.
 	CoreShareMax     float64 `json:"daemon_core_share_max"`
 	ResidentBytesMax float64 `json:"daemon_resident_bytes_max"`
-	// LongestStall and StalledSeconds are the maximum and the sum of larger delays of the lab's timers.
-	// They show how much the measurements suffered from an overloaded machine.
+	// LongestStall and StalledSeconds are the maximum and the sum of the delays of the lab's timers,
+	// without those below minStall. They are caused by the machine rather than by passtray, and show
+	// how far the other measurements can be trusted.
 	LongestStall   float64 `json:"longest_stall_seconds"`
 	StalledSeconds float64 `json:"stalled_seconds"`
 	// ProcessCPUSeconds is the processor time of the lab's process, which includes targets, callers
--- a/internal/lab/storelab/caller.go
+++ b/internal/lab/storelab/caller.go
@@ -38,7 +38,7 @@
 	maxPause time.Duration
 }
 
-// caller is a client host. All its flows share one socket.
+// caller is a host that sends requests. All its flows share one socket.
 type caller struct {
 	socket   *net.UDPConn
 	address  netip.Addr
--- a/internal/lab/storelab/check.go
+++ b/internal/lab/storelab/check.go
@@ -26,7 +26,7 @@
 // Verdict is the result of checking one invariant.
 type Verdict struct {
 	Invariant string
-	// Checked counts the events that the invariant applied to. If it is 0, the run proves nothing.
+	// Checked counts the events that the invariant applied to. If it is 0, the run proves nothing about it.
 	Checked    int
 	Violations []string
 }
--- a/internal/lab/storelab/daemon.go
+++ b/internal/lab/storelab/daemon.go
@@ -27,7 +27,7 @@
 	// was sent SIGTERM or SIGKILL.
 	processNumber int
 	isStopping    bool
-	// onUnexpectedExit is called when a process exits that was sent neither.
+	// onUnexpectedExit is called when a process exits without having been sent either signal.
 	onUnexpectedExit func(d *daemon, state string)
 }
 
--- a/internal/lab/storelab/proxy.go
+++ b/internal/lab/storelab/proxy.go
@@ -18,9 +18,9 @@
 	modeRefuse
 	// modeDrop accepts connections and drops all data.
 	modeDrop
-	// modeOneWay forwards requests and drops responses.
+	// modeOneWay forwards calls and drops answers.
 	modeOneWay
-	// modeSlow delays each chunk of a response by slowDelay.
+	// modeSlow delays each chunk of an answer by slowDelay.
 	modeSlow
 )
 
--- a/internal/lab/storelab/router.go
+++ b/internal/lab/storelab/router.go
@@ -102,7 +102,7 @@
 }
 
 // forwardPinned sends all packets of a flow to the same daemon while its process runs, ready or not,
-// as a client does that keeps its connections.
+// as a caller does that keeps its connections.
 func (r *router) forwardPinned(flow Flow, datagram []byte) {
 	r.mutex.Lock()
 	pinned, isPinned := r.pinned[flow]
--- a/internal/lab/storelab/run.go
+++ b/internal/lab/storelab/run.go
@@ -20,7 +20,7 @@
 	Seed      uint64
 	Daemons   int
 	Zones     int
-	// Targets is the number of targets per service, Callers the number of client hosts.
+	// Targets is the number of targets per service, Callers the number of calling hosts.
 	Targets int
 	Callers int
 	// Faults is the number of faults to draw.
@@ -113,12 +113,12 @@
 		{route: routeForms, requestsPerFlow: 1, maxPause: 300 * time.Millisecond},
 		{route: routeExtra, isIdempotent: true, requestsPerFlow: 20, maxPause: 500 * time.Millisecond},
 	}
-	for index, client := range s.callers {
+	for index, c := range s.callers {
 		for number, pattern := range patterns {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				client.run(ctx, pattern, rand.New(rand.NewPCG(s.config.Seed, uint64(index*len(patterns)+number))))
+				c.run(ctx, pattern, rand.New(rand.NewPCG(s.config.Seed, uint64(index*len(patterns)+number))))
 			}()
 		}
 	}
--- a/internal/lab/storelab/site.go
+++ b/internal/lab/storelab/site.go
@@ -63,11 +63,11 @@
 	// restoreMutex is held from a restore of the store until the lost entries are written again.
 	restoreMutex sync.Mutex
 
-	// identifier and host are the last ones assigned to a target.
 	mutex       sync.Mutex
 	routes      map[netip.AddrPort]string
 	lastVersion uint64
 	targets     map[uint64]*target
+	// identifier and host are the last ones assigned to a target.
 	identifier  uint64
 	host        int
 	lastRequest atomic.Uint64
@@ -185,16 +185,16 @@
 		if err != nil {
 			return eris.Wrap(err, "caller")
 		}
-		client := &caller{
+		c := &caller{
 			socket: socket, address: address.Addr(), recorder: s.recorder, lastRequest: &s.lastRequest,
 			isDaemon: func(from netip.AddrPort) bool { four := from.Addr().As4(); return four[2] == daemons[2] },
 			forward:  s.router.forward, flows: map[Flow]chan received{},
 		}
 		if index%2 == 1 {
-			client.forward = s.router.forwardPinned
+			c.forward = s.router.forwardPinned
 		}
-		go client.receive()
-		s.callers = append(s.callers, client)
+		go c.receive()
+		s.callers = append(s.callers, c)
 	}
 	return nil
 }
--- a/internal/lab/workload/caller.go
+++ b/internal/lab/workload/caller.go
@@ -234,7 +234,7 @@
 	case ctx.Err() == nil:
 		kind, detail = history.FeedBroken, err.Error()
 	case time.Since(last) > feedStallAtEnd:
-		// FeedStall has not passed yet.
+		// The run ended before FeedStall had passed.
 		kind, detail = history.FeedBroken, "unresponsive at the end of the run"
 	}
 	c.config.History.Add(history.Event{Kind: kind, Request: id, Service: c.config.Service, Target: target, Detail: detail})
--- a/internal/lab/workload/protocol.go
+++ b/internal/lab/workload/protocol.go
@@ -1,4 +1,4 @@
-// Package workload simulates the lab's application: clients (callers) and targets that
+// Package workload simulates the lab's application: callers and targets that
 // exchange requests over QUIC streams and record events in a history.
 package workload
 
