--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// A pause is reported before the first tick after it and for a while after that.
+// A pause is reported before the first tick after it and for pauseBacklog after that tick.
 func TestPauseIsReportedAfterResume(t *testing.T) {
 	l := New()
 	defer l.cancel()
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestMessagesMayBeStaleForAWhileAfterPause(t *testing.T) {
+func TestMessagesMayBeStaleAfterPause(t *testing.T) {
 	var detector Detector
 	now := time.Unix(1_800_000_000, 0)
 	assert.Assert(t, !detector.Note(now), "no pause before the first step")
--- a/internal/signals/signals.go
+++ b/internal/signals/signals.go
@@ -8,7 +8,7 @@
 	"syscall"
 )
 
-// Signals are the channels of a daemon's signals. Each kind has a channel of its own, so that none can displace another;
+// Signals are the channels of a daemon's signals. Each kind has a separate channel, so that none can displace another;
 // pending signals of the same kind are coalesced.
 type Signals struct {
 	// Hangup receives SIGHUP: reload the settings.
