--- a/internal/followed/capacity_test.go
+++ b/internal/followed/capacity_test.go
@@ -102,7 +102,7 @@
 		assert.Equal(t, len(newRelays(members, &capacity, members[0].Identity.Address, 48).addresses), 0, name)
 	}
 	capacity := measureCapacity(newMixedMembers(100))
-	assert.Equal(t, len(newRelays(newMixedMembers(100), &capacity, peerAddress(0), 0).addresses), 0, "relays disabled")
+	assert.Equal(t, len(newRelays(newMixedMembers(100), &capacity, peerAddress(0), 0).addresses), 0, "there are no relays if they are disabled")
 }
 
 // Requests beyond the budget are redirected, but not endlessly.
@@ -122,7 +122,7 @@
 			sent++
 		}
 	}
-	assert.Equal(t, sent, 4, "burst of 75 KB")
+	assert.Equal(t, sent, 4, "the budget allows a burst of 75 KB")
 	assert.Assert(t, ask(testStart, MostRedirects))
 	assert.Assert(t, ask(testStart.Add(time.Minute), 0))
 }
@@ -154,6 +154,7 @@
 	}
 }
 
+// Updates in quick succession beyond the burst are left to gossip.
 func TestBurstLimiter(t *testing.T) {
 	var pace burstLimiter
 	allowed := 0
@@ -169,13 +170,13 @@
 }
 
 // Earlier versions report neither processor nor memory, which must not make other members weak.
-func TestUnreportedCapacityMakesNobodyWeak(t *testing.T) {
+func TestUnreportedCapacityMakesNoMemberWeak(t *testing.T) {
 	var live []membership.Member
 	for range 8 {
 		live = append(live, membership.Member{Link: 200, Processor: 1000, Memory: 512})
 	}
 	old := membership.Member{Link: 10}
 	capacity := measureCapacity(append(live, old))
-	assert.Assert(t, capacity.isStrong(&live[0]), "member with 200 Mbit/s")
-	assert.Assert(t, !capacity.isStrong(&old), "member with 10 Mbit/s")
+	assert.Assert(t, capacity.isStrong(&live[0]), "a member with 200 Mbit/s is strong")
+	assert.Assert(t, !capacity.isStrong(&old), "a member with 10 Mbit/s is not strong")
 }
--- a/internal/followed/contacts_test.go
+++ b/internal/followed/contacts_test.go
@@ -25,8 +25,8 @@
 	assert.Equal(t, total, 1, "the others have expired")
 }
 
-// A daemon that receives messages leaves reading to each higher-ranked peer for a while; one
-// that receives none reads at once.
+// A daemon that receives messages delays its read by TurnPerMember for each higher-ranked contact;
+// one that receives none reads at once.
 func TestReadDelayGrowsWithHigherRankedContacts(t *testing.T) {
 	fleet := newTestFleet(DefaultFleetConfig())
 	fleet.Tick(testStart)
--- a/internal/followed/epoch_test.go
+++ b/internal/followed/epoch_test.go
@@ -136,7 +136,7 @@
 	assert.Equal(t, len(delta.Entries), 1)
 }
 
-// A difference to a version that peers hold from the previous epoch applies to it, so that they
+// A delta to a version that peers hold from the previous epoch applies to it, so that they
 // need not pull a full snapshot.
 func TestDifferenceToVersionOfEarlierEpochIsApplied(t *testing.T) {
 	routes := func(version uint64, ports ...uint16) *storeview.Configuration {
@@ -157,7 +157,7 @@
 	assert.Assert(t, change.Configuration && !change.LacksBase)
 	assert.Equal(t, peer.Configuration().Version, uint64(4))
 	change = other.Merge(testStart, steps)
-	assert.Assert(t, change.LacksBase, "it holds another version")
+	assert.Assert(t, change.LacksBase, "the daemon holds another version")
 	assert.Equal(t, other.Configuration().Version, uint64(2))
 }
 
--- a/internal/followed/gossip_test.go
+++ b/internal/followed/gossip_test.go
@@ -20,7 +20,7 @@
 	assert.Equal(t, fleet.View().Revision(), uint64(9))
 }
 
-// The difference of one route out of 4,400 fits into a gossip message.
+// The delta for one changed route out of 4,400 fits into a gossip message.
 func TestSmallChangeOfLargeConfigurationFitsGossip(t *testing.T) {
 	config := DefaultFleetConfig()
 	fleet := newTestFleet(config)
--- a/internal/storenode/liveness_test.go
+++ b/internal/storenode/liveness_test.go
@@ -34,10 +34,10 @@
 		close(done)
 	})
 	<-done
-	assert.Equal(t, receive(t, site.caller)[16], byte(kindReset), "waiting caller")
+	assert.Equal(t, receive(t, site.caller)[16], byte(kindReset), "the waiting caller must be reset")
 	assert.Assert(t, lines.contains(messageDead))
 	site.send(t, 0, value, kindData)
-	assert.Equal(t, receive(t, site.caller)[16], byte(kindReset), "idle caller")
+	assert.Equal(t, receive(t, site.caller)[16], byte(kindReset), "the idle caller must be reset")
 
 	node.Enqueue(func(now time.Time) {
 		node.applyVerdicts(now, node.plane.table.Load(), liveness.Output{Alive: []uint64{77}})
@@ -49,8 +49,8 @@
 
 func TestProbeDetectsListener(t *testing.T) {
 	site, node := startReady(t, logr.Discard())
-	assert.Assert(t, node.isReachable(site.nodes[0].settings.Telemetry, probeTimeout), "listener of the daemon")
-	assert.Assert(t, !node.isReachable(nodetest.Address(110, 9), probeTimeout), "port without a listener")
+	assert.Assert(t, node.isReachable(site.nodes[0].settings.Telemetry, probeTimeout), "the listener of the daemon must be reachable")
+	assert.Assert(t, !node.isReachable(nodetest.Address(110, 9), probeTimeout), "a port without a listener must not be reachable")
 }
 
 // An idle caller is reset before it sends again, after a verdict and after another target was seen at
@@ -76,7 +76,7 @@
 			end(site, node)
 			assert.Equal(t, receive(t, site.caller)[16], byte(kindReset))
 			nodetest.WaitFor(t, "the log line", func() bool { return lines.contains(messageIdleReset) })
-			assert.Assert(t, lines.contains(token.ReasonAtRest.String()), "log line of the flow")
+			assert.Assert(t, lines.contains(token.ReasonAtRest.String()), "the reset flow must be logged")
 			status, _ := node.Status()
 			assert.Equal(t, status.Flows.ResetAtRest, uint64(1))
 			assert.Equal(t, status.Flows.Held, 0)
