--- a/internal/followed/epoch_test.go
+++ b/internal/followed/epoch_test.go
@@ -136,9 +136,9 @@
 	assert.Equal(t, len(delta.Entries), 1)
 }
 
-// A delta to a version that peers hold from the previous epoch applies to it, so that they
-// need not pull a full snapshot.
-func TestDifferenceToVersionOfEarlierEpochIsApplied(t *testing.T) {
+// A delta whose base version peers hold from the previous epoch applies there, so that they need
+// not pull a snapshot.
+func TestDifferenceWithBaseOfEarlierEpochIsApplied(t *testing.T) {
 	routes := func(version uint64, ports ...uint16) *storeview.Configuration {
 		configuration := &storeview.Configuration{Version: version}
 		for _, port := range ports {
--- a/internal/lab/storelab/target.go
+++ b/internal/lab/storelab/target.go
@@ -116,7 +116,7 @@
 	flow.token = packet.Token
 	if !flow.isOpen {
 		if packet.Acknowledgement != firstSequence+1 {
-			return // it acknowledges another target's handshake
+			return // it acknowledges another target's response
 		}
 		flow.isOpen = true
 		t.recorder.Note(Event{Kind: FlowOpened, Flow: name, Target: t.identifier, Service: t.service})
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -25,8 +25,8 @@
 	return xxhash.Sum64(input[:])
 }
 
-// First returns the count highest-scoring daemons for a key, in descending order. It sorts by
-// insertion, which suits a small count.
+// First returns the highest-scoring daemons for a key, at most count, in descending order. It sorts
+// by insertion, which suits a small count.
 func First(key uint64, daemons []netip.AddrPort, count int) []netip.AddrPort {
 	count = min(count, len(daemons))
 	first, scores := make([]netip.AddrPort, 0, count+1), make([]uint64, 0, count+1)
