--- a/internal/lab/storelab/caller.go
+++ b/internal/lab/storelab/caller.go
@@ -127,7 +127,7 @@
 	c.flows[flow.name] = flow.inbox
 	c.mutex.Unlock()
 	opening := token.Packet{IsOpening: true, Sequence: 1}
-	answer, isAnswered := c.exchange(ctx, flow, opening, nil, openRetransmits, openTimeout, func(answer *received) bool { return answer.packet.IsAnswer })
+	answer, isAnswered := c.exchange(ctx, flow, opening, nil, openRetransmits, openTimeout, func(answer *received) bool { return answer.packet.IsOpeningReply })
 	if !isAnswered {
 		c.removeFlow(flow)
 		return nil
--- a/internal/lab/storelab/target.go
+++ b/internal/lab/storelab/target.go
@@ -109,7 +109,7 @@
 		t.recorder.Note(Event{Kind: OpeningTaken, Flow: name, Target: t.identifier, Service: t.service})
 	}
 	flow.token = packet.Token
-	t.send(name, token.Packet{IsOpening: true, IsAnswer: true, Token: flow.token, Sequence: firstSequence, Acknowledgement: flow.received}, nil)
+	t.send(name, token.Packet{IsOpening: true, IsOpeningReply: true, Token: flow.token, Sequence: firstSequence, Acknowledgement: flow.received}, nil)
 }
 
 func (t *target) handleData(name Flow, flow *targetFlow, packet *token.Packet, payload []byte) {
--- a/internal/node/data.go
+++ b/internal/node/data.go
@@ -129,7 +129,7 @@
 	n.nextProbe = now.Add(probeInterval)
 	snapshot := n.plane.snapshot.Load()
 	for _, target := range snapshot.Targets() {
-		if snapshot.Watches(target, watchersPerTarget) {
+		if snapshot.PollsTarget(target, watchersPerTarget) {
 			n.plane.probe(snapshot, target)
 		}
 	}
--- a/internal/simulation/flows_checks.go
+++ b/internal/simulation/flows_checks.go
@@ -32,7 +32,7 @@
 // and has a route for the address, whatever service that route leads to now.
 func (m *FlowModel) checkForwarded(flow *Flow, daemon int, path *dataPath, decision *token.Decision) {
 	isDropped := decision.Action == token.Drop || decision.Action == token.Hold
-	if _, isKnown := path.table.AddressOf(flow.Target.Identifier); !isDropped || !isKnown || !path.table.Routes(flow.Route) {
+	if _, isKnown := path.table.AddressOf(flow.Target.Identifier); !isDropped || !isKnown || !path.table.HasRoute(flow.Route) {
 		return
 	}
 	m.recordViolation("MEMORY: daemon %d dropped a packet of a flow to known target %s: %s", daemon, flow.Target.Key, decision.Reason)
--- a/internal/simulation/flows_liveness.go
+++ b/internal/simulation/flows_liveness.go
@@ -69,7 +69,7 @@
 			continue
 		}
 		isDead := func(target uint64) bool { return path.table.IsDead(m.Clock.Now(), target) }
-		for _, waiting := range path.requests.TakeWaiting(isDead) {
+		for _, waiting := range path.requests.TakePending(isDead) {
 			m.reset(waiting.Source, waiting.Token)
 		}
 	}
@@ -94,7 +94,7 @@
 		return
 	}
 	isDead := func(target uint32) bool { return m.shouldResetIdle(path, target) }
-	for _, idle := range path.requests.TakeResting(isDead, flowTableSize) {
+	for _, idle := range path.requests.TakeIdle(isDead, flowTableSize) {
 		m.Resting++
 		m.reset(idle.Source, idle.Token)
 	}
@@ -102,7 +102,7 @@
 
 // shouldResetIdle reports whether idle flows to a target are to be reset.
 func (m *FlowModel) shouldResetIdle(path *dataPath, target uint32) bool {
-	return m.AllRestAtDead || path.table.IsDeadToken(m.Clock.Now(), target)
+	return m.AllRestAtDead || path.table.IsTokenDead(m.Clock.Now(), target)
 }
 
 // notificationBound is the time from the first detection of a dead target until all its idle flows
--- a/internal/simulation/state_loss_test.go
+++ b/internal/simulation/state_loss_test.go
@@ -112,8 +112,8 @@
 	caller := netip.MustParseAddrPort("100.127.0.1:9")
 	for _, targets := range r.activeTargets {
 		identifier := targets[r.random.IntN(len(targets))].Identifier
-		r.Stray(caller, rosterRoute, token.WordAt(ledgerRoute, identifier))
-		r.Stray(caller, ledgerRoute, token.WordAt(kioskRoute, identifier))
+		r.Stray(caller, rosterRoute, token.BoundTokenAt(ledgerRoute, identifier))
+		r.Stray(caller, ledgerRoute, token.BoundTokenAt(kioskRoute, identifier))
 		r.Stray(caller, kioskRoute, token.Of(identifier))
 	}
 	r.Stray(caller, rosterRoute, 0)
--- a/internal/steering/capacity_bench_test.go
+++ b/internal/steering/capacity_bench_test.go
@@ -137,7 +137,7 @@
 			for b.Loop() {
 				watched = 0
 				for _, target := range snapshot.Targets() {
-					if snapshot.Watches(target, 3) {
+					if snapshot.PollsTarget(target, 3) {
 						watched++
 					}
 				}
--- a/internal/steering/token/activity.go
+++ b/internal/steering/token/activity.go
@@ -105,14 +105,14 @@
 	return target != nil && target.isDead(now)
 }
 
-// IsDeadToken is IsDead for the target with a token.
-func (t *Table) IsDeadToken(now time.Time, token uint32) bool {
+// IsTokenDead is IsDead for the target with a token.
+func (t *Table) IsTokenDead(now time.Time, token uint32) bool {
 	target := t.index.find(token)
 	return target != nil && target.isDead(now)
 }
 
-// TargetOf returns the target with a token, nil if there is none.
-func (t *Table) TargetOf(token uint32) *Target { return t.index.find(token) }
+// TargetByToken returns the target with a token, nil if there is none.
+func (t *Table) TargetByToken(token uint32) *Target { return t.index.find(token) }
 
 // HasSuperseded reports whether any target was superseded by another one at its address.
 func (t *Table) HasSuperseded() bool { return t.index.superseded > 0 }
--- a/internal/steering/token/binding.go
+++ b/internal/steering/token/binding.go
@@ -36,9 +36,9 @@
 	return token ^ uint32(b)
 }
 
-// WordAt returns the bound token that packets carry in a flow opened at address to the target with
+// BoundTokenAt returns the bound token that packets carry in a flow opened at address to the target with
 // the given identifier.
-func WordAt(address netip.AddrPort, identifier uint64) uint32 {
+func BoundTokenAt(address netip.AddrPort, identifier uint64) uint32 {
 	return bindingOf(address).boundToken(Of(identifier))
 }
 
--- a/internal/steering/token/binding_test.go
+++ b/internal/steering/token/binding_test.go
@@ -40,7 +40,7 @@
 	restarted.configure(toLedger)
 	restarted.builder = NewBuilder(time.Minute)
 	restarted.configure(toLedger)
-	decision := restarted.followBound(rosterAddress, 1, opened.Word())
+	decision := restarted.followBound(rosterAddress, 1, opened.BoundToken())
 	assert.Equal(t, decision.Action, Forward)
 	assert.Equal(t, decision.Target.Identifier, opened.Target.Identifier)
 }
@@ -49,7 +49,7 @@
 // bound at all, is unknown, even if the same service is behind both routes.
 func TestTokenBoundToAnotherAddressIsUnknown(t *testing.T) {
 	site := newSite(t)
-	for _, value := range []uint32{WordAt(rosterAddress, 100), WordAt(rosterAddress, 200), Of(100), Of(200)} {
+	for _, value := range []uint32{BoundTokenAt(rosterAddress, 100), BoundTokenAt(rosterAddress, 200), Of(100), Of(200)} {
 		decision := site.followBound(mixedAddress, 1, value)
 		assert.Equal(t, decision.Action, Drop)
 		assert.Equal(t, decision.Reason, ReasonUnknownToken)
@@ -59,10 +59,10 @@
 // BenchmarkFollow steers a packet of an established flow.
 func BenchmarkFollow(b *testing.B) {
 	site := newLargeSite(1000, 1000)
-	packet := &Packet{Source: caller(1), Destination: rosterAddress, Token: WordAt(rosterAddress, 1000)}
+	packet := &Packet{Source: caller(1), Destination: rosterAddress, Token: BoundTokenAt(rosterAddress, 1000)}
 	b.ReportAllocs()
 	for b.Loop() {
-		if site.table.Follow(site.now, packet).Action != Forward {
+		if site.table.SteerEstablished(site.now, packet).Action != Forward {
 			b.Fatal("packet with a known token was not forwarded")
 		}
 	}
--- a/internal/steering/token/builder.go
+++ b/internal/steering/token/builder.go
@@ -109,12 +109,12 @@
 	isEvacuated := b.evacuated[entry.Zone]
 	target := &Target{
 		KnownTarget: entry, Token: Of(entry.Identifier), Load: b.undeclared,
-		MayOpen:      !entry.Gone && !entry.Draining && !isEvacuated,
+		IsEligible:   !entry.Gone && !entry.Draining && !isEvacuated,
 		IsEvacuated:  isEvacuated,
 		isUndeclared: b.configuration != nil && service == nil,
 	}
 	if service != nil {
-		target.Load, target.ColdRate = service.Load, service.coldRate
+		target.Load, target.SlowStartRate = service.Load, service.coldRate
 	} else if load := b.loads[entry.Service]; load != nil {
 		target.Load = load
 	}
@@ -126,16 +126,16 @@
 // a fresh signal, since observations of the earlier one don't apply to it, and its start counts as
 // activity.
 func (t *Target) inheritState(previous *Target) {
-	t.Run = t.Incarnation
+	t.LatestIncarnation = t.Incarnation
 	switch {
 	case previous == nil:
 		t.Signal = &balance.Signal{}
-	case previous.Run != 0 && t.Incarnation > previous.Run:
+	case previous.LatestIncarnation != 0 && t.Incarnation > previous.LatestIncarnation:
 		t.Signal = &balance.Signal{}
 		t.Signal.NoteLife(t.LearnedAt)
 	default:
 		t.Signal = previous.Signal
-		t.Run = max(t.Run, previous.Run)
+		t.LatestIncarnation = max(t.LatestIncarnation, previous.LatestIncarnation)
 	}
 }
 
@@ -160,7 +160,7 @@
 	for _, declared := range b.configuration.Services {
 		services[declared.Name] = &Service{
 			Name: declared.Name, Load: b.loadOf(declared.Name),
-			maximumFlows: declared.MaximumFlows, coldRate: declared.ColdRate,
+			maximumFlows: declared.MaximumFlows, coldRate: declared.SlowStartRate,
 		}
 	}
 	return services
--- a/internal/steering/token/builder_test.go
+++ b/internal/steering/token/builder_test.go
@@ -42,9 +42,9 @@
 		return keys
 	}
 	table.index.each(func(target *Target) {
-		lines = append(lines, fmt.Sprint(target.Key, target.Identifier, target.Service, target.Zone, target.Address, target.MayOpen,
-			target.IsEvacuated, target.IsSuperseded, target.IsLapsed(), target.ColdRate, target.WarmAt.UnixNano(), target.isIndexed,
-			target.Run, target.isUndeclared))
+		lines = append(lines, fmt.Sprint(target.Key, target.Identifier, target.Service, target.Zone, target.Address, target.IsEligible,
+			target.IsEvacuated, target.IsSuperseded, target.IsExpired(), target.SlowStartRate, target.WarmAt.UnixNano(), target.isIndexed,
+			target.LatestIncarnation, target.isUndeclared))
 	})
 	for name, zone := range table.index.zones {
 		lines = append(lines, fmt.Sprint("zone ", name, names(zone.targets), zone.services))
@@ -61,7 +61,7 @@
 // full build, for any sequence of changes.
 func TestAnUpdatedTableIsThatOfAFullBuild(t *testing.T) {
 	configurations := []*storeview.Configuration{
-		{Services: []storeview.Service{{Name: "roster"}, {Name: "ledger", ColdRate: 5}}},
+		{Services: []storeview.Service{{Name: "roster"}, {Name: "ledger", SlowStartRate: 5}}},
 		{Services: []storeview.Service{{Name: "roster", MaximumFlows: 9}}},
 	}
 	rapid.Check(t, func(t *rapid.T) {
@@ -105,13 +105,13 @@
 			}
 			full := NewBuilder(time.Minute).Build(now, view)
 			if full == nil {
-				assert.Equal(t, table.OpenTargets(), 0)
+				assert.Equal(t, table.EligibleTargets(), 0)
 				continue
 			}
 			full.index.each(func(target *Target) { // only the updated table knows earlier incarnations
 				if known := table.index.known(target.Identifier, target.Key); known != nil {
-					assert.Assert(t, known.Run >= target.Run)
-					target.Run = known.Run
+					assert.Assert(t, known.LatestIncarnation >= target.LatestIncarnation)
+					target.LatestIncarnation = known.LatestIncarnation
 				}
 			})
 			assert.DeepEqual(t, describe(table), describe(full))
@@ -182,9 +182,9 @@
 	t.Run("target that had left is eligible again", func(t *testing.T) {
 		site, _ := newEjected(t)
 		site.remove("roster-0")
-		assert.Assert(t, !site.table.targetByIdentifier(100).MayOpen)
+		assert.Assert(t, !site.table.targetByIdentifier(100).IsEligible)
 		site.target("roster-0", 100, "roster", run(2000))
-		assert.Assert(t, site.table.targetByIdentifier(100).MayOpen)
+		assert.Assert(t, site.table.targetByIdentifier(100).IsEligible)
 		assert.Equal(t, len(site.openTargets("roster")), 6)
 	})
 	t.Run("full build keeps the state", func(t *testing.T) {
--- a/internal/steering/token/dead_test.go
+++ b/internal/steering/token/dead_test.go
@@ -42,8 +42,8 @@
 	site := newSite(t)
 	opened := site.open(rosterAddress, 1)
 	site.table.SetDead(opened.Target.Identifier, site.now.Add(time.Hour), site.now.Add(time.Hour))
-	packet := &Packet{Source: caller(1), Destination: rosterAddress, Token: opened.Word(), IsReset: true}
-	assert.Equal(t, site.table.Follow(site.now, packet).Action, Drop)
+	packet := &Packet{Source: caller(1), Destination: rosterAddress, Token: opened.BoundToken(), IsReset: true}
+	assert.Equal(t, site.table.SteerEstablished(site.now, packet).Action, Drop)
 }
 
 // TestLaterTargetAtSameAddressSupersedes checks that a target is superseded by a later one at its
@@ -178,13 +178,13 @@
 func TestPendingRequestsOfDeadTargetAreTakenOnce(t *testing.T) {
 	flow := newExchange(t)
 	flow.send(1, 500, 100)
-	assert.Equal(t, len(flow.requests.TakeWaiting(func(target uint64) bool { return target == 999 })), 0)
-	waiting := flow.requests.TakeWaiting(func(target uint64) bool { return target == 100 })
+	assert.Equal(t, len(flow.requests.TakePending(func(target uint64) bool { return target == 999 })), 0)
+	waiting := flow.requests.TakePending(func(target uint64) bool { return target == 100 })
 	assert.Equal(t, len(waiting), 1)
 	assert.Equal(t, waiting[0].Source, caller(0))
 	assert.Equal(t, waiting[0].Destination, rosterAddress)
 	assert.Equal(t, waiting[0].Acknowledgement, uint32(500))
-	assert.Equal(t, len(flow.requests.TakeWaiting(func(target uint64) bool { return target == 100 })), 0)
+	assert.Equal(t, len(flow.requests.TakePending(func(target uint64) bool { return target == 100 })), 0)
 	assert.Equal(t, flow.requests.Len(), 0)
 }
 
--- a/internal/steering/token/expired.go
+++ b/internal/steering/token/expired.go
@@ -5,7 +5,7 @@
 // mayHaveExpired reports whether a leaving target may still be running because its entry may have
 // expired while the store was unavailable. After an outage that can apply to all targets.
 func (o *Opener) mayHaveExpired(target *Target) bool {
-	return target.IsLapsed() && o.expiryWindow.Covers(o.now, target.LearnedAt) && o.isWithinGrace(target)
+	return target.IsExpired() && o.expiryWindow.Covers(o.now, target.LearnedAt) && o.isWithinGrace(target)
 }
 
 // isWithinGrace reports whether a leaving target may still serve flows.
--- a/internal/steering/token/expired_test.go
+++ b/internal/steering/token/expired_test.go
@@ -11,7 +11,7 @@
 
 // startExpiryWindow simulates that the store has just come back.
 func (s *site) startExpiryWindow() {
-	s.opener.SetLapse(storeview.Lapse{Since: s.now, Until: s.now.Add(2 * time.Second)})
+	s.opener.SetExpiryWindow(storeview.Lapse{Since: s.now, Until: s.now.Add(2 * time.Second)})
 }
 
 // countByTarget opens flows and returns their number by target identifier.
@@ -65,7 +65,7 @@
 	site.remove("ledger-0")
 	site.remove("ledger-1")
 	site.now = site.now.Add(time.Minute)
-	lack := func(decision Decision) Action { return site.opener.Lack(site.now, decision).Action }
+	lack := func(decision Decision) Action { return site.opener.HoldIfMissing(site.now, decision).Action }
 	unknown := site.follow(rosterAddress, 1, 0xdeadbeef)
 	assert.Equal(t, lack(site.open(ledgerAddress, 1)), Refuse)
 	assert.Equal(t, lack(unknown), Drop)
--- a/internal/steering/token/latencysamples.go
+++ b/internal/steering/token/latencysamples.go
@@ -5,7 +5,7 @@
 )
 
 const (
-	// maxLatencySamples is the maximum number of samples kept between two calls of TakeAnswered.
+	// maxLatencySamples is the maximum number of samples kept between two calls of TakeLatencySamples.
 	maxLatencySamples = 4096
 	// minServiceTimeSamples is the minimum number of samples for a route's usual service time. An
 	// error in it affects all targets alike.
@@ -73,11 +73,11 @@
 	p.minimum += time.Duration(float64(p.minimum) * roundTripDrift)
 }
 
-// Answered is a response latency sample of a target.
-type Answered struct {
-	// Token is the target's. Times is the ratio of the service time to the usual one of the route.
+// LatencySample is a response latency sample of a target.
+type LatencySample struct {
+	// Token is the target's. Ratio is the ratio of the service time to the usual one of the route.
 	Token uint32
-	Times float64
+	Ratio float64
 }
 
 // promptResponses collects latencies of responses that were acknowledged at once. With delayed
@@ -89,7 +89,7 @@
 	capacity int
 	usual    map[uint32]*serviceTimeMedian
 	path     pathRoundTrip
-	samples  []Answered
+	samples  []LatencySample
 }
 
 func newPromptResponses(capacity int) *promptResponses {
@@ -113,13 +113,13 @@
 	}
 	serviceTime := max(float64(latency-p.path.minimum), minServiceTime)
 	if usual.count >= minServiceTimeSamples && len(p.samples) < maxLatencySamples {
-		p.samples = append(p.samples, Answered{Token: req.token, Times: serviceTime / usual.median})
+		p.samples = append(p.samples, LatencySample{Token: req.token, Ratio: serviceTime / usual.median})
 	}
 	usual.note(serviceTime)
 }
 
-// TakeAnswered returns the response latency samples since the last call.
-func (r *Requests) TakeAnswered() []Answered {
+// TakeLatencySamples returns the response latency samples since the last call.
+func (r *Requests) TakeLatencySamples() []LatencySample {
 	samples := r.prompt.samples
 	r.prompt.samples = nil
 	return samples
--- a/internal/steering/token/latencysamples_test.go
+++ b/internal/steering/token/latencysamples_test.go
@@ -28,16 +28,16 @@
 		for range minServiceTimeSamples {
 			flow.sample(20*time.Millisecond, 0)
 		}
-		assert.Equal(t, len(flow.requests.TakeAnswered()), 0)
+		assert.Equal(t, len(flow.requests.TakeLatencySamples()), 0)
 		return flow
 	}
 	assertSamples := func(t *testing.T, flow *exchange, times ...float64) {
 		t.Helper()
-		samples := flow.requests.TakeAnswered()
+		samples := flow.requests.TakeLatencySamples()
 		assert.Equal(t, len(samples), len(times))
 		for index, sample := range samples {
 			assert.Equal(t, sample.Token, Of(100))
-			assert.Assert(t, math.Abs(sample.Times/times[index]-1) < 0.15, "%.2f", sample.Times)
+			assert.Assert(t, math.Abs(sample.Ratio/times[index]-1) < 0.15, "%.2f", sample.Ratio)
 		}
 	}
 	t.Run("prompt acknowledgement is a sample", func(t *testing.T) {
@@ -81,7 +81,7 @@
 		for range maxLatencySamples + 10 {
 			flow.sample(20*time.Millisecond, 0)
 		}
-		assert.Equal(t, len(flow.requests.TakeAnswered()), maxLatencySamples)
+		assert.Equal(t, len(flow.requests.TakeLatencySamples()), maxLatencySamples)
 	})
 }
 
--- a/internal/steering/token/noconfig.go
+++ b/internal/steering/token/noconfig.go
@@ -6,10 +6,10 @@
 // only and serves open flows; a missing route then means nothing.
 func (t *Table) HasRoutes() bool { return t.routes != nil }
 
-// FollowEarly steers a packet other than the first of a flow, by its token alone, while no
+// SteerWithoutRoutes steers a packet other than the first of a flow, by its token alone, while no
 // configuration is known. Packets with unknown tokens or for dead targets are held until there is
 // one.
-func (t *Table) FollowEarly(now time.Time, packet *Packet) Decision {
+func (t *Table) SteerWithoutRoutes(now time.Time, packet *Packet) Decision {
 	target := t.index.find(bindingOf(packet.Destination).token(packet.Token))
 	if target == nil || target.isDead(now) {
 		return Decision{Action: Hold, Reason: ReasonNotReady}
--- a/internal/steering/token/noconfig_test.go
+++ b/internal/steering/token/noconfig_test.go
@@ -20,13 +20,13 @@
 func TestOpenFlowsAreForwardedBeforeRoutesAreKnown(t *testing.T) {
 	known := newEarlyTable(t, storeview.Entry{Key: "roster-0", Revision: 3, Target: &storeview.Target{Identifier: 100, Service: "roster"}})
 	assert.Assert(t, known != nil && !known.HasRoutes() && known.HasTargets())
-	forwarded := known.FollowEarly(testStart, &Packet{Destination: rosterAddress, Token: WordAt(rosterAddress, 100)})
+	forwarded := known.SteerWithoutRoutes(testStart, &Packet{Destination: rosterAddress, Token: BoundTokenAt(rosterAddress, 100)})
 	assert.Equal(t, forwarded.Action, Forward)
 	assert.Equal(t, forwarded.Target.Identifier, uint64(100))
-	assert.Equal(t, forwarded.Word(), WordAt(rosterAddress, 100))
-	elsewhere := known.FollowEarly(testStart, &Packet{Destination: ledgerAddress, Token: WordAt(rosterAddress, 100)})
+	assert.Equal(t, forwarded.BoundToken(), BoundTokenAt(rosterAddress, 100))
+	elsewhere := known.SteerWithoutRoutes(testStart, &Packet{Destination: ledgerAddress, Token: BoundTokenAt(rosterAddress, 100)})
 	assert.Equal(t, elsewhere.Action, Hold, "token bound to another address")
-	unknown := known.FollowEarly(testStart, &Packet{Destination: rosterAddress, Token: WordAt(rosterAddress, 101)})
+	unknown := known.SteerWithoutRoutes(testStart, &Packet{Destination: rosterAddress, Token: BoundTokenAt(rosterAddress, 101)})
 	assert.Equal(t, unknown.Action, Hold, "a target learned later may have the token")
 }
 
@@ -38,6 +38,6 @@
 // after a restart of all daemons.
 func TestSteeringBeforeRoutesDoesNotAllocate(t *testing.T) {
 	known := newEarlyTable(t, storeview.Entry{Key: "roster-0", Revision: 3, Target: &storeview.Target{Identifier: 100, Service: "roster"}})
-	packet := &Packet{Destination: rosterAddress, Token: WordAt(rosterAddress, 100)}
-	assert.Equal(t, testing.AllocsPerRun(100, func() { known.FollowEarly(testStart, packet) }), 0.0)
+	packet := &Packet{Destination: rosterAddress, Token: BoundTokenAt(rosterAddress, 100)}
+	assert.Equal(t, testing.AllocsPerRun(100, func() { known.SteerWithoutRoutes(testStart, packet) }), 0.0)
 }
--- a/internal/steering/token/opener.go
+++ b/internal/steering/token/opener.go
@@ -31,7 +31,7 @@
 	pins         *ownership.Table
 	leavingGrace time.Duration
 	// suspect are the targets that left a first packet unanswered.
-	suspect []Unanswered
+	suspect []FailureEvidence
 	// expiryWindow is the period in which entries of running targets may be missing.
 	expiryWindow storeview.Lapse
 	// daemons is the number of daemons that share the targets' capacity. atLimit is set if the
@@ -59,18 +59,18 @@
 	return opener
 }
 
-// SetLapse sets the period in which entries of running targets may be missing.
-func (o *Opener) SetLapse(expiryWindow storeview.Lapse) { o.expiryWindow = expiryWindow }
+// SetExpiryWindow sets the period in which entries of running targets may be missing.
+func (o *Opener) SetExpiryWindow(expiryWindow storeview.Lapse) { o.expiryWindow = expiryWindow }
 
 // SetDaemons sets the number of daemons, including this one, that share the targets' capacity.
 func (o *Opener) SetDaemons(count int) { o.daemons = count }
 
-// SetKnowsOpen declares that the numbers of open flows at targets are known from now on.
-func (o *Opener) SetKnowsOpen() { o.openCountsKnown = true }
+// SetOpenCountsKnown declares that the numbers of open flows at targets are known from now on.
+func (o *Opener) SetOpenCountsKnown() { o.openCountsKnown = true }
 
-// Lack changes a decision that failed for want of a target to Hold while entries of running
+// HoldIfMissing changes a decision that failed for want of a target to Hold while entries of running
 // targets may be missing from the store.
-func (o *Opener) Lack(now time.Time, decision Decision) Decision {
+func (o *Opener) HoldIfMissing(now time.Time, decision Decision) Decision {
 	switch decision.Reason {
 	case ReasonNoTarget, ReasonEvacuated, ReasonUnknownToken:
 		if o.expiryWindow.Holds(now) {
@@ -88,7 +88,7 @@
 	if route == nil {
 		return Decision{Action: Refuse, Reason: ReasonNoRoute}
 	}
-	decision := Decision{Action: Forward, Reason: ReasonFirst, Route: route}
+	decision := Decision{Action: Forward, Reason: ReasonFirstPacket, Route: route}
 	o.overloaded = nil
 	o.pins.Update(now, flowKey(route, packet), func(pin ownership.Pin, found bool) (ownership.Pin, bool) {
 		if found {
@@ -133,15 +133,15 @@
 	}
 	isRetransmission := now.Sub(pin.Created) >= minRetransmitAge || suspect != nil && suspect.isDead(now)
 	if suspect != nil && (pin.Answered || !isRetransmission || pin.Retries >= maxRetries) {
-		decision.Reason = ReasonCopy
+		decision.Reason = ReasonRetransmission
 		decision.Target = suspect
 		return pin, true
 	}
-	decision.Reason = ReasonSilentTarget
+	decision.Reason = ReasonUnresponsiveTarget
 	if suspect != nil {
 		suspect.Signal.NoteUnanswered(now, ejectAfterUnanswered)
 		table.trackUnavailable(suspect)
-		o.suspect = append(o.suspect, Unanswered{Target: suspect.Identifier, Evidence: outlier.Weak})
+		o.suspect = append(o.suspect, FailureEvidence{Target: suspect.Identifier, Evidence: outlier.Weak})
 	}
 	decision.Target = o.pick(now, table, decision.Route, suspect)
 	if decision.Target == nil {
@@ -163,8 +163,8 @@
 	return o.assign(now, decision, pin)
 }
 
-// TakeSilent returns the targets that left first packets unanswered since the last call.
-func (o *Opener) TakeSilent() []Unanswered {
+// TakeUnresponsive returns the targets that left first packets unanswered since the last call.
+func (o *Opener) TakeUnresponsive() []FailureEvidence {
 	suspect := o.suspect
 	o.suspect = nil
 	return suspect
--- a/internal/steering/token/openflows.go
+++ b/internal/steering/token/openflows.go
@@ -186,16 +186,16 @@
 	}
 }
 
-// HeldFlows are statistics on tracked open flows.
-type HeldFlows struct {
-	// Count is the number of tracked flows, Most the maximum, Bytes the approximate memory.
-	Count, Most, Bytes int
+// TrackedFlows are statistics on tracked open flows.
+type TrackedFlows struct {
+	// Count is the number of tracked flows, Capacity the maximum, Bytes the approximate memory.
+	Count, Capacity, Bytes int
 }
 
-func (o *openFlows) stats() HeldFlows {
+func (o *openFlows) stats() TrackedFlows {
 	slots := cap(o.flows)
 	bytes := slots*int(unsafe.Sizeof(openFlow{})) + 4*cap(o.free) + mapBytesPerFlow*len(o.slots)
-	return HeldFlows{Count: len(o.slots), Most: maxOpenFlows, Bytes: bytes}
+	return TrackedFlows{Count: len(o.slots), Capacity: maxOpenFlows, Bytes: bytes}
 }
 
 // SetIdle sets the idle timeout of flows; 0 selects the default.
@@ -206,12 +206,12 @@
 	}
 }
 
-// HeldFlows returns statistics on tracked open flows.
-func (r *Requests) HeldFlows() HeldFlows { return r.flows.stats() }
+// TrackedFlows returns statistics on tracked open flows.
+func (r *Requests) TrackedFlows() TrackedFlows { return r.flows.stats() }
 
-// TakeResting removes up to limit open flows whose targets, given by token, are dead, and returns
+// TakeIdle removes up to limit open flows whose targets, given by token, are dead, and returns
 // for each the packet head to answer with a reset. It does not end pending requests:
-// call TakeWaiting before, which takes the flows of waiting callers and ends their requests.
-func (r *Requests) TakeResting(isDead func(target uint32) bool, limit int) []Packet {
+// call TakePending before, which takes the flows of waiting callers and ends their requests.
+func (r *Requests) TakeIdle(isDead func(target uint32) bool, limit int) []Packet {
 	return r.flows.takeDead(isDead, limit)
 }
--- a/internal/steering/token/openflows_test.go
+++ b/internal/steering/token/openflows_test.go
@@ -62,12 +62,12 @@
 	flow := newExchange(t)
 	flow.send(1, 500, 100)
 	flow.send(101, 900, 0) // the response arrived, the caller is idle
-	assert.Equal(t, len(flow.requests.TakeResting(isDeadAt(Of(101)), 10)), 0)
-	assert.Equal(t, len(flow.requests.TakeResting(isDeadAt(Of(100)), 0)), 0, "limit of 0 exceeded")
-	assert.DeepEqual(t, flow.requests.TakeResting(isDeadAt(Of(100)), 10), []Packet{{
+	assert.Equal(t, len(flow.requests.TakeIdle(isDeadAt(Of(101)), 10)), 0)
+	assert.Equal(t, len(flow.requests.TakeIdle(isDeadAt(Of(100)), 0)), 0, "limit of 0 exceeded")
+	assert.DeepEqual(t, flow.requests.TakeIdle(isDeadAt(Of(100)), 10), []Packet{{
 		Source: caller(0), Destination: rosterAddress, Token: Of(100), Acknowledgement: 900,
 	}}, cmpopts.EquateComparable(netip.AddrPort{}))
-	assert.Equal(t, len(flow.requests.TakeResting(isDeadAt(Of(100)), 10)), 0)
+	assert.Equal(t, len(flow.requests.TakeIdle(isDeadAt(Of(100)), 10)), 0)
 }
 
 // TestEndedFlowsAreNotReset guards later flows from the same port against resets.
@@ -76,7 +76,7 @@
 		"closed":        func(flow *exchange) { flow.note(&Packet{IsClosing: true}) },
 		"reset":         func(flow *exchange) { flow.note(&Packet{IsReset: true}) },
 		"port reused":   func(flow *exchange) { flow.open(0) },
-		"already taken": func(flow *exchange) { flow.requests.TakeWaiting(func(uint64) bool { return true }) },
+		"already taken": func(flow *exchange) { flow.requests.TakePending(func(uint64) bool { return true }) },
 		"idle timeout": func(flow *exchange) {
 			flow.requests.SetIdle(time.Second)
 			flow.requests.OpenFlows(flow.now.Add(time.Second))
@@ -85,9 +85,9 @@
 		t.Run(name, func(t *testing.T) {
 			flow := newExchange(t)
 			flow.send(1, 500, 100)
-			assert.Equal(t, flow.requests.HeldFlows().Count, 1)
+			assert.Equal(t, flow.requests.TrackedFlows().Count, 1)
 			end(flow)
-			assert.Equal(t, flow.requests.HeldFlows().Count, 0)
+			assert.Equal(t, flow.requests.TrackedFlows().Count, 0)
 		})
 	}
 }
--- a/internal/steering/token/overload.go
+++ b/internal/steering/token/overload.go
@@ -27,13 +27,13 @@
 	return d.load
 }
 
-// Restrain changes a decision to Hold if the packet would add work to an overloaded service.
+// HoldIfOverloaded changes a decision to Hold if the packet would add work to an overloaded service.
 // waited is how long the packet has been held already.
 //
 // A new flow that has waited for its maximum time is refused: nothing was processed, and its
 // caller still has time to retry. A request of ordinary rank on an open flow is forwarded then,
 // since a reset would break a flow whose target is healthy.
-func (r *Requests) Restrain(now time.Time, decision Decision, packet *Packet, waited time.Duration) Decision {
+func (r *Requests) HoldIfOverloaded(now time.Time, decision Decision, packet *Packet, waited time.Duration) Decision {
 	if decision.Route == nil {
 		return decision
 	}
@@ -42,16 +42,16 @@
 	case decision.Reason == ReasonOverload && hasWaited:
 		decision.Action = Refuse
 	case packet.IsOpening || decision.Action != Forward || hasWaited || decision.Route.rank != overload.Ordinary:
-	case !r.Begins(&decision, packet) || decision.Target.Load.Admit(now, overload.Ordinary):
+	case !r.StartsRequest(&decision, packet) || decision.Target.Load.Admit(now, overload.Ordinary):
 	default:
 		decision.Action, decision.Reason = Hold, ReasonOverload
 	}
 	return decision
 }
 
-// SetShares sets the number of daemons among which the work of each service is divided, 0 if
+// SetOverloadShares sets the number of daemons among which the work of each service is divided, 0 if
 // unknown.
-func (o *Opener) SetShares(now time.Time, table *Table, daemons int) {
+func (o *Opener) SetOverloadShares(now time.Time, table *Table, daemons int) {
 	for _, service := range table.services {
 		service.Load.SetShare(o.liveSlots(now, service), daemons)
 	}
@@ -76,17 +76,17 @@
 	return live
 }
 
-// Loads calls visit with the overload controller of each service.
-func (t *Table) Loads(visit func(service string, load *overload.Controller)) {
+// EachLoad calls visit with the overload controller of each service.
+func (t *Table) EachLoad(visit func(service string, load *overload.Controller)) {
 	for name, service := range t.services {
 		visit(name, service.Load)
 	}
 }
 
-// Credible filters out weak evidence against targets of overloaded services: it reflects the
+// FilterEvidence filters out weak evidence against targets of overloaded services: it reflects the
 // overload, not a failure of a single target.
-func (t *Table) Credible(now time.Time, evidence []Unanswered) []Unanswered {
-	return slices.DeleteFunc(evidence, func(unanswered Unanswered) bool {
+func (t *Table) FilterEvidence(now time.Time, evidence []FailureEvidence) []FailureEvidence {
+	return slices.DeleteFunc(evidence, func(unanswered FailureEvidence) bool {
 		target := t.targetByIdentifier(unanswered.Target)
 		if target == nil || unanswered.Evidence != outlier.Weak {
 			return false
--- a/internal/steering/token/overload_test.go
+++ b/internal/steering/token/overload_test.go
@@ -26,7 +26,7 @@
 		storeview.Route{Address: preferredAddress, Backends: backends, Priority: 1, Objective: 600 * time.Millisecond},
 		storeview.Route{Address: ordinaryAddress, Backends: backends, Priority: 2, Objective: 600 * time.Millisecond},
 	)
-	site.opener.SetShares(site.now, site.table, 100)
+	site.opener.SetOverloadShares(site.now, site.table, 100)
 	load, number := site.table.services["roster"].Load, site.table.routes[ordinaryAddress].Number
 	for range 100 {
 		load.NoteAnswer(site.now, number, 1000)
@@ -41,7 +41,7 @@
 // openRestrained steers a first packet that has been held for the given time.
 func (s *site) openRestrained(requests *Requests, number int, waited time.Duration) Decision {
 	packet := &Packet{Source: caller(number), Destination: ordinaryAddress, IsOpening: true}
-	return requests.Restrain(s.now, s.opener.Open(s.now, s.table, packet), packet, waited)
+	return requests.HoldIfOverloaded(s.now, s.opener.Open(s.now, s.table, packet), packet, waited)
 }
 
 func TestOrdinaryFlowIsHeldThenRefusedUnderOverload(t *testing.T) {
@@ -62,15 +62,15 @@
 	site, requests := newOverloadedSite(t), NewRequests(16)
 	opened := site.open(ordinaryAddress, 1)
 	site.open(ordinaryAddress, 2)
-	data := &Packet{Source: caller(1), Destination: ordinaryAddress, Token: opened.Word(), PayloadLength: 10}
-	followed := site.table.Follow(site.now, data)
-	assert.Equal(t, requests.Restrain(site.now, followed, data, 0).Action, Hold)
-	assert.Equal(t, requests.Restrain(site.now, followed, data, time.Second).Action, Forward, "request on an open flow not forwarded after its wait")
+	data := &Packet{Source: caller(1), Destination: ordinaryAddress, Token: opened.BoundToken(), PayloadLength: 10}
+	followed := site.table.SteerEstablished(site.now, data)
+	assert.Equal(t, requests.HoldIfOverloaded(site.now, followed, data, 0).Action, Hold)
+	assert.Equal(t, requests.HoldIfOverloaded(site.now, followed, data, time.Second).Action, Forward, "request on an open flow not forwarded after its wait")
 	acknowledgement := *data
 	acknowledgement.PayloadLength = 0
-	assert.Equal(t, requests.Restrain(site.now, followed, &acknowledgement, 0).Action, Forward)
+	assert.Equal(t, requests.HoldIfOverloaded(site.now, followed, &acknowledgement, 0).Action, Forward)
 	requests.Note(site.now, &followed, data)
-	assert.Equal(t, requests.Restrain(site.now, followed, data, 0).Action, Forward, "data of an admitted request was held")
+	assert.Equal(t, requests.HoldIfOverloaded(site.now, followed, data, 0).Action, Forward, "data of an admitted request was held")
 }
 
 func TestRejectingTargetGetsFewFlows(t *testing.T) {
@@ -108,12 +108,12 @@
 // TestWeakEvidenceIsIgnoredUnderOverload guards against ejecting targets because they rejected
 // requests in a burst.
 func TestWeakEvidenceIsIgnoredUnderOverload(t *testing.T) {
-	evidence := func() []Unanswered {
-		return []Unanswered{{Target: 100, Evidence: outlier.Weak}, {Target: 101, Evidence: outlier.Strong}, {Target: 200, Evidence: outlier.Weak}}
+	evidence := func() []FailureEvidence {
+		return []FailureEvidence{{Target: 100, Evidence: outlier.Weak}, {Target: 101, Evidence: outlier.Strong}, {Target: 200, Evidence: outlier.Weak}}
 	}
 	site := newOverloadedSite(t)
-	assert.DeepEqual(t, site.table.Credible(site.now, evidence()), evidence()[1:])
-	assert.DeepEqual(t, site.table.Credible(site.now.Add(time.Minute), evidence()), evidence())
+	assert.DeepEqual(t, site.table.FilterEvidence(site.now, evidence()), evidence()[1:])
+	assert.DeepEqual(t, site.table.FilterEvidence(site.now.Add(time.Minute), evidence()), evidence())
 }
 
 // exhaustCapacity occupies all capacity of a decision's service.
@@ -128,8 +128,8 @@
 func TestDelayedAcknowledgementWithHeldRequestIsNoSample(t *testing.T) {
 	site, requests := newOverloadedSite(t), NewRequests(16)
 	opened := site.open(ordinaryAddress, 1)
-	data := &Packet{Source: caller(1), Destination: ordinaryAddress, Token: opened.Word(), PayloadLength: 10}
-	decision := site.table.Follow(site.now, data)
+	data := &Packet{Source: caller(1), Destination: ordinaryAddress, Token: opened.BoundToken(), PayloadLength: 10}
+	decision := site.table.SteerEstablished(site.now, data)
 	const answerLength = 1000
 	for range 20 { // collect enough samples
 		requests.Note(site.now, &decision, data)
@@ -138,19 +138,19 @@
 		requests.Note(site.now, &decision, &Packet{Source: caller(1), Destination: ordinaryAddress, Acknowledgement: data.Acknowledgement})
 		site.now = site.now.Add(10 * time.Millisecond)
 	}
-	requests.TakeAnswered()
+	requests.TakeLatencySamples()
 	requests.Note(site.now, &decision, data)
 	sentAt := site.now
 	site.now = site.now.Add(500 * time.Millisecond)
 	next := *data
 	next.Acknowledgement, next.Sequence = data.Acknowledgement+answerLength, 10
 	site.exhaustCapacity(&decision)
-	held := requests.Restrain(site.now, decision, &next, 0)
+	held := requests.HoldIfOverloaded(site.now, decision, &next, 0)
 	assert.Equal(t, held.Action, Hold)
 	_, isAnswer := requests.Note(site.now, &held, &next)
 	assert.Assert(t, isAnswer)
 	assert.Assert(t, decision.Target.Signal.LastLife().Equal(sentAt))
-	assert.Equal(t, len(requests.TakeAnswered()), 0)
+	assert.Equal(t, len(requests.TakeLatencySamples()), 0)
 	assert.Equal(t, requests.Len(), 0, "held request already tracked")
 }
 
@@ -159,7 +159,7 @@
 func TestOverloadShareCountsTargetsThatGetFlows(t *testing.T) {
 	bound := func(t *testing.T, site *site) float64 {
 		t.Helper()
-		site.opener.SetShares(site.now, site.table, 1)
+		site.opener.SetOverloadShares(site.now, site.table, 1)
 		bound, isBound := site.table.services["roster"].Load.Bound(site.now)
 		assert.Assert(t, isBound)
 		return bound
--- a/internal/steering/token/reindex.go
+++ b/internal/steering/token/reindex.go
@@ -11,7 +11,7 @@
 	}
 	target.isIndexed = true
 	x.addToZone(target)
-	if target.MayOpen {
+	if target.IsEligible {
 		x.eligibleCount++
 	}
 	service := x.services[target.Service]
@@ -19,7 +19,7 @@
 		return
 	}
 	service.add(target)
-	if target.ColdRate > 0 {
+	if target.SlowStartRate > 0 {
 		x.slowStarting[target] = struct{}{}
 	}
 }
@@ -42,7 +42,7 @@
 	}
 	target.isIndexed = false
 	x.removeFromZone(target)
-	if target.MayOpen {
+	if target.IsEligible {
 		x.eligibleCount--
 	}
 	if service := x.services[target.Service]; service != nil && !target.Refused {
--- a/internal/steering/token/responsehistory.go
+++ b/internal/steering/token/responsehistory.go
@@ -15,7 +15,7 @@
 	latencies map[uint32]*latencyMedian
 	rates     map[string]*decayingRate
 	// short are targets whose responses were unusually short.
-	short []Unanswered
+	short []FailureEvidence
 }
 
 func newResponseHistory(capacity int) *responseHistory {
@@ -44,7 +44,7 @@
 		h.lengths[decision.Route.Number] = stats
 	}
 	if stats.note(length) {
-		h.short = append(h.short, Unanswered{Target: target, Evidence: outlier.Weak})
+		h.short = append(h.short, FailureEvidence{Target: target, Evidence: outlier.Weak})
 	}
 }
 
@@ -66,7 +66,7 @@
 
 // takeShort returns the targets whose responses were much shorter than is usual for their route
 // since the last call.
-func (h *responseHistory) takeShort() []Unanswered {
+func (h *responseHistory) takeShort() []FailureEvidence {
 	short := h.short
 	h.short = nil
 	return short
--- a/internal/steering/token/retransmitted.go
+++ b/internal/steering/token/retransmitted.go
@@ -45,9 +45,9 @@
 	return unacknowledged
 }
 
-// TakeWaiting ends the pending requests of dead targets and returns for each the packet head to
+// TakePending ends the pending requests of dead targets and returns for each the packet head to
 // answer with a reset.
-func (r *Requests) TakeWaiting(isDead func(target uint64) bool) []Packet {
+func (r *Requests) TakePending(isDead func(target uint64) bool) []Packet {
 	var keys []requestKey
 	for key, req := range r.pending {
 		if isDead(req.target) {
--- a/internal/steering/token/service.go
+++ b/internal/steering/token/service.go
@@ -23,10 +23,10 @@
 func (s *Service) add(target *Target) {
 	candidate := balance.Candidate{
 		Signal: target.Signal, Weight: max(1, target.Slots), Cap: s.maximumFlows, Zone: target.Zone,
-		Slots: target.Slots, WarmAt: target.WarmAt, IsColdBounded: target.ColdRate > 0,
+		Slots: target.Slots, WarmAt: target.WarmAt, IsColdBounded: target.SlowStartRate > 0,
 	}
 	switch {
-	case target.MayOpen:
+	case target.IsEligible:
 		target.entry = s.eligible.Add(candidate, target)
 	case target.IsEvacuated:
 		s.evacuated++
@@ -37,7 +37,7 @@
 
 func (s *Service) remove(target *Target) {
 	switch {
-	case target.MayOpen:
+	case target.IsEligible:
 		s.eligible.Remove(target.entry)
 	case target.IsEvacuated:
 		s.evacuated--
@@ -51,7 +51,7 @@
 func (s *Service) trackUnavailable(target *Target) {
 	switch {
 	case target.entry == nil:
-	case target.MayOpen:
+	case target.IsEligible:
 		s.eligible.Watch(target.entry)
 	default:
 		s.leaving.Watch(target.entry)
--- a/internal/steering/token/slowstart_test.go
+++ b/internal/steering/token/slowstart_test.go
@@ -16,7 +16,7 @@
 	t.Helper()
 	s := newSite(t)
 	s.put(storeview.Entry{Key: "config", Configuration: &storeview.Configuration{
-		Version: 100, Routes: standardRoutes(), Services: []storeview.Service{{Name: "roster", ColdRate: 4}, {Name: "ledger"}},
+		Version: 100, Routes: standardRoutes(), Services: []storeview.Service{{Name: "roster", SlowStartRate: 4}, {Name: "ledger"}},
 	}})
 	for number := range 3 {
 		s.target(fmt.Sprint("roster-", number), uint64(100+number), "roster", func(target *storeview.Target) { target.ColdFor = 5 * time.Second })
@@ -27,7 +27,7 @@
 func TestSlowStartTargetsGetTheirShare(t *testing.T) {
 	site := newSlowStartSite(t)
 	rates := map[uint64]float64{}
-	site.table.SetColdShares(site.now, func(identifier uint64, rate float64) int {
+	site.table.SetSlowStartShares(site.now, func(identifier uint64, rate float64) int {
 		rates[identifier] = rate
 		return 2
 	})
@@ -42,7 +42,7 @@
 		assert.Assert(t, counts[identifier] <= 2, "%d got %d flows at once", identifier, counts[identifier])
 	}
 	site.now = site.now.Add(5 * time.Second)
-	site.table.SetColdShares(site.now, func(uint64, float64) int {
+	site.table.SetSlowStartShares(site.now, func(uint64, float64) int {
 		t.Error("share requested for a target past slow start")
 		return 0
 	})
--- a/internal/steering/token/speeds.go
+++ b/internal/steering/token/speeds.go
@@ -37,7 +37,7 @@
 // service.
 func (t *Table) eachEligible(mark loadshare.Mark, visit func(target *Target)) {
 	for target := t.index.byMark[mark]; target != nil; target = target.nextSameMark {
-		if target.entry != nil && target.MayOpen {
+		if target.entry != nil && target.IsEligible {
 			visit(target)
 		}
 	}
--- a/internal/steering/token/unrouted_test.go
+++ b/internal/steering/token/unrouted_test.go
@@ -24,8 +24,8 @@
 
 func noteUnrouted(t *testing.T, site *site, unrouted *Unrouted, number int) {
 	t.Helper()
-	packet := &Packet{Source: caller(number), Destination: rosterAddress, Token: WordAt(rosterAddress, 100), Acknowledgement: uint32(number)}
-	assert.Equal(t, site.table.Follow(site.now, packet).Reason, ReasonUnconfirmedRoute)
+	packet := &Packet{Source: caller(number), Destination: rosterAddress, Token: BoundTokenAt(rosterAddress, 100), Acknowledgement: uint32(number)}
+	assert.Equal(t, site.table.SteerEstablished(site.now, packet).Reason, ReasonUnconfirmedRoute)
 	unrouted.Note(site.now, site.now, packet)
 }
 
@@ -71,13 +71,13 @@
 func TestInvalidTokenIsNoUnconfirmedRoute(t *testing.T) {
 	site, _ := newUnroutedSite(t)
 	for _, packet := range []Packet{
-		{Token: WordAt(ledgerAddress, 100)},
+		{Token: BoundTokenAt(ledgerAddress, 100)},
 		{Token: Of(100)},
 		{},
-		{Token: WordAt(rosterAddress, 100), IsReset: true},
+		{Token: BoundTokenAt(rosterAddress, 100), IsReset: true},
 	} {
 		packet.Source, packet.Destination = caller(1), rosterAddress
-		assert.Equal(t, site.table.Follow(site.now, &packet).Reason, ReasonNoRoute)
+		assert.Equal(t, site.table.SteerEstablished(site.now, &packet).Reason, ReasonNoRoute)
 	}
 }
 
@@ -85,14 +85,14 @@
 // caller had a flow before the route was removed and added again.
 func TestFlowOfReaddedRouteIsNotTakenForEarlierOne(t *testing.T) {
 	site := newSite(t)
-	data := &Packet{Source: caller(1), Destination: rosterAddress, Token: WordAt(rosterAddress, 100), PayloadLength: 1}
-	decision := site.table.Follow(site.now, data)
+	data := &Packet{Source: caller(1), Destination: rosterAddress, Token: BoundTokenAt(rosterAddress, 100), PayloadLength: 1}
+	decision := site.table.SteerEstablished(site.now, data)
 	site.requests.Note(site.now, &decision, data)
 	site.now = site.now.Add(time.Second)
 	for _, routes := range [][]storeview.Route{standardRoutes()[1:], standardRoutes(), standardRoutes()[1:]} {
 		site.configure(routes...)
 	}
-	decision = site.table.Follow(site.now, data)
+	decision = site.table.SteerEstablished(site.now, data)
 	assert.Assert(t, decision.Route != nil)
 	assert.Equal(t, site.requests.OpenSince(site.now, &decision, data), site.now)
 }
@@ -134,5 +134,5 @@
 	now = now.Add(time.Second)
 	requests.NoteOpening(now, &after, &Packet{Source: caller(1), Destination: rosterAddress, IsOpening: true})
 	requests.Note(now, &after, &Packet{Source: caller(1), Destination: rosterAddress, Token: 22, Acknowledgement: 9})
-	assert.Equal(t, len(requests.TakeResting(isDeadAt(11), 10)), 0)
+	assert.Equal(t, len(requests.TakeIdle(isDeadAt(11), 10)), 0)
 }
--- a/internal/storenode/liveness_test.go
+++ b/internal/storenode/liveness_test.go
@@ -21,7 +21,7 @@
 func TestVerdictResetsCallersOfDeadTarget(t *testing.T) {
 	lines := &logRecorder{}
 	site, node := startReady(t, lines.logger())
-	value := token.WordAt(testRoute, 77)
+	value := token.BoundTokenAt(testRoute, 77)
 	request := append(newTestPacket(site.callerAddress(), testRoute, value, kindData), "a request"...)
 	_, err := site.caller.WriteToUDPAddrPort(request, nodetest.Address(0, testDataPort))
 	assert.NilError(t, err)
@@ -71,12 +71,12 @@
 		t.Run(name, func(t *testing.T) {
 			lines := &logRecorder{}
 			site, node := startReady(t, lines.logger())
-			site.send(t, 0, token.WordAt(testRoute, 77), kindData)
+			site.send(t, 0, token.BoundTokenAt(testRoute, 77), kindData)
 			receive(t, site.target)
 			end(site, node)
 			assert.Equal(t, receive(t, site.caller)[16], byte(kindReset))
 			nodetest.WaitFor(t, "the log line", func() bool { return lines.contains(messageIdleReset) })
-			assert.Assert(t, lines.contains(token.ReasonAtRest.String()), "log line of the flow")
+			assert.Assert(t, lines.contains(token.ReasonDeadTargetIdle.String()), "log line of the flow")
 			status, _ := node.Status()
 			assert.Equal(t, status.Flows.ResetAtRest, uint64(1))
 			assert.Equal(t, status.Flows.Held, 0)
@@ -89,7 +89,7 @@
 	site, node := startReady(t, logr.Discard())
 	sources := site.callerAddress().Addr()
 	for number := range maxIdleResets + 10 {
-		packet := newTestPacket(netip.AddrPortFrom(sources, uint16(1000+number)), testRoute, token.WordAt(testRoute, 77), kindData)
+		packet := newTestPacket(netip.AddrPortFrom(sources, uint16(1000+number)), testRoute, token.BoundTokenAt(testRoute, 77), kindData)
 		_, err := site.caller.WriteToUDPAddrPort(packet, nodetest.Address(0, testDataPort))
 		assert.NilError(t, err)
 		receive(t, site.target)
--- a/internal/storenode/loads.go
+++ b/internal/storenode/loads.go
@@ -28,7 +28,7 @@
 		local = nil
 	}
 	n.appliedOpen.local = applyChanges(n.appliedOpen.local, local, table.SetOpen)
-	n.appliedOpen.totals = applyChanges(n.appliedOpen.totals, totals, table.SetOpenAt)
+	n.appliedOpen.totals = applyChanges(n.appliedOpen.totals, totals, table.SetOpenByMark)
 	n.plane.setOpenFlowsKnown()
 	n.exchangeSpeeds(now, table)
 }
--- a/internal/storenode/memory_bench_test.go
+++ b/internal/storenode/memory_bench_test.go
@@ -71,7 +71,7 @@
 	assert.NilError(tb, err)
 	state.fleet.StepDelta(now, pull.Number, delta)
 	state.table = state.builder.Build(now, state.fleet.View())
-	assert.Equal(tb, state.table.OpenTargets(), s.targets)
+	assert.Equal(tb, state.table.EligibleTargets(), s.targets)
 	assert.Equal(tb, len(state.fleet.Live()), s.members)
 	return state
 }
--- a/internal/storenode/overload.go
+++ b/internal/storenode/overload.go
@@ -103,7 +103,7 @@
 	p.mutex.Unlock()
 	switch {
 	case isDuplicate:
-		p.counters.dropped[token.ReasonCopy].Add(1)
+		p.counters.dropped[token.ReasonRetransmission].Add(1)
 	case canQueue:
 		if !arrived.isDequeued {
 			p.counters.queued.Add(1)
@@ -163,7 +163,7 @@
 func (p *tokenPlane) tickQueue(now time.Time, daemons int) {
 	p.mutex.Lock()
 	if table := p.table.Load(); table != nil {
-		p.opener.SetShares(now, table, daemons)
+		p.opener.SetOverloadShares(now, table, daemons)
 	}
 	p.mutex.Unlock()
 	if !p.mayBeQueued.Load() {
@@ -196,7 +196,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	var loads []serviceLoad
-	table.Loads(func(service string, load *overload.Controller) {
+	table.EachLoad(func(service string, load *overload.Controller) {
 		limit, isLimited := load.Bound(now)
 		loads = append(loads, serviceLoad{
 			service: service, preferred: load.InProgress(now, overload.Preferred), ordinary: load.InProgress(now, overload.Ordinary),
--- a/internal/storenode/overload_queue_test.go
+++ b/internal/storenode/overload_queue_test.go
@@ -76,7 +76,7 @@
 	})
 	plane.apply(now, newBuilder(cfg).Build(now, view))
 	plane.tickQueue(now, 88)
-	plane.table.Load().Loads(func(_ string, load *overload.Controller) { plane.load = load })
+	plane.table.Load().EachLoad(func(_ string, load *overload.Controller) { plane.load = load })
 	for range 50 {
 		plane.load.NoteAnswer(now, 1, 1000)
 	}
@@ -98,7 +98,7 @@
 }
 
 func newInbound(number int, kind byte, payload string) *forwarding.Inbound {
-	value := token.WordAt(testRoute, 77)
+	value := token.BoundTokenAt(testRoute, 77)
 	if kind == kindFirst {
 		value = 0
 	}
@@ -142,7 +142,7 @@
 		assert.DeepEqual(t, plane.takeSent(), []string{})
 		plane.expireWaits()
 		assert.DeepEqual(t, plane.takeSent(), []string{"11", "12"})
-		assert.Equal(t, plane.counters.dropped[token.ReasonCopy].Load(), uint64(1))
+		assert.Equal(t, plane.counters.dropped[token.ReasonRetransmission].Load(), uint64(1))
 		assert.Equal(t, len(plane.retransmissions()), 0)
 	})
 	t.Run("when there is capacity for a later segment", func(t *testing.T) {
@@ -215,7 +215,7 @@
 // acknowledges may have arrived long before, and the target may have died since.
 func TestQueuedAcknowledgementCountsAsPastActivity(t *testing.T) {
 	plane := newOverloadedPlane(t, 8)
-	packet := &token.Packet{Source: callerOf(1), Destination: testRoute, Token: token.WordAt(testRoute, 77), PayloadLength: 1}
+	packet := &token.Packet{Source: callerOf(1), Destination: testRoute, Token: token.BoundTokenAt(testRoute, 77), PayloadLength: 1}
 	first := plane.decide(plane.table.Load(), packet, arrival{at: time.Now().Add(-time.Hour)})
 	assert.Equal(t, first.Action, token.Forward)
 	sentBefore := time.Now()
--- a/internal/storenode/overload_test.go
+++ b/internal/storenode/overload_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	node.plane.mutex.Lock()
 	defer node.plane.mutex.Unlock()
-	node.plane.table.Load().Loads(func(_ string, controller *overload.Controller) { load = controller })
+	node.plane.table.Load().EachLoad(func(_ string, controller *overload.Controller) { load = controller })
 	for range 50 {
 		load.NoteAnswer(time.Now(), 1, 1000)
 	}
--- a/internal/storenode/resets.go
+++ b/internal/storenode/resets.go
@@ -19,7 +19,7 @@
 // number. Only the control loop calls it.
 func (p *tokenPlane) resetWaiting(isDead func(target uint64) bool) int {
 	p.mutex.Lock()
-	waiting := p.requests.TakeWaiting(isDead)
+	waiting := p.requests.TakePending(isDead)
 	p.mutex.Unlock()
 	p.resetAll(waiting, token.ReasonDeadTarget)
 	p.mayHaveIdleResets = true
@@ -34,12 +34,12 @@
 		return 0
 	}
 	p.mutex.Lock()
-	idle := p.requests.TakeResting(func(target uint32) bool { return table.IsDeadToken(now, target) }, maxIdleResets)
+	idle := p.requests.TakeIdle(func(target uint32) bool { return table.IsTokenDead(now, target) }, maxIdleResets)
 	p.mutex.Unlock()
-	p.resetAll(idle, token.ReasonAtRest)
+	p.resetAll(idle, token.ReasonDeadTargetIdle)
 	p.mayHaveIdleResets = len(idle) == maxIdleResets
 	for index := range idle {
-		decision := token.Decision{Action: token.Refuse, Reason: token.ReasonAtRest, Target: table.TargetOf(idle[index].Token)}
+		decision := token.Decision{Action: token.Refuse, Reason: token.ReasonDeadTargetIdle, Target: table.TargetByToken(idle[index].Token)}
 		p.decisionLog.logDecision(table, &idle[index], &decision, p.confirmedUntil.Load())
 	}
 	return len(idle)
@@ -60,10 +60,10 @@
 }
 
 // heldFlows returns the number and size of the open flows tracked.
-func (p *tokenPlane) heldFlows() token.HeldFlows {
+func (p *tokenPlane) heldFlows() token.TrackedFlows {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.requests.HeldFlows()
+	return p.requests.TrackedFlows()
 }
 
 // resetIdle resets idle flows of dead or superseded targets and logs their number.
--- a/internal/storenode/slow_start.go
+++ b/internal/storenode/slow_start.go
@@ -17,7 +17,7 @@
 	}
 	knowsMembers := n.fleet.KnowsMembers(now)
 	var daemons []netip.AddrPort
-	table.SetColdShares(now, func(identifier uint64, rate float64) int {
+	table.SetSlowStartShares(now, func(identifier uint64, rate float64) int {
 		if !knowsMembers {
 			return 0
 		}
--- a/internal/storenode/targets_only_test.go
+++ b/internal/storenode/targets_only_test.go
@@ -49,7 +49,7 @@
 	assert.Assert(t, node.Ready() != "", "not ready for new flows without routes")
 	site.send(t, 1, 0, kindFirst)
 	nodetest.WaitFor(t, "a held packet", func() bool { return node.plane.counters.held.Load() == 1 })
-	site.send(t, 1, token.WordAt(testRoute, 77), kindData)
+	site.send(t, 1, token.BoundTokenAt(testRoute, 77), kindData)
 	assert.Equal(t, binary.BigEndian.Uint64(receive(t, site.target)), uint64(77))
 	for reason := range token.ReasonCount {
 		assert.Equal(t, node.plane.counters.refused[reason].Load(), uint64(0))
--- a/internal/storenode/unrouted_test.go
+++ b/internal/storenode/unrouted_test.go
@@ -25,7 +25,7 @@
 	counters := node.plane.counters
 	site.send(t, 0, token.Of(77), kindData)
 	nodetest.WaitFor(t, "a drop", func() bool { return counters.dropped[token.ReasonNoRoute].Load() == 1 })
-	site.send(t, 0, token.WordAt(testRoute, 77), kindData)
+	site.send(t, 0, token.BoundTokenAt(testRoute, 77), kindData)
 	nodetest.WaitFor(t, "a packet that waits for a confirmation", func() bool { return counters.dropped[token.ReasonUnconfirmedRoute].Load() == 1 })
 	assert.Equal(t, counters.refused[token.ReasonDroppedRoute].Load(), uint64(0))
 	node.Enqueue(func(now time.Time) { node.plane.resetUnrouted(now, now.Add(time.Hour)) })
