--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -221,7 +221,7 @@
 	case message.Consensus != nil:
 		c.handleConsensusOutput(now, c.replica.Step(now, message.Consensus))
 	case message.Pull != nil:
-		if update, newer := c.store.Since(message.Pull.Have); newer {
+		if update, newer := c.store.UpdateSince(message.Pull.Have); newer {
 			c.send(from, PeerMessage{Update: &update})
 		}
 	case message.Update != nil:
--- a/internal/control/pull.go
+++ b/internal/control/pull.go
@@ -31,7 +31,7 @@
 	if !ok || remote.Version.Epoch.IsZero() {
 		return
 	}
-	switch remote.Version.Against(c.store.Version()) {
+	switch remote.Version.Compare(c.store.Version()) {
 	case dissemination.Newer:
 		if c.puller.aheadSince.IsZero() {
 			c.puller.aheadSince = now
@@ -58,7 +58,7 @@
 }
 
 func (c *Core) handleUpdate(now time.Time, update *dissemination.Update) {
-	changed, err := c.store.Take(update)
+	changed, err := c.store.ApplyUpdate(update)
 	c.reportInvalid(err)
 	c.puller.pullUntil = time.Time{}
 	if !changed {
--- a/internal/dissemination/store.go
+++ b/internal/dissemination/store.go
@@ -33,8 +33,8 @@
 	Conflicting
 )
 
-// Against returns the order of v relative to other: Newer if v is ahead.
-func (v Version) Against(other Version) Order {
+// Compare returns the order of v relative to other: Newer if v is ahead.
+func (v Version) Compare(other Version) Order {
 	if v.Epoch.Number != other.Epoch.Number {
 		return Order(cmp.Compare(v.Epoch.Number, other.Epoch.Number))
 	}
@@ -150,7 +150,7 @@
 // Install replaces the configuration by a snapshot if that is newer, and reports whether it
 // did.
 func (s *Store) Install(version Version, voters []identity.Identity, encodedState []byte) (bool, error) {
-	if version.Against(s.version) != Newer {
+	if version.Compare(s.version) != Newer {
 		return false, nil
 	}
 	state, err := catalog.Decode(encodedState)
@@ -164,10 +164,10 @@
 	return true, nil
 }
 
-// Since returns an update that brings a daemon forward from the version have, by a limited number
+// UpdateSince returns an update that brings a daemon forward from the version have, by a limited number
 // of entries or by a snapshot; false if have is not older.
-func (s *Store) Since(have Version) (Update, bool) {
-	if s.version.Against(have) != Newer {
+func (s *Store) UpdateSince(have Version) (Update, bool) {
+	if s.version.Compare(have) != Newer {
 		return Update{}, false
 	}
 	if have.Epoch == s.version.Epoch && len(s.recent) > 0 && s.recent[0].Index <= have.Index+1 {
@@ -178,8 +178,8 @@
 	return Update{Epoch: s.version.Epoch, Index: s.version.Index, Voters: s.voters, Compressed: compressed}, true
 }
 
-// Take applies an update as far as it is newer, and reports whether anything changed.
-func (s *Store) Take(update *Update) (bool, error) {
+// ApplyUpdate applies an update as far as it is newer, and reports whether anything changed.
+func (s *Store) ApplyUpdate(update *Update) (bool, error) {
 	before := s.version
 	if update.Compressed != nil {
 		state, err := s.decoder.DecodeAll(update.Compressed, nil)
--- a/internal/followed/backoff.go
+++ b/internal/followed/backoff.go
@@ -6,7 +6,7 @@
 // answered recently is retried almost at once, since usually only its connection broke and
 // other daemons depend on its reads.
 func (f *Follower) backoff(now time.Time) time.Duration {
-	minPause, maxPause := f.config.BackoffFirst, f.config.BackoffMost
+	minPause, maxPause := f.config.MinBackoff, f.config.MaxBackoff
 	wasAnswered := now.Sub(f.confirmedAt) <= 2*f.config.Wait
 	if f.failures == 1 && wasAnswered {
 		return minPause
@@ -16,7 +16,7 @@
 		minPause, maxPause = max(minPause, groupPause), max(maxPause, groupPause)
 	}
 	if f.isFreshFromPeers {
-		maxPause = max(maxPause, f.config.BackoffSupplied)
+		maxPause = max(maxPause, f.config.MaxBackoffWithPeers)
 	}
 	doublings := min(f.failures-1, 10)
 	return min(minPause<<doublings, maxPause)
@@ -27,7 +27,7 @@
 // other.
 func (f *Follower) gapBackoff() time.Duration {
 	doublings := min(f.consecutiveGaps-1, 10)
-	return min(f.config.BackoffFirst<<doublings, f.config.BackoffMost)
+	return min(f.config.MinBackoff<<doublings, f.config.MaxBackoff)
 }
 
 // scaleByMembers multiplies delay by the number of daemons that follow the store, up to a bound.
--- a/internal/followed/budget.go
+++ b/internal/followed/budget.go
@@ -6,9 +6,9 @@
 	// snapshotLinkShare is the average share of its link that a daemon spends on sending snapshots
 	// to starting daemons.
 	snapshotLinkShare = 0.006
-	// MostRedirects is the number of redirects after which a request for a snapshot is answered
+	// MaxRedirects is the number of redirects after which a request for a snapshot is answered
 	// even if the budget is exhausted.
-	MostRedirects = 3
+	MaxRedirects = 3
 )
 
 // snapshotBudget is a token bucket that limits the bytes of snapshots sent to other daemons. An
--- a/internal/followed/capacity_test.go
+++ b/internal/followed/capacity_test.go
@@ -108,12 +108,12 @@
 // Requests beyond the budget are redirected, but not endlessly.
 func TestSnapshotsKeepLinkBudget(t *testing.T) {
 	serving := newTestFleet(DefaultFleetConfig().ForLink(10 * megabit))
-	serving.follower.Learn(testStart, snapshotDelta())
+	serving.follower.MergeDelta(testStart, snapshotDelta())
 	serving.group.Merge(testStart, []membership.Member{newMember(3, 10, 144, 144)})
 	serving.informedPeers.add(peerAddress(3))
 	ask := func(now time.Time, redirects int) bool {
 		delta := serving.Serve(now, &Pull{Redirects: redirects})
-		serving.NoteGiven(&delta, 20<<10)
+		serving.RecordSnapshotSize(&delta, 20<<10)
 		return !delta.IsRedirect
 	}
 	sent := 0
@@ -123,16 +123,16 @@
 		}
 	}
 	assert.Equal(t, sent, 4, "burst of 75 KB")
-	assert.Assert(t, ask(testStart, MostRedirects))
+	assert.Assert(t, ask(testStart, MaxRedirects))
 	assert.Assert(t, ask(testStart.Add(time.Minute), 0))
 }
 
 func TestBudgetIsIgnoredWithoutAlternativePeer(t *testing.T) {
 	serving := newTestFleet(DefaultFleetConfig().ForLink(10 * megabit))
-	serving.follower.Learn(testStart, snapshotDelta())
+	serving.follower.MergeDelta(testStart, snapshotDelta())
 	for range 10 {
 		delta := serving.Serve(testStart, &Pull{})
-		serving.NoteGiven(&delta, 20<<10)
+		serving.RecordSnapshotSize(&delta, 20<<10)
 		assert.Assert(t, !delta.IsRedirect)
 	}
 }
@@ -142,7 +142,7 @@
 	for name, isLarge := range map[string]bool{"long": true, "short": false} {
 		t.Run(name, func(t *testing.T) {
 			fleet := newTestFleet(DefaultFleetConfig())
-			fleet.follower.Learn(testStart, snapshotDelta())
+			fleet.follower.MergeDelta(testStart, snapshotDelta())
 			fleet.reconcileAt = testStart.Add(time.Hour)
 			fleet.recordAhead(testStart, peerAddress(3), Digest{Revision: 100})
 			if isLarge {
--- a/internal/followed/congestion.go
+++ b/internal/followed/congestion.go
@@ -14,8 +14,8 @@
 // store has answered before; otherwise it may be unreachable rather than slow.
 func (f *Follower) recordLatency(call *Call, answer *Answer) {
 	switch {
-	case answer.BeganAfter > 0 && answer.Outcome != OutcomeFailed:
-		f.storeLatency = answer.BeganAfter
+	case answer.TimeToFirstByte > 0 && answer.Outcome != OutcomeFailed:
+		f.storeLatency = answer.TimeToFirstByte
 	case answer.Outcome == OutcomeFailed && f.storeLatency > 0:
 		f.storeLatency = max(f.storeLatency, call.Timeout)
 	}
@@ -29,6 +29,6 @@
 		return 0
 	}
 	spread := f.config.PagedSpread
-	spread.Most = min(spread.Most, congestionSpreadFactor*f.storeLatency)
+	spread.MaxDelay = min(spread.MaxDelay, congestionSpreadFactor*f.storeLatency)
 	return spread.delay(f.random.Float64())
 }
--- a/internal/followed/congestion_test.go
+++ b/internal/followed/congestion_test.go
@@ -12,7 +12,7 @@
 func congestedFollower(beganAfter time.Duration) *Follower {
 	follower := newTestFollower()
 	follower.avoidsCongestion = true
-	follower.recordLatency(&Call{}, &Answer{Outcome: OutcomeAnswered, BeganAfter: beganAfter})
+	follower.recordLatency(&Call{}, &Answer{Outcome: OutcomeAnswered, TimeToFirstByte: beganAfter})
 	return follower
 }
 
@@ -31,7 +31,7 @@
 		short, long := meanDelay(congestedFollower(100*time.Millisecond)), meanDelay(congestedFollower(300*time.Millisecond))
 		assert.Assert(t, short > 400*time.Millisecond && short < 800*time.Millisecond, "%s", short)
 		assert.Assert(t, long > 2*short, "%s, %s", short, long)
-		assert.Assert(t, meanDelay(congestedFollower(time.Minute)) < DefaultConfig().PagedSpread.Most)
+		assert.Assert(t, meanDelay(congestedFollower(time.Minute)) < DefaultConfig().PagedSpread.MaxDelay)
 	})
 	t.Run("no delay at low latency", func(t *testing.T) {
 		assert.Equal(t, congestedFollower(10*time.Millisecond).congestionDelay(), time.Duration(0))
@@ -49,7 +49,7 @@
 	})
 	t.Run("no delay with a configuration", func(t *testing.T) {
 		follower := congestedFollower(time.Second)
-		follower.Learn(testStart, snapshotDelta())
+		follower.MergeDelta(testStart, snapshotDelta())
 		assert.Equal(t, follower.congestionDelay(), time.Duration(0))
 	})
 	t.Run("a timeout after an answer counts as latency", func(t *testing.T) {
@@ -71,7 +71,7 @@
 			follower.random.Uint64()
 		}
 		page := answered(follower.Tick(testStart).Call, 20, targetEntry("a", 18))
-		page.More, page.BeganAfter = true, 300*time.Millisecond
+		page.More, page.TimeToFirstByte = true, 300*time.Millisecond
 		follower.Step(testStart, page)
 		if follower.Tick(testStart.Add(500*time.Millisecond)).Call != nil {
 			early++
--- a/internal/followed/contacts_test.go
+++ b/internal/followed/contacts_test.go
@@ -36,7 +36,7 @@
 	above := 0
 	for number := byte(30); number < 50; number++ {
 		peer := membership.Member{Identity: identity.Identity{Address: peerAddress(number), Start: identity.NewStart(1, 3)}, Status: membership.Alive}
-		fleet.Serve(testStart, &Pull{Asker: peer})
+		fleet.Serve(testStart, &Pull{Requester: peer})
 		fleet.contacts.add(testStart, peer.Identity.Address)
 		if rankOfAddress(peer.Identity.Address) > rankOf(fleet.self.Identity) {
 			above++
@@ -44,5 +44,5 @@
 	}
 	contactCount, readDelay = fleet.readDelay(testStart)
 	assert.Equal(t, contactCount, 20)
-	assert.Equal(t, readDelay, time.Duration(above)*fleet.config.TurnPerMember, "all live peers are contacts")
+	assert.Equal(t, readDelay, time.Duration(above)*fleet.config.ReadDelayPerMember, "all live peers are contacts")
 }
--- a/internal/followed/epoch_test.go
+++ b/internal/followed/epoch_test.go
@@ -49,7 +49,7 @@
 func TestWatchFromEarlierEpochIsNoContinuation(t *testing.T) {
 	follower := newTestFollower()
 	watch := startWatching(t, follower)
-	follower.Learn(testStart, &Delta{Until: storeview.RevisionIn(1, 4), Entries: []storeview.Entry{configurationEntry(storeview.RevisionIn(1, 3), 2)}})
+	follower.MergeDelta(testStart, &Delta{Until: storeview.RevisionIn(1, 4), Entries: []storeview.Entry{configurationEntry(storeview.RevisionIn(1, 3), 2)}})
 	output := follower.Step(testStart, inEpoch(1, answered(watch, 11, targetEntry("c", 11))))
 	assert.Equal(t, follower.View().Revision(), storeview.RevisionIn(1, 4))
 	assert.Equal(t, output.Call.Kind, CallWatch)
@@ -94,11 +94,11 @@
 func TestAnswerFromEarlierEpochIsIgnored(t *testing.T) {
 	follower := newTestFollower()
 	watch := startWatching(t, follower)
-	follower.Learn(testStart, &Delta{Until: storeview.RevisionIn(1, 4), Entries: []storeview.Entry{configurationEntry(storeview.RevisionIn(1, 3), 2)}})
+	follower.MergeDelta(testStart, &Delta{Until: storeview.RevisionIn(1, 4), Entries: []storeview.Entry{configurationEntry(storeview.RevisionIn(1, 3), 2)}})
 	output := follower.Step(testStart, answered(watch, 12, configurationEntry(12, 7), targetEntry("x", 11)))
 	assert.Equal(t, follower.View().Configuration().Version, uint64(2), "that version was lost in the restore")
 	assert.Equal(t, follower.View().Present(), 0)
-	assert.Equal(t, output.Events[0], Event{EventLost, "failed: answer from epoch 0, but epoch 1 is known"})
+	assert.Equal(t, output.Events[0], Event{EventStoreLost, "failed: answer from epoch 0, but epoch 1 is known"})
 }
 
 func TestEpochChangeBetweenPagesRestartsList(t *testing.T) {
@@ -121,7 +121,7 @@
 	follower := newTestFollower()
 	startWatching(t, follower)
 	since, until := storeview.RevisionIn(1, 6), storeview.RevisionIn(1, 7)
-	_, isComplete := follower.Learn(testStart, &Delta{Since: since, Until: until, Entries: []storeview.Entry{configurationEntry(until, 3)}})
+	_, isComplete := follower.MergeDelta(testStart, &Delta{Since: since, Until: until, Entries: []storeview.Entry{configurationEntry(until, 3)}})
 	assert.Assert(t, !isComplete)
 	assert.Equal(t, follower.View().Revision(), uint64(9))
 	assert.Equal(t, follower.View().Configuration().Version, uint64(3), "the known configuration is active at once")
@@ -129,7 +129,7 @@
 
 func TestPeerOfEarlierEpochIsSentSnapshot(t *testing.T) {
 	fleet := newTestFleet(DefaultFleetConfig())
-	fleet.follower.Learn(testStart, &Delta{Until: storeview.RevisionIn(1, 4), Entries: []storeview.Entry{configurationEntry(storeview.RevisionIn(1, 3), 2)}})
+	fleet.follower.MergeDelta(testStart, &Delta{Until: storeview.RevisionIn(1, 4), Entries: []storeview.Entry{configurationEntry(storeview.RevisionIn(1, 3), 2)}})
 	delta := fleet.Serve(testStart.Add(time.Millisecond), &Pull{Since: 900})
 	assert.Equal(t, delta.Since, uint64(0))
 	assert.Equal(t, delta.Until, storeview.RevisionIn(1, 4))
@@ -169,8 +169,8 @@
 	cutOff := func(t *testing.T) *Fleet {
 		fleet := newTestFleet(DefaultFleetConfig())
 		leaving, copied := stateEntry("a", 12, true), stateEntry("a", storeview.RevisionIn(1, 2), false)
-		fleet.follower.Learn(testStart, &Delta{Until: 15, Entries: []storeview.Entry{configurationEntry(1, 1), leaving}})
-		fleet.follower.Learn(testStart, &Delta{Until: storeview.RevisionIn(1, 10), Entries: []storeview.Entry{configurationEntry(storeview.RevisionIn(1, 1), 1), copied}})
+		fleet.follower.MergeDelta(testStart, &Delta{Until: 15, Entries: []storeview.Entry{configurationEntry(1, 1), leaving}})
+		fleet.follower.MergeDelta(testStart, &Delta{Until: storeview.RevisionIn(1, 10), Entries: []storeview.Entry{configurationEntry(storeview.RevisionIn(1, 1), 1), copied}})
 		fleet.Tick(afterRestore)
 		assert.Equal(t, fleet.View().Target("a").State(), storeview.StateDraining)
 		return fleet
@@ -182,7 +182,7 @@
 	t.Run("the writer wrote again", func(t *testing.T) {
 		fleet := cutOff(t)
 		again := Delta{Since: storeview.RevisionIn(1, 10), Until: storeview.RevisionIn(1, 11), Entries: []storeview.Entry{stateEntry("a", storeview.RevisionIn(1, 11), true)}}
-		fleet.follower.Learn(afterRestore, &again)
+		fleet.follower.MergeDelta(afterRestore, &again)
 		confirm(fleet, storeview.RevisionIn(1, 11))
 		assert.Equal(t, fleet.View().Target("a").State(), storeview.StateDraining)
 	})
--- a/internal/followed/gossip.go
+++ b/internal/followed/gossip.go
@@ -40,7 +40,7 @@
 // applyDelta merges a delta and gossips it on if it contained changes.
 func (f *Fleet) applyDelta(now time.Time, delta *Delta, into *FleetOutput) {
 	before := f.View().Revision()
-	change, _ := f.follower.Learn(now, delta)
+	change, _ := f.follower.MergeDelta(now, delta)
 	into.Change.Add(change)
 	if !change.IsEmpty() && before > 0 && delta.Since > 0 {
 		f.broadcast(now, delta, false)
@@ -81,7 +81,7 @@
 func (f *Fleet) broadcast(now time.Time, delta *Delta, isFromStore bool) {
 	full := Delta{Since: delta.Since, Until: delta.Until, Entries: delta.Entries, Digest: f.Digest(now)}
 	payload := encode(gossipMessage{Delta: &full})
-	if len(payload) > f.config.BroadcastBytes {
+	if len(payload) > f.config.MaxGossipBytes {
 		payload = encode(gossipMessage{Delta: &Delta{Since: delta.Until, Until: delta.Until, Digest: full.Digest}})
 	}
 	f.group.Broadcast(payload)
@@ -104,7 +104,7 @@
 // a digest are ignored.
 func (f *Fleet) handleDigest(now, sentAt time.Time, from netip.AddrPort, digest Digest) {
 	if !f.pause.MayBeOld(now) {
-		f.readerLease.merge(now, lease{rank: digest.Reader, renewedAt: sentAt.Add(-digest.ReaderAge)}, f.config.ClaimFor)
+		f.readerLease.merge(now, lease{rank: digest.Reader, renewedAt: sentAt.Add(-digest.ReaderAge)}, f.config.ReaderLeaseDuration)
 	}
 	if digest.Revision > 0 {
 		f.informedPeers.add(from)
--- a/internal/followed/gossip_test.go
+++ b/internal/followed/gossip_test.go
@@ -15,7 +15,7 @@
 	pull := fleet.Tick(testStart).Pulls[0]
 	fleet.StepDelta(testStart, pull.Number, snapshotDelta())
 	orphan := storeview.Entry{Key: "config", Revision: 12, Difference: &storeview.Difference{Base: 11, Version: 9}}
-	change, isComplete := fleet.follower.Learn(testStart, &Delta{Since: 9, Until: 12, Entries: []storeview.Entry{orphan}})
+	change, isComplete := fleet.follower.MergeDelta(testStart, &Delta{Since: 9, Until: 12, Entries: []storeview.Entry{orphan}})
 	assert.Assert(t, change.LacksBase && !isComplete)
 	assert.Equal(t, fleet.View().Revision(), uint64(9))
 }
@@ -37,5 +37,5 @@
 	fleet.View().Merge(testStart, []storeview.Entry{second})
 	entries := fleet.withDifferences(testStart, []storeview.Entry{second}, 5)
 	payload := encode(gossipMessage{Delta: &Delta{Since: 9, Until: 10, Entries: entries}})
-	assert.Assert(t, len(payload) < config.BroadcastBytes/2, "%d bytes", len(payload))
+	assert.Assert(t, len(payload) < config.MaxGossipBytes/2, "%d bytes", len(payload))
 }
--- a/internal/followed/hedge.go
+++ b/internal/followed/hedge.go
@@ -12,8 +12,8 @@
 // hedgeLatencyFactor is the same in multiples of the store's last latency.
 const hedgeLatencyFactor = 2
 
-// IsAwaited reports whether the answer to a call is still needed.
-func (f *Follower) IsAwaited(number uint64) bool { return f.awaitedCall(number) != nil }
+// IsPending reports whether the answer to a call is still needed.
+func (f *Follower) IsPending(number uint64) bool { return f.awaitedCall(number) != nil }
 
 func (f *Follower) awaitedCall(number uint64) *Call {
 	if f.inFlight != nil && f.inFlight.Number == number {
@@ -39,7 +39,7 @@
 	if f.storeLatency > 0 {
 		after <<= len(f.hedged) // a store that answered before is slow rather than unresponsive
 	}
-	return isStarting && len(f.hedged)+1 < f.config.HedgeMost && now.Sub(f.sentAt) >= after
+	return isStarting && len(f.hedged)+1 < f.config.MaxHedgedLists && now.Sub(f.sentAt) >= after
 }
 
 // dropHedgedCall drops one of several equivalent calls. It reports false if there is only one.
--- a/internal/followed/lease_test.go
+++ b/internal/followed/lease_test.go
@@ -122,7 +122,7 @@
 	assert.Assert(t, again != nil && again.Kind == CallWatch && again.Wait == 0, "missed changes are requested without waiting")
 	fail(again, now.Add(200*time.Millisecond))
 	assert.Assert(t, fleet.IsReading())
-	expiredAt := testStart.Add(fleet.config.ClaimFor)
+	expiredAt := testStart.Add(fleet.config.ReaderLeaseDuration)
 	fleet.peerConfirmedAt = expiredAt
 	fleet.Tick(expiredAt)
 	assert.Assert(t, !fleet.IsReading())
--- a/internal/followed/list.go
+++ b/internal/followed/list.go
@@ -44,7 +44,7 @@
 	f.pages = append(f.pages, answer.Entries...)
 	f.pagesBytes += answer.Bytes
 	f.nextCallAt = now
-	if call.MostBytes > 0 && answer.More && f.pagesBytes >= call.MostBytes {
+	if call.MaxBytes > 0 && answer.More && f.pagesBytes >= call.MaxBytes {
 		f.deferToPeers(now, output)
 		return
 	}
@@ -80,7 +80,7 @@
 
 func listSummary(entries int, answer *Answer) string {
 	return fmt.Sprintf("%d entries; last page began after %s, took %s",
-		entries, answer.BeganAfter.Round(time.Millisecond), answer.TookFor.Round(time.Millisecond))
+		entries, answer.TimeToFirstByte.Round(time.Millisecond), answer.TotalTime.Round(time.Millisecond))
 }
 
 func maxRevision(entries []storeview.Entry) uint64 {
--- a/internal/followed/listparts.go
+++ b/internal/followed/listparts.go
@@ -17,7 +17,7 @@
 	partRest
 )
 
-// minSplitTransfer is the transfer time of EarlyBytes from which the content is read in two
+// minSplitTransfer is the transfer time of MaxEarlyTargetsBytes from which the content is read in two
 // parts. On a faster link the second round trip costs more than reading the targets first
 // gains.
 const minSplitTransfer = 10 * time.Millisecond
@@ -26,7 +26,7 @@
 // slow link reads the targets first, as existing flows need no route. Requesting the full
 // content and canceling it would cost as much bandwidth.
 func (f *Follower) firstPart() part {
-	isSlow := f.config.EarlyBytes > 0 && f.config.transferTime(f.config.EarlyBytes) >= minSplitTransfer
+	isSlow := f.config.MaxEarlyTargetsBytes > 0 && f.config.transferTime(f.config.MaxEarlyTargetsBytes) >= minSplitTransfer
 	if isSlow && f.view.Configuration() == nil && !f.isSplitDisabled {
 		return partTargets
 	}
@@ -43,12 +43,12 @@
 	call.Kind = CallList
 	call.AllowStale = !f.needsConsistentList && len(f.pages) == 0
 	call.Timeout = f.growTimeout(f.config.ListTimeout)
-	call.MostBytes = f.maxListBytes
+	call.MaxBytes = f.maxListBytes
 	call.AfterKey = f.afterKey
 	switch f.part {
 	case partTargets:
 		call.TargetsOnly = true
-		call.MostBytes = min(f.maxListBytes, f.config.EarlyBytes)
+		call.MaxBytes = min(f.maxListBytes, f.config.MaxEarlyTargetsBytes)
 	case partRest:
 		call.WithoutTargets = true
 	}
@@ -82,8 +82,8 @@
 // handleTooLong handles a part that is too large for the daemon's link while peers may supply
 // it. If it was the full content, the targets are read alone at once.
 func (f *Follower) handleTooLong(now time.Time, answer *Answer, output *Output) {
-	output.Events = append(output.Events, Event{EventLong, fmt.Sprintf("%d bytes", answer.Bytes)})
-	if f.part == partAll && f.config.EarlyBytes > 0 && !f.isSplitDisabled {
+	output.Events = append(output.Events, Event{EventTooLarge, fmt.Sprintf("%d bytes", answer.Bytes)})
+	if f.part == partAll && f.config.MaxEarlyTargetsBytes > 0 && !f.isSplitDisabled {
 		f.part = partTargets
 		f.nextCallAt = now
 		return
@@ -94,14 +94,14 @@
 		f.isSplitDisabled = true
 		f.restartList()
 	}
-	spread := max(f.config.ColdSpread.delay(f.random.Float64()), f.congestionDelay())
+	spread := max(f.config.StartupSpread.delay(f.random.Float64()), f.congestionDelay())
 	f.nextCallAt = now.Add(f.config.transferTime(answer.Bytes) + spread)
 }
 
 // deferToPeers abandons a list with so many pages that a snapshot from a peer is expected
 // sooner. It keeps many daemons that start at once from saturating the store's link.
 func (f *Follower) deferToPeers(now time.Time, output *Output) {
-	output.Events = append(output.Events, Event{EventLong, fmt.Sprintf("more than %d bytes in pages", f.pagesBytes)})
+	output.Events = append(output.Events, Event{EventTooLarge, fmt.Sprintf("more than %d bytes in pages", f.pagesBytes)})
 	f.maxListBytes = 0
 	f.isSplitDisabled = true
 	f.restartList()
--- a/internal/followed/listparts_test.go
+++ b/internal/followed/listparts_test.go
@@ -34,6 +34,6 @@
 	assert.Assert(t, fleet.lacksSnapshot())
 	asker := newTestFollower()
 	asker.Tick(testStart)
-	asker.Learn(testStart, &Delta{Entries: []storeview.Entry{configurationEntry(30, 1), targetEntry("a", 3)}})
+	asker.MergeDelta(testStart, &Delta{Entries: []storeview.Entry{configurationEntry(30, 1), targetEntry("a", 3)}})
 	assert.Equal(t, asker.phase, phaseListing)
 }
--- a/internal/followed/liveness.go
+++ b/internal/followed/liveness.go
@@ -16,10 +16,10 @@
 // maxReportsPerDatagram bounds the reports in one datagram, at some 20 bytes each.
 const maxReportsPerDatagram = 40
 
-// TellLiveness returns the datagrams that carry reports on the liveness of targets. They are
+// LivenessDatagrams returns the datagrams that carry reports on the liveness of targets. They are
 // sent directly: gossip repeats each message many times at every daemon, and after the loss of
 // a zone the reports on hundreds of targets would delay other updates for seconds.
-func (f *Fleet) TellLiveness(reports []liveness.Outgoing) []membership.Datagram {
+func (f *Fleet) LivenessDatagrams(reports []liveness.Outgoing) []membership.Datagram {
 	if len(reports) == 0 {
 		return nil
 	}
--- a/internal/followed/liveness_test.go
+++ b/internal/followed/liveness_test.go
@@ -57,7 +57,7 @@
 		{Report: liveness.Report{Subject: liveness.Subject{Target: 1}, Kind: liveness.Dead, AgeMilliseconds: 700}},
 		{Report: liveness.Report{Subject: liveness.Subject{Zone: "a"}, Kind: liveness.Alive}, To: livenessAddress(1)},
 	}
-	datagrams := sender.TellLiveness(reports)
+	datagrams := sender.LivenessDatagrams(reports)
 	assert.Equal(t, len(datagrams), 2, "one datagram per other daemon")
 	assert.Equal(t, datagrams[0].To, livenessAddress(1))
 	received := receiver.StepDatagram(testStart, livenessAddress(0), datagrams[0].Bytes).Liveness
@@ -70,7 +70,7 @@
 // when they were sent.
 func TestReportsDelayedByPauseAreDropped(t *testing.T) {
 	sender, receiver := newLivenessFleet(0, 2), newLivenessFleet(1, 2)
-	datagrams := sender.TellLiveness([]liveness.Outgoing{{Report: liveness.Report{Subject: liveness.Subject{Target: 1}, Kind: liveness.Dead}}})
+	datagrams := sender.LivenessDatagrams([]liveness.Outgoing{{Report: liveness.Report{Subject: liveness.Subject{Target: 1}, Kind: liveness.Dead}}})
 	receiver.Tick(testStart)
 	resumedAt := testStart.Add(10 * time.Second)
 	assert.Equal(t, len(receiver.StepDatagram(resumedAt, livenessAddress(0), datagrams[0].Bytes).Liveness), 0)
--- a/internal/followed/outage.go
+++ b/internal/followed/outage.go
@@ -45,5 +45,5 @@
 	if recovered.IsZero() {
 		recovered = now
 	}
-	return storeview.Lapse{Since: recovered.Add(-outageMargin), Until: recovered.Add(f.config.ReturnWithin)}
+	return storeview.Lapse{Since: recovered.Add(-outageMargin), Until: recovered.Add(f.config.RenewalTimeout)}
 }
--- a/internal/followed/serve.go
+++ b/internal/followed/serve.go
@@ -29,7 +29,7 @@
 	if since < view.Forgotten() {
 		since = 0
 	}
-	if since == 0 && pull.Redirects < MostRedirects && f.budget.isExhausted(now) {
+	if since == 0 && pull.Redirects < MaxRedirects && f.budget.isExhausted(now) {
 		if delta := f.redirect(now, pull); delta.Ahead.IsValid() {
 			return delta
 		}
@@ -49,35 +49,35 @@
 	if pull.Fingerprints != nil {
 		delta.Members = f.group.Lacking(pull.Fingerprints)
 	}
-	if pull.Asker.Identity.Address.IsValid() {
-		f.informedPeers.add(pull.Asker.Identity.Address)
+	if pull.Requester.Identity.Address.IsValid() {
+		f.informedPeers.add(pull.Requester.Identity.Address)
 	}
 	return delta
 }
 
 // recordRequester records what a pull reveals about the requesting daemon.
 func (f *Fleet) recordRequester(now time.Time, pull *Pull) {
-	if !pull.Asker.Identity.Address.IsValid() {
+	if !pull.Requester.Identity.Address.IsValid() {
 		return // sent by an earlier version of the program
 	}
 	var output FleetOutput
-	f.handleGroupOutput(now, f.group.Merge(now, []membership.Member{pull.Asker}), &output)
+	f.handleGroupOutput(now, f.group.Merge(now, []membership.Member{pull.Requester}), &output)
 	if pull.Since > f.View().Revision() {
-		f.recordAhead(now, pull.Asker.Identity.Address, Digest{Revision: pull.Since})
+		f.recordAhead(now, pull.Requester.Identity.Address, Digest{Revision: pull.Since})
 	}
 }
 
 // redirect returns an answer that only refers to a daemon that has more than the requester.
 func (f *Fleet) redirect(now time.Time, pull *Pull) Delta {
 	delta := Delta{Since: pull.Since, Until: pull.Since, Digest: f.Digest(now), IsRedirect: true}
-	if other, found := f.pickInformed(pull.Asker); found {
+	if other, found := f.pickInformed(pull.Requester); found {
 		delta.Ahead, delta.AheadRevision = other, max(f.View().Revision(), f.aheadRevision, pull.Since+1)
 	}
 	return delta
 }
 
-// NoteGiven records the encoded size of the answer to a pull in bytes.
-func (f *Fleet) NoteGiven(delta *Delta, bytes int) {
+// RecordSnapshotSize records the encoded size of the answer to a pull in bytes.
+func (f *Fleet) RecordSnapshotSize(delta *Delta, bytes int) {
 	if delta.Since == 0 && !delta.IsRedirect {
 		f.budget.recordSize(bytes)
 	}
--- a/internal/followed/splitlist_test.go
+++ b/internal/followed/splitlist_test.go
@@ -22,7 +22,7 @@
 	follower := newSlowFollower(DefaultConfig())
 	first := follower.Tick(testStart).Call
 	assert.Assert(t, first.Kind == CallList && first.TargetsOnly && first.AllowStale)
-	assert.Equal(t, first.MostBytes, DefaultConfig().EarlyBytes)
+	assert.Equal(t, first.MaxBytes, DefaultConfig().MaxEarlyTargetsBytes)
 	learned := follower.Step(testStart, answered(first, 30, targetEntry("a", 3), targetEntry("b", 7)))
 	assert.Assert(t, learned.Change.Targets && !learned.Change.Configuration)
 	assert.Equal(t, follower.View().Present(), 2)
@@ -47,7 +47,7 @@
 
 func TestZeroEarlyBytesDisablesSplitList(t *testing.T) {
 	config := DefaultConfig()
-	config.EarlyBytes = 0
+	config.MaxEarlyTargetsBytes = 0
 	call := newSlowFollower(config).Tick(testStart).Call
 	assert.Assert(t, !call.TargetsOnly)
 }
@@ -58,22 +58,22 @@
 	follower := newSlowFollower(DefaultConfig())
 	targets := follower.Tick(testStart).Call
 	rest := follower.Step(testStart, answered(targets, 30, targetEntry("a", 3))).Call
-	output := follower.Step(testStart, &Answer{Number: rest.Number, Outcome: OutcomeTooLong, Bytes: 240 << 10})
+	output := follower.Step(testStart, &Answer{Number: rest.Number, Outcome: OutcomeTooLarge, Bytes: 240 << 10})
 	assert.Assert(t, output.Call == nil)
-	delay := follower.config.transferTime(240<<10) + follower.config.ColdSpread.Most
+	delay := follower.config.transferTime(240<<10) + follower.config.StartupSpread.MaxDelay
 	again := follower.Tick(testStart.Add(delay)).Call
-	assert.Assert(t, again.WithoutTargets && again.MostBytes == 0)
+	assert.Assert(t, again.WithoutTargets && again.MaxBytes == 0)
 }
 
 // Too many targets are not read early: 300 starting daemons would saturate the store's link.
 func TestTooManyTargetsAreListedWithRest(t *testing.T) {
 	follower := newSlowFollower(DefaultConfig())
 	targets := follower.Tick(testStart).Call
-	output := follower.Step(testStart, &Answer{Number: targets.Number, Outcome: OutcomeTooLong, Bytes: 150 << 10})
+	output := follower.Step(testStart, &Answer{Number: targets.Number, Outcome: OutcomeTooLarge, Bytes: 150 << 10})
 	assert.Assert(t, output.Call == nil)
-	delay := follower.config.transferTime(150<<10) + follower.config.ColdSpread.Most
+	delay := follower.config.transferTime(150<<10) + follower.config.StartupSpread.MaxDelay
 	full := follower.Tick(testStart.Add(delay)).Call
-	assert.Assert(t, !full.TargetsOnly && !full.WithoutTargets && full.MostBytes == 0)
+	assert.Assert(t, !full.TargetsOnly && !full.WithoutTargets && full.MaxBytes == 0)
 }
 
 func TestStoreWithoutTargetsIsListedInFull(t *testing.T) {
@@ -89,13 +89,13 @@
 	follower := newSlowFollower(DefaultConfig())
 	targets := follower.Tick(testStart).Call
 	rest := follower.Step(testStart, answered(targets, 30, targetEntry("a", 3), targetEntry("b", 7))).Call
-	follower.Learn(testStart, &Delta{Until: 20, Entries: []storeview.Entry{configurationEntry(5, 1), targetEntry("b", 7)}})
+	follower.MergeDelta(testStart, &Delta{Until: 20, Entries: []storeview.Entry{configurationEntry(5, 1), targetEntry("b", 7)}})
 	states := map[string]string{}
 	for _, target := range follower.View().Targets() {
 		states[target.Key] = target.State()
 	}
 	assert.DeepEqual(t, states, map[string]string{"a": storeview.StateGone, "b": storeview.StateOpen})
-	assert.Assert(t, !follower.IsAwaited(rest.Number))
+	assert.Assert(t, !follower.IsPending(rest.Number))
 }
 
 func TestSplitListContinuesPages(t *testing.T) {
@@ -119,8 +119,8 @@
 	follower.maxListBytes = 2 << 20
 	full := follower.Tick(testStart).Call
 	assert.Assert(t, !full.TargetsOnly)
-	targets := follower.Step(testStart, &Answer{Number: full.Number, Outcome: OutcomeTooLong, Bytes: 3 << 20}).Call
+	targets := follower.Step(testStart, &Answer{Number: full.Number, Outcome: OutcomeTooLarge, Bytes: 3 << 20}).Call
 	assert.Assert(t, targets != nil && targets.TargetsOnly)
 	rest := follower.Step(testStart, answered(targets, 30, targetEntry("a", 3))).Call
-	assert.Assert(t, rest.WithoutTargets && rest.MostBytes == 2<<20)
+	assert.Assert(t, rest.WithoutTargets && rest.MaxBytes == 2<<20)
 }
--- a/internal/followed/suppression.go
+++ b/internal/followed/suppression.go
@@ -10,17 +10,17 @@
 // group of any size up to the expected one about the same few daemons call early; the others are
 // then supplied by peers (Nonnenmacher, Biersack, "Scalable Feedback for Large Groups", 1999).
 type SuppressionTimer struct {
-	// Most is the maximum delay; 0 disables the timer.
-	Most time.Duration
-	// Crowd is the number of daemons up to which only a few call early. It must exceed 1.
-	Crowd float64
+	// MaxDelay is the maximum delay; 0 disables the timer.
+	MaxDelay time.Duration
+	// GroupSize is the number of daemons up to which only a few call early. It must exceed 1.
+	GroupSize float64
 }
 
 // NoSuppression always returns a delay of 0.
-var NoSuppression = SuppressionTimer{Crowd: 2}
+var NoSuppression = SuppressionTimer{GroupSize: 2}
 
 // delay maps a uniform draw from [0, 1] to a delay from 0 to the maximum.
 func (s SuppressionTimer) delay(draw float64) time.Duration {
-	growth := math.Log(s.Crowd)
-	return time.Duration(float64(s.Most) * math.Log1p(draw*math.Expm1(growth)) / growth)
+	growth := math.Log(s.GroupSize)
+	return time.Duration(float64(s.MaxDelay) * math.Log1p(draw*math.Expm1(growth)) / growth)
 }
--- a/internal/followed/targetswatch.go
+++ b/internal/followed/targetswatch.go
@@ -44,7 +44,7 @@
 
 // startTargetsWatch starts a watch for targets only while a long answer is being transferred.
 func (f *Follower) startTargetsWatch(now time.Time, output *Output) {
-	if f.targetsWatch.call != nil && now.Sub(f.targetsWatch.sentAt) > f.targetsWatch.call.Bound()+f.config.Slack {
+	if f.targetsWatch.call != nil && now.Sub(f.targetsWatch.sentAt) > f.targetsWatch.call.MaxDuration()+f.config.Slack {
 		f.targetsWatch.call = nil
 	}
 	isDue := f.targetsWatch.call == nil && !now.Before(f.targetsWatch.nextCallAt)
--- a/internal/followed/versions_test.go
+++ b/internal/followed/versions_test.go
@@ -16,15 +16,15 @@
 // same or a later revision, or that daemon pulls forever.
 func TestPeerSendsLaterVersionWhateverItsRevision(t *testing.T) {
 	informed, starting := newTestFleet(DefaultFleetConfig()), newTestFleet(DefaultFleetConfig())
-	informed.follower.Learn(testStart, &Delta{Until: 30, Entries: []storeview.Entry{configurationEntry(26, 23)}})
-	starting.follower.Learn(testStart, &Delta{Until: 30, Entries: []storeview.Entry{configurationEntry(28, 12)}})
+	informed.follower.MergeDelta(testStart, &Delta{Until: 30, Entries: []storeview.Entry{configurationEntry(26, 23)}})
+	starting.follower.MergeDelta(testStart, &Delta{Until: 30, Entries: []storeview.Entry{configurationEntry(28, 12)}})
 	peer := netip.MustParseAddrPort("10.0.0.9:7000")
 	starting.handleDigest(testStart, testStart, peer, informed.Digest(testStart))
 	assert.Assert(t, starting.isBehind())
 	pull := starting.newPull(testStart, peer)
-	pull.Asker = membership.Member{}
+	pull.Requester = membership.Member{}
 	delta := informed.Serve(testStart.Add(time.Millisecond), pull)
-	starting.follower.Learn(testStart, &delta)
+	starting.follower.MergeDelta(testStart, &delta)
 	assert.Equal(t, starting.View().Configuration().Version, uint64(23))
 	assert.Assert(t, !starting.isBehind())
 	again := informed.Serve(testStart.Add(time.Millisecond), starting.newPull(testStart, peer))
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -20,9 +20,9 @@
 	// lifetime is how long a report is valid; it covers a few intervals, as gossip loses and
 	// delays some reports.
 	lifetime = 5 * time.Second
-	// MaximumBytes bounds the reports in one message. Two messages per gossip round of 300 ms
+	// MaxMessageBytes bounds the reports in one message. Two messages per gossip round of 300 ms
 	// make at most 2 KB/s.
-	MaximumBytes = 300
+	MaxMessageBytes = 300
 	// maxTargets bounds the targets in one report. A daemon with flows open at more targets
 	// reports none: with longer reports fewer fit into a message, and the known counts become
 	// so old that they mislead.
@@ -122,17 +122,17 @@
 // An encoded report consists of its head, the number of targets (1 byte), and for each target
 // its mark (2) and count (1), all big-endian.
 const (
-	reportHeaderBytes = HeadBytes + 1
+	reportHeaderBytes = HeaderBytes + 1
 	targetBytes       = 3
 )
 
 // Message returns encoded reports to send: those sent the fewest times first, then the latest.
-func (e *Exchange) Message(now time.Time) []byte { return e.MessageWithin(now, MaximumBytes) }
+func (e *Exchange) Message(now time.Time) []byte { return e.MessageWithin(now, MaxMessageBytes) }
 
 // MessageWithin is like Message with a smaller limit in bytes, which leaves room for other
 // data.
 func (e *Exchange) MessageWithin(now time.Time, limit int) []byte {
-	addresses := InTurn(e.reports, MostHeads, func(r *report) Turn { return Turn{Sent: r.timesSent, At: r.madeAt} })
+	addresses := ByPriority(e.reports, MaxReportsPerMessage, func(r *report) Priority { return Priority{TimesSent: r.timesSent, MadeAt: r.madeAt} })
 	var message []byte
 	for _, address := range addresses {
 		held := e.reports[address]
@@ -146,7 +146,7 @@
 }
 
 func (r *report) append(now time.Time, to []byte, address netip.AddrPort) []byte {
-	to = Head{From: address, Number: r.number, At: r.madeAt}.Append(now, to)
+	to = Header{From: address, Number: r.number, MadeAt: r.madeAt}.Append(now, to)
 	count := byte(len(r.flows))
 	if r.isPartial {
 		count = tooManyTargets
@@ -179,8 +179,8 @@
 
 // add stores a report that is newer than the known one of the same daemon.
 func (e *Exchange) add(now time.Time, encoded []byte) {
-	head := DecodeHead(now, encoded)
-	received := &report{number: head.Number, madeAt: head.At, isPartial: encoded[reportHeaderBytes-1] == tooManyTargets}
+	head := DecodeHeader(now, encoded)
+	received := &report{number: head.Number, madeAt: head.MadeAt, isPartial: encoded[reportHeaderBytes-1] == tooManyTargets}
 	known := e.reports[head.From]
 	isNewer := known == nil && len(e.reports) < maxReports || known != nil && received.number > known.number
 	if head.From == e.self || !isNewer || now.Sub(received.madeAt) >= lifetime {
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -72,7 +72,7 @@
 	listener := New(address(250), 0)
 	for range 150 {
 		message := hub.Message(testStart)
-		assert.Assert(t, len(message) > 0 && len(message) <= MaximumBytes)
+		assert.Assert(t, len(message) > 0 && len(message) <= MaxMessageBytes)
 		assert.Equal(t, listener.Hear(testStart, message), 0)
 	}
 	assert.Equal(t, len(listener.reports), 201)
@@ -113,7 +113,7 @@
 		unread := exchange.Hear(testStart, message)
 		assert.Assert(t, unread >= 0 && unread <= len(message))
 		exchange.Totals(testStart)
-		assert.Assert(t, len(exchange.Message(testStart)) <= MaximumBytes)
+		assert.Assert(t, len(exchange.Message(testStart)) <= MaxMessageBytes)
 	})
 }
 
--- a/internal/simulation/coldstart_test.go
+++ b/internal/simulation/coldstart_test.go
@@ -84,7 +84,7 @@
 	lists := func(suppress bool) int {
 		config := followed.DefaultFleetConfig()
 		if !suppress {
-			config.Follower.ColdSpread, config.Follower.PagedSpread = followed.NoSuppression, followed.NoSuppression
+			config.Follower.StartupSpread, config.Follower.PagedSpread = followed.NoSuppression, followed.NoSuppression
 		}
 		run := newColdStart(1, largeDaemons, largeTargets, config)
 		run.Clock.Advance(2 * time.Second)
@@ -109,7 +109,7 @@
 // of them that lacked the targets.
 func countLateTargets(seed uint64, configurationBytes, earlyBytes int64) (late, checked int) {
 	config := followed.DefaultFleetConfig()
-	config.Follower.EarlyBytes = earlyBytes
+	config.Follower.MaxEarlyTargetsBytes = earlyBytes
 	run := newColdStart(seed, 100, maxEarlyTargets, config)
 	run.Links.ConfigurationBytes = configurationBytes
 	// Seeds are excluded: they read the full list at once, and links transfer in FIFO order.
@@ -142,7 +142,7 @@
 // need, ahead of a large configuration.
 func TestTargetsArriveBeforeLargeConfiguration(t *testing.T) {
 	t.Parallel()
-	earlyBytes := followed.DefaultFleetConfig().Follower.EarlyBytes
+	earlyBytes := followed.DefaultFleetConfig().Follower.MaxEarlyTargetsBytes
 	for name, bytes := range map[string]int64{"1,400 routes": 300 << 10, "14,000 routes": 3 << 20} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(4) {
--- a/internal/simulation/flows_liveness.go
+++ b/internal/simulation/flows_liveness.go
@@ -83,7 +83,7 @@
 	if m.NobodyObjects {
 		output.Reports = slices.DeleteFunc(output.Reports, func(report liveness.Outgoing) bool { return report.Kind == liveness.Alive })
 	}
-	for _, datagram := range m.Daemons[index].Core.TellLiveness(output.Reports) {
+	for _, datagram := range m.Daemons[index].Core.LivenessDatagrams(output.Reports) {
 		m.FollowedFleet.send(index, datagram)
 	}
 }
--- a/internal/simulation/links.go
+++ b/internal/simulation/links.go
@@ -95,8 +95,8 @@
 func (l *Links) transferAnswer(now time.Time, daemon int, call *followed.Call, answer *followed.Answer) time.Duration {
 	l.store.bytesPerSecond = l.Store
 	bytes := l.answerBytes(answer)
-	if call.MostBytes > 0 && bytes > call.MostBytes {
-		*answer = followed.Answer{Number: answer.Number, Outcome: followed.OutcomeTooLong, Bytes: bytes}
+	if call.MaxBytes > 0 && bytes > call.MaxBytes {
+		*answer = followed.Answer{Number: answer.Number, Outcome: followed.OutcomeTooLarge, Bytes: bytes}
 		return l.store.transfer(now, l.GivenUpBytes)
 	}
 	answer.Bytes = bytes
--- a/internal/simulation/speedload.go
+++ b/internal/simulation/speedload.go
@@ -161,7 +161,7 @@
 		if s.config.Learns {
 			speedMessage = daemon.speeds.Message(now)
 		}
-		message := append(daemon.loads.MessageWithin(now, loadshare.MaximumBytes-len(speedMessage)), speedMessage...)
+		message := append(daemon.loads.MessageWithin(now, loadshare.MaxMessageBytes-len(speedMessage)), speedMessage...)
 		s.bytes += len(message)
 		other := s.daemons[s.random.IntN(len(s.daemons))]
 		other.speeds.Hear(now, message[len(message)-other.loads.Hear(now, message):])
--- a/internal/simulation/store_outage_test.go
+++ b/internal/simulation/store_outage_test.go
@@ -62,7 +62,7 @@
 		t.Skip("240 daemons take long under the race detector; a seeded model has no races")
 	}
 	config := followed.DefaultFleetConfig()
-	config.TurnPerMember = 0
+	config.ReadDelayPerMember = 0
 	config.Follower.BackoffPerMember = 0
 	assert.Assert(t, callsDuringOutage(t, 240, config) > maxOutageCallsPerSecond*int(outageDuration.Seconds()))
 }
--- a/internal/simulation/strong_daemons_test.go
+++ b/internal/simulation/strong_daemons_test.go
@@ -73,7 +73,7 @@
 	config := followed.DefaultFleetConfig()
 	config.Follower.Gather = 0
 	with := startMixedRun(1, config).maxUpdateLatency()
-	config.RelaysFrom = 0
+	config.MinMembersForRelays = 0
 	without := startMixedRun(1, config).maxUpdateLatency()
 	t.Logf("update latency %s with relays, %s without", with, without)
 	assert.Assert(t, with <= within, "%s", with)
@@ -139,7 +139,7 @@
 	for name, isWaiting := range map[string]bool{"default": false, "weak daemons wait": true} {
 		config := followed.DefaultFleetConfig()
 		if isWaiting {
-			config.FreshFor = time.Hour
+			config.MaxConfirmationAge = time.Hour
 		}
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(4) {
@@ -190,7 +190,7 @@
 		config := followed.DefaultFleetConfig()
 		few, _ := maxSentBytes(seed, 30, config)
 		many, ready := maxSentBytes(seed, 300, config)
-		config.AnswersBurst = 0
+		config.SnapshotBurst = 0
 		without, readyWithout := maxSentBytes(seed, 300, config)
 		t.Logf("seed %d: busiest sends %d KB of 30 daemons, %d KB of 300 (nine tenths ready after %s); %d KB without a budget (%s)",
 			seed, few>>10, many>>10, ready, without>>10, readyWithout)
--- a/internal/storenode/answer.go
+++ b/internal/storenode/answer.go
@@ -27,7 +27,7 @@
 		hasSlot := l.tryAcquireSlot()
 		// A peer that was already redirected several times waits for a slot instead: busy daemons
 		// could otherwise redirect it among themselves without end.
-		mayRedirect := !hasSlot && pull.Redirects < followed.MostRedirects
+		mayRedirect := !hasSlot && pull.Redirects < followed.MaxRedirects
 		if delta, isRedirect = l.redirect(pull, mayRedirect, serve); !isRedirect {
 			hasSlot = hasSlot || l.waitForSlot(r.Context(), holdTimer)
 			if !hasSlot {
--- a/internal/storenode/liveness.go
+++ b/internal/storenode/liveness.go
@@ -93,7 +93,7 @@
 	for _, verdict := range output.Silent {
 		n.log.Info(messageUnresponsiveZone, telemetry.FieldZone, verdict.Subject.Zone, telemetry.FieldSpan, verdict.Silence.String())
 	}
-	n.link.send(n.fleet.TellLiveness(output.Reports))
+	n.link.send(n.fleet.LivenessDatagrams(output.Reports))
 	for _, probe := range output.Probes {
 		if address, found := table.AddressOf(probe.Target); found {
 			n.Waiting.Add(1)
--- a/internal/storenode/pull.go
+++ b/internal/storenode/pull.go
@@ -37,7 +37,7 @@
 	if value := query.Get(memberQuery); value != "" {
 		encoded, err := base64.RawURLEncoding.DecodeString(value)
 		if err == nil {
-			err = cbor.Unmarshal(encoded, &pull.Asker)
+			err = cbor.Unmarshal(encoded, &pull.Requester)
 		}
 		if err != nil {
 			return nil, eris.Wrapf(err, "%s: %q is not a member", memberQuery, value)
@@ -68,7 +68,7 @@
 }
 
 func pullURL(pull *followed.Pull) (string, error) {
-	requester, err := cbor.Marshal(pull.Asker)
+	requester, err := cbor.Marshal(pull.Requester)
 	if err != nil {
 		return "", eris.Wrap(err, memberQuery)
 	}
@@ -115,7 +115,7 @@
 	if err != nil {
 		return nil
 	}
-	firstByteTimer := time.AfterFunc(pull.FirstByte, cancel)
+	firstByteTimer := time.AfterFunc(pull.FirstByteTimeout, cancel)
 	response, err := client.Do(request)
 	firstByteTimer.Stop()
 	stopWaiting()
--- a/internal/storenode/speeds.go
+++ b/internal/storenode/speeds.go
@@ -20,7 +20,7 @@
 // leave, followed by the speeds.
 func (n *Node) zoneMessage(now time.Time) []byte {
 	speeds := n.speeds.Message(now)
-	return append(n.loads.MessageWithin(now, loadshare.MaximumBytes-len(speeds)), speeds...)
+	return append(n.loads.MessageWithin(now, loadshare.MaxMessageBytes-len(speeds)), speeds...)
 }
 
 // exchangeSpeeds reports the response times observed here to the zone, and sets the speeds of targets
--- a/internal/storenode/speeds_test.go
+++ b/internal/storenode/speeds_test.go
@@ -37,12 +37,12 @@
 		sender.speeds.Tick(now)
 		sender.loads.Tick(now, func() map[uint32]int { return map[uint32]int{uint32(slow) << 16: 2} })
 		message := sender.zoneMessage(now)
-		assert.Assert(t, len(message) <= loadshare.MaximumBytes)
+		assert.Assert(t, len(message) <= loadshare.MaxMessageBytes)
 		first.handleZoneMessages(now, [][]byte{message})
 	}
 	for range 20 {
 		message := first.zoneMessage(now)
-		assert.Assert(t, len(message) <= loadshare.MaximumBytes)
+		assert.Assert(t, len(message) <= loadshare.MaxMessageBytes)
 		last.handleZoneMessages(now, [][]byte{message})
 	}
 	totals, isComplete := last.loads.Totals(now)
--- a/internal/storenode/targets_only_test.go
+++ b/internal/storenode/targets_only_test.go
@@ -25,8 +25,8 @@
 			{Key: "target-1", Revision: 7, Target: &s.target},
 		}}
 	}
-	if call.MostBytes > 0 {
-		return followed.Answer{Number: call.Number, Outcome: followed.OutcomeTooLong, Bytes: 1 << 20}
+	if call.MaxBytes > 0 {
+		return followed.Answer{Number: call.Number, Outcome: followed.OutcomeTooLarge, Bytes: 1 << 20}
 	}
 	<-ctx.Done()
 	return followed.Answer{Number: call.Number, Outcome: followed.OutcomeFailed}
--- a/internal/storenode/transfer_test.go
+++ b/internal/storenode/transfer_test.go
@@ -28,7 +28,7 @@
 	server := httptest.NewServer(handle)
 	t.Cleanup(server.Close)
 	address := netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))
-	return &followed.Pull{From: address, Hold: time.Second, FirstByte: time.Hour, Timeout: time.Hour}
+	return &followed.Pull{From: address, Hold: time.Second, FirstByteTimeout: time.Hour, Timeout: time.Hour}
 }
 
 // Waiting pulls are canceled once an answer begins to arrive; otherwise each peer sends a snapshot and
--- a/internal/targetspeed/codec.go
+++ b/internal/targetspeed/codec.go
@@ -16,20 +16,20 @@
 // Speed reports follow the open-flow reports of loadshare in a message. A daemon that does not know
 // them stops reading there.
 const (
-	headBytes  = loadshare.HeadBytes + 2
+	headBytes  = loadshare.HeaderBytes + 2
 	entryBytes = 4
 	logUnit    = 1.0 / 64
 	// maxEntries is the maximum number of targets per report, so that it fits into MaximumBytes.
 	maxEntries = 20
 	// MaximumBytes is the maximum size of the speed reports in a message, a third of the maximum
-	// size of a message within the zone (loadshare.MaximumBytes).
+	// size of a message within the zone (loadshare.MaxMessageBytes).
 	MaximumBytes = headBytes + entryBytes*maxEntries
 )
 
 // Message returns reports to send or forward: the least often sent ones first, and of those the
 // latest.
 func (e *Exchange) Message(now time.Time) []byte {
-	addresses := loadshare.InTurn(e.reports, loadshare.MostHeads, func(r *report) loadshare.Turn { return loadshare.Turn{Sent: r.sent, At: r.at} })
+	addresses := loadshare.ByPriority(e.reports, loadshare.MaxReportsPerMessage, func(r *report) loadshare.Priority { return loadshare.Priority{TimesSent: r.sent, MadeAt: r.at} })
 	var message []byte
 	for _, address := range addresses {
 		stored := e.reports[address]
@@ -46,7 +46,7 @@
 }
 
 func (r *report) append(now time.Time, buf []byte, address netip.AddrPort) []byte {
-	buf = loadshare.Head{From: address, Number: r.number, At: r.at}.Append(now, buf)
+	buf = loadshare.Header{From: address, Number: r.number, MadeAt: r.at}.Append(now, buf)
 	buf = append(buf, loadshare.OtherKind, byte(len(r.entries)))
 	for _, entry := range r.entries {
 		buf = binary.BigEndian.AppendUint16(buf, uint16(entry.target))
@@ -71,8 +71,8 @@
 }
 
 func decode(now time.Time, encoded []byte) (netip.AddrPort, *report) {
-	head := loadshare.DecodeHead(now, encoded)
-	received := &report{number: head.Number, at: head.At}
+	head := loadshare.DecodeHeader(now, encoded)
+	received := &report{number: head.Number, at: head.MadeAt}
 	for rest := encoded[headBytes:]; len(rest) > 0; rest = rest[entryBytes:] {
 		received.entries = append(received.entries, entry{
 			target:   loadshare.Mark(binary.BigEndian.Uint16(rest)),
