--- a/internal/balance/pool_test.go
+++ b/internal/balance/pool_test.go
@@ -26,11 +26,11 @@
 		case 2:
 			signal.Eject(testNow.Add(time.Minute), testNow.Add(2*time.Minute))
 		case 3:
-			signal.NoteWaiting(2)
+			signal.AddPending(2)
 		case 4:
 			signal.SetSpeed(testNow, 0.5)
 		case 5:
-			signal.SetOpen(random.IntN(5))
+			signal.SetOpenFlows(random.IntN(5))
 		}
 	}
 	return targets
@@ -45,7 +45,7 @@
 }
 
 func mixedRequest() Request {
-	return Request{Now: testNow, Zone: "zone1", LeaseHeld: true, PrefersZone: true, KnowsOpen: true, Daemons: 1000}
+	return Request{Now: testNow, Zone: "zone1", LeaseHeld: true, PrefersZone: true, KnowsOpenFlows: true, Daemons: 1000}
 }
 
 // Sampling must give the same shares as visiting all candidates, by a chi-square test at 5 standard
--- a/internal/balance/slowness_test.go
+++ b/internal/balance/slowness_test.go
@@ -44,7 +44,7 @@
 	targets := candidates(5)
 	assert.Assert(t, share(t, requestAt(testNow), targets)[0] > 0.15)
 	for range 8 {
-		targets[0].Signal.NoteLatency(testNow, 5)
+		targets[0].Signal.RecordLatency(testNow, 5)
 	}
 	shares := share(t, requestAt(testNow), targets)
 	assert.Assert(t, shares[0] < 0.05, "%v", shares)
--- a/internal/balance/slowstart.go
+++ b/internal/balance/slowstart.go
@@ -22,9 +22,9 @@
 	next  int
 }
 
-// SetColdShare sets how many new flows per second this daemon may assign to the target during
+// SetSlowStartShare sets how many new flows per second this daemon may assign to the target during
 // slow start, if that is limited. The limit is 0 until it is set.
-func (s *Signal) SetColdShare(share int) {
+func (s *Signal) SetSlowStartShare(share int) {
 	log := s.slowStart.Load()
 	if log == nil {
 		log = &slowStartLog{}
--- a/internal/balance/slowstart_test.go
+++ b/internal/balance/slowstart_test.go
@@ -18,7 +18,7 @@
 		if index < 0 {
 			continue
 		}
-		targets[index].Signal.NotePick(request.Now)
+		targets[index].Signal.RecordPick(request.Now)
 		if index == 0 {
 			times = append(times, after)
 		}
@@ -28,14 +28,14 @@
 
 func slowStartCandidates(warmAfter time.Duration) []Candidate {
 	targets := candidates(2)
-	targets[0].IsColdBounded, targets[0].WarmAt = true, testNow.Add(warmAfter)
+	targets[0].IsSlowStartLimited, targets[0].WarmAt = true, testNow.Add(warmAfter)
 	return targets
 }
 
 func TestSlowStartShareIsNotExceeded(t *testing.T) {
 	const share = 3
 	targets := slowStartCandidates(time.Minute)
-	targets[0].Signal.SetColdShare(share)
+	targets[0].Signal.SetSlowStartShare(share)
 	times := pickFor(20*time.Second, targets)
 	assert.Assert(t, len(times) > 20, "only %d flows", len(times))
 	for index := share; index < len(times); index++ {
@@ -46,7 +46,7 @@
 func TestNoFlowsBeforeSlowStartShareIsSet(t *testing.T) {
 	assert.Equal(t, len(pickFor(5*time.Second, slowStartCandidates(time.Minute))), 0)
 	zero := slowStartCandidates(time.Minute)
-	zero[0].Signal.SetColdShare(0)
+	zero[0].Signal.SetSlowStartShare(0)
 	assert.Equal(t, len(pickFor(5*time.Second, zero)), 0)
 }
 
--- a/internal/balance/speed_test.go
+++ b/internal/balance/speed_test.go
@@ -22,7 +22,7 @@
 	targets := candidates(1)
 	request := requestAt(testNow)
 	for range 30 {
-		targets[0].Signal.NoteLatency(testNow, 4)
+		targets[0].Signal.RecordLatency(testNow, 4)
 	}
 	bySlowness := request.effectiveWeight(&targets[0])
 	targets[0].Signal.SetSpeed(testNow, 0.5)
--- a/internal/coldshare/coldshare.go
+++ b/internal/coldshare/coldshare.go
@@ -31,7 +31,7 @@
 		return 0
 	}
 	holders := min(max(allocated/minShare, 1), max(len(daemons), 1))
-	if !rendezvous.IsAmongFirst(target, daemon, daemons, holders) {
+	if !rendezvous.IsInTop(target, daemon, daemons, holders) {
 		return 0
 	}
 	return allocated / holders
--- a/internal/coldshare/coldshare_test.go
+++ b/internal/coldshare/coldshare_test.go
@@ -50,7 +50,7 @@
 }
 
 func oneHolder(target uint64, daemon netip.AddrPort, known []netip.AddrPort) int {
-	if !rendezvous.IsAmongFirst(target, daemon, known, 1) {
+	if !rendezvous.IsInTop(target, daemon, known, 1) {
 		return 0
 	}
 	return int(bound * allocatedFraction)
--- a/internal/followed/liveness.go
+++ b/internal/followed/liveness.go
@@ -88,7 +88,7 @@
 	if report.To.IsValid() {
 		return []netip.AddrPort{report.To}
 	}
-	return rendezvous.First(subjectKey(report.Subject), f.liveAddresses(), report.Judges)
+	return rendezvous.Top(subjectKey(report.Subject), f.liveAddresses(), report.Judges)
 }
 
 // subjectKey returns the key of a subject for rendezvous hashing.
--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -74,8 +74,8 @@
 	for index, service := range slices.Sorted(maps.Keys(r.samples)) {
 		points := plotter.XYs{}
 		for _, s := range r.samples[service] {
-			if s.connections.MaximumToMean > 0 {
-				points = append(points, plotter.XY{X: s.at.Seconds(), Y: s.connections.MaximumToMean})
+			if s.connections.MaxToMean > 0 {
+				points = append(points, plotter.XY{X: s.at.Seconds(), Y: s.connections.MaxToMean})
 			}
 		}
 		if len(points) == 0 {
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -175,17 +175,17 @@
 
 // accumulate adds a sample to a sum and returns 1, or returns 0 if the sample is empty.
 func accumulate(sum *statistics.Imbalance, sample statistics.Imbalance) int {
-	if sample.MaximumToMean == 0 {
+	if sample.MaxToMean == 0 {
 		return 0
 	}
-	sum.MaximumToMean += sample.MaximumToMean
+	sum.MaxToMean += sample.MaxToMean
 	sum.Variation += sample.Variation
 	return 1
 }
 
 func divide(sum *statistics.Imbalance, count int) {
 	if count > 0 {
-		sum.MaximumToMean /= float64(count)
+		sum.MaxToMean /= float64(count)
 		sum.Variation /= float64(count)
 	}
 }
@@ -230,8 +230,8 @@
 	line("")
 	line("SERVICE\tCONNECTIONS max/mean\tCV\tBUSY SLOTS max/mean\tCV")
 	for _, imbalance := range r.Imbalance {
-		line("%s\t%.2f\t%.2f\t%.2f\t%.2f", imbalance.Service, imbalance.Connections.MaximumToMean, imbalance.Connections.Variation,
-			imbalance.BusySlots.MaximumToMean, imbalance.BusySlots.Variation)
+		line("%s\t%.2f\t%.2f\t%.2f\t%.2f", imbalance.Service, imbalance.Connections.MaxToMean, imbalance.Connections.Variation,
+			imbalance.BusySlots.MaxToMean, imbalance.BusySlots.Variation)
 	}
 	line("")
 	line("INVARIANT\tCHECKED\tVERDICT")
--- a/internal/liveness/detector.go
+++ b/internal/liveness/detector.go
@@ -31,15 +31,15 @@
 	Until time.Time
 	// Silence is how long no daemon has seen activity. The other numbers are the evidence; they
 	// are 0 if another daemon decided.
-	Silence                 time.Duration
-	Reporters, Flows, Sends int
+	Silence                           time.Duration
+	Reporters, Flows, Retransmissions int
 }
 
 // Output holds the decisions of one step and what the caller must send and probe.
 type Output struct {
 	Dead []Verdict
-	// Silent holds verdicts on zones. They do not make the zones' targets dead.
-	Silent []Verdict
+	// UnresponsiveZones holds verdicts on zones. They do not make the zones' targets dead.
+	UnresponsiveZones []Verdict
 	// Alive holds targets whose verdict was withdrawn because of activity.
 	Alive   []uint64
 	Reports []Outgoing
@@ -51,9 +51,9 @@
 type Probe struct {
 	Subject Subject
 	Target  uint64
-	// IsAlone marks a probe for a decision by this daemon alone, IsEarly one made on evidence
+	// IsLocal marks a probe for a decision by this daemon alone, IsEarly one made on evidence
 	// from one other daemon only.
-	IsAlone bool
+	IsLocal bool
 	IsEarly bool
 }
 
@@ -63,16 +63,16 @@
 	ZoneOf(target uint64) (zone string, found bool)
 	// IsKnown reports whether flows to a subject are forwarded.
 	IsKnown(subject Subject) bool
-	// LastLife returns when this daemon last saw the subject send something, zero if never.
-	LastLife(subject Subject) time.Time
+	// LastActivity returns when this daemon last saw the subject send something, zero if never.
+	LastActivity(subject Subject) time.Time
 	// ExpectedRate returns how many observations of a subject's activity all daemons together
 	// are expected to make per second.
 	ExpectedRate(subject Subject) float64
 	// TargetsToProbe returns at most count targets to probe for a subject.
 	TargetsToProbe(subject Subject, count int) []uint64
-	// LastAnswered returns when this daemon forwarded the latest request that any target
+	// LastResponse returns when this daemon forwarded the latest request that any target
 	// answered.
-	LastAnswered() time.Time
+	LastResponse() time.Time
 }
 
 // Detector is one daemon's part of the distributed failure detector.
@@ -106,7 +106,7 @@
 
 func (d *Detector) observe(now time.Time, directory Directory, subject Subject, flow uint64, since time.Time) {
 	suspected := d.suspect(subject)
-	suspected.recordActivity(directory.LastLife(subject))
+	suspected.recordActivity(directory.LastActivity(subject))
 	if !suspected.lastActivity.Before(since) || suspected.isDead(now) {
 		return
 	}
@@ -119,16 +119,16 @@
 	suspected.flows[flow] = true
 	own.flows, own.retransmissions, own.until = len(suspected.flows), own.retransmissions+1, now.Add(d.config.Window)
 	suspected.evidence[self] = own
-	judges := min(d.config.FirstJudges<<min(suspected.reportsSent, maxDoublings), d.config.MostJudges)
+	judges := min(d.config.InitialJudges<<min(suspected.reportsSent, maxDoublings), d.config.MaxJudges)
 	suspected.reportsSent++
-	report := Report{Subject: subject, Kind: Silent, Flows: own.flows, Sends: own.retransmissions}
+	report := Report{Subject: subject, Kind: Unresponsive, Flows: own.flows, Retransmissions: own.retransmissions}
 	d.pending.addReport(Outgoing{Judges: judges, Report: report}, now.Sub(own.since))
 }
 
 // hasWorkingPath reports whether a request forwarded after the given time was answered: this
 // daemon's own path works, so it does not explain a silence since then.
 func hasWorkingPath(directory Directory, since time.Time) bool {
-	return directory.LastAnswered().After(since)
+	return directory.LastResponse().After(since)
 }
 
 // detectPause is called at the start of each step. If the process was paused, it resets pending
@@ -143,8 +143,8 @@
 	}
 }
 
-// Probed handles the result of a probe.
-func (d *Detector) Probed(now time.Time, probe Probe, hasAnswered bool) {
+// HandleProbeResult handles the result of a probe.
+func (d *Detector) HandleProbeResult(now time.Time, probe Probe, hasAnswered bool) {
 	d.detectPause(now)
 	suspected := d.suspects[probe.Subject]
 	if suspected == nil {
@@ -154,11 +154,11 @@
 	switch {
 	case hasAnswered:
 		suspected.recordActivity(now)
-	case probe.IsAlone && suspected.localProbe == probePending:
+	case probe.IsLocal && suspected.localProbe == probePending:
 		suspected.localProbe = probeFailed
 	case probe.IsEarly && suspected.early == probePending:
 		suspected.early = probeFailed
-	case !probe.IsAlone && !probe.IsEarly && suspected.suspectedHere:
+	case !probe.IsLocal && !probe.IsEarly && suspected.suspectedHere:
 		suspected.probesLeft--
 	default:
 		// The suspicion was reset while the probe was in flight; the result does not apply to a later one.
@@ -184,8 +184,8 @@
 	o.Reports = append(o.Reports, outgoing)
 }
 
-// Hear handles reports from other daemons.
-func (d *Detector) Hear(now time.Time, directory Directory, reports []Received) Output {
+// HandleReports handles reports from other daemons.
+func (d *Detector) HandleReports(now time.Time, directory Directory, reports []Received) Output {
 	var output Output
 	d.detectPause(now)
 	for index := range reports {
@@ -198,24 +198,24 @@
 
 func (d *Detector) handleReport(now time.Time, directory Directory, report *Received, output *Output) {
 	suspected := d.suspect(report.Subject)
-	suspected.recordActivity(directory.LastLife(report.Subject))
+	suspected.recordActivity(directory.LastActivity(report.Subject))
 	since := now.Add(-report.Age())
 	if report.Kind != Alive && !suspected.lastActivity.Before(since) {
 		d.refute(now, report, suspected, output)
 		return
 	}
 	switch report.Kind {
-	case Silent:
+	case Unresponsive:
 		if suspected.isDead(now) {
 			verdict := Outgoing{To: report.From, Report: Report{Subject: report.Subject, Kind: Dead}}
 			output.addReport(verdict, now.Sub(suspected.unresponsiveSince))
 			return
 		}
 		suspected.rank = report.Rank
-		suspected.addEvidence(report, evidence{since: since, until: now.Add(d.config.Window), flows: report.Flows, retransmissions: report.Sends})
+		suspected.addEvidence(report, evidence{since: since, until: now.Add(d.config.Window), flows: report.Flows, retransmissions: report.Retransmissions})
 		d.probeEarly(now, directory, report.Subject, suspected, output)
 		d.evaluate(now, directory, report.Subject, suspected, output)
-	case Asked:
+	case Suspected:
 		if suspected.suspectedAt.IsZero() {
 			suspected.suspectedAt = now
 		}
@@ -248,7 +248,7 @@
 		suspected := d.suspects[subject]
 		suspected.expire(now)
 		wasDead := suspected.isDead(now)
-		if suspected.recordActivity(directory.LastLife(subject)) {
+		if suspected.recordActivity(directory.LastActivity(subject)) {
 			d.withdrawVerdict(now, subject, suspected, &output)
 		}
 		if wasDead && !suspected.isDead(now) {
--- a/internal/liveness/detector_test.go
+++ b/internal/liveness/detector_test.go
@@ -12,8 +12,8 @@
 
 const (
 	target   = 7
-	fastRate = 40 // observations per second; LeastSilence applies
-	slowRate = 1  // MostSilence applies
+	fastRate = 40 // observations per second; MinSilence applies
+	slowRate = 1  // MaxSilence applies
 )
 
 // fakeDirectory is one daemon's Directory.
@@ -35,8 +35,8 @@
 	return []uint64{target, target + 1, target + 2}[:min(count, 3)]
 }
 
-// LastLife returns the target's activity or, for a zone, the latest activity of any target.
-func (f *fakeDirectory) LastLife(subject Subject) time.Time {
+// LastActivity returns the target's activity or, for a zone, the latest activity of any target.
+func (f *fakeDirectory) LastActivity(subject Subject) time.Time {
 	if subject.Zone != "" && f.zoneLastActivity.After(f.lastActivity) {
 		return f.zoneLastActivity
 	}
@@ -44,7 +44,7 @@
 }
 
 func (f *fakeDirectory) ExpectedRate(Subject) float64 { return f.rate }
-func (f *fakeDirectory) LastAnswered() time.Time {
+func (f *fakeDirectory) LastResponse() time.Time {
 	if f.isCutOff {
 		return testStart.Add(-time.Minute)
 	}
@@ -148,7 +148,7 @@
 			if g.isDiscarding(message.to) {
 				continue
 			}
-			g.handleOutput(message.to, g.detectors[message.to].Hear(g.now, g.directories[message.to], []Received{message.report}))
+			g.handleOutput(message.to, g.detectors[message.to].HandleReports(g.now, g.directories[message.to], []Received{message.report}))
 		}
 		for index, detector := range g.detectors {
 			if !g.isPaused(index) {
@@ -162,7 +162,7 @@
 	for _, verdict := range output.Dead {
 		g.verdicts[index] = verdict
 	}
-	for _, verdict := range output.Silent {
+	for _, verdict := range output.UnresponsiveZones {
 		g.zones[index] = verdict
 	}
 	g.withdrawn[index] += len(output.Alive)
@@ -172,14 +172,14 @@
 			answers = g.answersProbeOf(index)
 		}
 		g.probes++
-		g.detectors[index].Probed(g.now, probe, answers)
+		g.detectors[index].HandleProbeResult(g.now, probe, answers)
 	}
 	for _, outgoing := range output.Reports {
 		for to := range g.detectors {
 			if to != index && g.isRecipient(&outgoing, to) {
 				report := outgoing.Report
 				g.sent++
-				g.suspicions += boolToInt(report.Kind == Asked)
+				g.suspicions += boolToInt(report.Kind == Suspected)
 				if g.lost != nil && g.lost(to, &report) {
 					continue
 				}
@@ -214,7 +214,7 @@
 	group.advance(500 * time.Millisecond)
 	assert.Equal(t, len(group.verdicts), 5, "verdicts: %v", group.verdicts)
 	for _, verdict := range group.verdicts {
-		assert.Assert(t, verdict.Silence >= DefaultConfig().LeastSilence)
+		assert.Assert(t, verdict.Silence >= DefaultConfig().MinSilence)
 	}
 }
 
@@ -288,7 +288,7 @@
 	}
 	group.stopResponding()
 	const sentBefore = 200 * time.Millisecond
-	group.advance(DefaultConfig().MostSilence - sentBefore - 100*time.Millisecond)
+	group.advance(DefaultConfig().MaxSilence - sentBefore - 100*time.Millisecond)
 	assert.Equal(t, len(group.verdicts), 0)
 	group.advance(200 * time.Millisecond)
 	assert.Equal(t, len(group.verdicts), 3)
@@ -322,7 +322,7 @@
 func TestVerdictExpiresAndIsRenewed(t *testing.T) {
 	group := newGroup(3)
 	group.stopResponding()
-	group.advance(DefaultConfig().HoldFor + time.Second)
+	group.advance(DefaultConfig().VerdictDuration + time.Second)
 	clear(group.verdicts)
 	group.retransmit(0, 4)
 	group.retransmit(1, 5)
@@ -434,7 +434,7 @@
 // If the first judges cannot decide, further reports must reach others.
 func TestUnavailableJudgeIsReplaced(t *testing.T) {
 	group := newGroup(10)
-	for judge := len(group.detectors) - DefaultConfig().FirstJudges; judge < len(group.detectors); judge++ {
+	for judge := len(group.detectors) - DefaultConfig().InitialJudges; judge < len(group.detectors); judge++ {
 		group.directories[judge].isCutOff = true
 	}
 	for flow := range uint64(4) {
--- a/internal/liveness/early.go
+++ b/internal/liveness/early.go
@@ -48,8 +48,8 @@
 	}
 	suspected.earlyReported = true
 	if _, _, since := suspected.sumEvidence(); !since.IsZero() {
-		report := Report{Subject: subject, Kind: Silent}
-		output.addReport(Outgoing{Judges: d.config.FirstJudges, Report: report}, now.Sub(since))
+		report := Report{Subject: subject, Kind: Unresponsive}
+		output.addReport(Outgoing{Judges: d.config.InitialJudges, Report: report}, now.Sub(since))
 	}
 }
 
--- a/internal/liveness/early_test.go
+++ b/internal/liveness/early_test.go
@@ -14,7 +14,7 @@
 	group.advance(300 * time.Millisecond)
 	assert.Equal(t, len(group.verdicts), 5)
 	for _, verdict := range group.verdicts {
-		assert.Assert(t, verdict.Silence >= DefaultConfig().LeastSilence)
+		assert.Assert(t, verdict.Silence >= DefaultConfig().MinSilence)
 	}
 }
 
@@ -110,20 +110,20 @@
 	directory := &fakeDirectory{rate: fastRate, now: &now}
 	d := New(DefaultConfig())
 	silentReport := func(age uint32) []Received {
-		report := Report{Subject: Subject{Target: target}, Kind: Silent, Flows: 1, Sends: 1, AgeMilliseconds: age}
+		report := Report{Subject: Subject{Target: target}, Kind: Unresponsive, Flows: 1, Retransmissions: 1, AgeMilliseconds: age}
 		return []Received{{Report: report, From: addressOf(1)}}
 	}
-	d.Probed(now, d.Hear(now, directory, silentReport(200)).Probes[0], true) // an earlier probe, answered
+	d.HandleProbeResult(now, d.HandleReports(now, directory, silentReport(200)).Probes[0], true) // an earlier probe, answered
 	now = now.Add(time.Second)
-	first := d.Hear(now, directory, silentReport(200))
+	first := d.HandleReports(now, directory, silentReport(200))
 	assert.Equal(t, len(first.Probes), 1)
 	now = now.Add(20 * time.Millisecond)
 	directory.lastActivity = now
 	d.Tick(now, directory)
 	now = now.Add(30 * time.Millisecond)
-	d.Probed(now, first.Probes[0], false)
+	d.HandleProbeResult(now, first.Probes[0], false)
 	now = now.Add(200 * time.Millisecond)
-	for _, report := range d.Hear(now, directory, silentReport(180)).Reports {
-		assert.Assert(t, report.Kind != Asked)
+	for _, report := range d.HandleReports(now, directory, silentReport(180)).Reports {
+		assert.Assert(t, report.Kind != Suspected)
 	}
 }
--- a/internal/liveness/judge.go
+++ b/internal/liveness/judge.go
@@ -16,13 +16,13 @@
 // declareDead declares a target dead or a zone unresponsive.
 func (d *Detector) declareDead(now time.Time, subject Subject, suspected *suspect, verdict Verdict, output *Output) {
 	verdict.Subject = subject
-	verdict.Until = now.Add(d.config.HoldFor)
+	verdict.Until = now.Add(d.config.VerdictDuration)
 	suspected.deadUntil = verdict.Until
 	suspected.unresponsiveSince = now.Add(-verdict.Silence)
 	clear(suspected.evidence)
 	suspected.resetSuspicion()
 	if subject.Zone != "" {
-		output.Silent = append(output.Silent, verdict)
+		output.UnresponsiveZones = append(output.UnresponsiveZones, verdict)
 		return
 	}
 	output.Dead = append(output.Dead, verdict)
@@ -45,18 +45,18 @@
 	if !suspected.suspectedHere {
 		if d.mayStartSuspicion(now, suspected) {
 			suspected.suspectedAt, suspected.suspectedHere = now, true
-			output.addReport(Outgoing{Report: Report{Subject: subject, Kind: Asked}}, silence)
+			output.addReport(Outgoing{Report: Report{Subject: subject, Kind: Suspected}}, silence)
 			d.requestProbes(directory, subject, suspected, output)
 		}
 		return
 	}
-	if suspected.probesLeft > 0 || now.Sub(suspected.suspectedAt) < d.config.ObjectFor || silence < d.requiredSilence(directory.ExpectedRate(subject)) {
+	if suspected.probesLeft > 0 || now.Sub(suspected.suspectedAt) < d.config.RefutationTimeout || silence < d.requiredSilence(directory.ExpectedRate(subject)) {
 		return
 	}
 	if !d.hasSeveralReporters(suspected) && !suspected.isEarlyConfirmed(directory) {
 		return
 	}
-	verdict := Verdict{Silence: silence, Reporters: len(suspected.evidence), Flows: flows, Sends: retransmissions}
+	verdict := Verdict{Silence: silence, Reporters: len(suspected.evidence), Flows: flows, Retransmissions: retransmissions}
 	output.addReport(Outgoing{Report: Report{Subject: subject, Kind: Dead}}, silence)
 	d.declareDead(now, subject, suspected, verdict, output)
 	if subject.Zone == "" {
@@ -86,10 +86,10 @@
 	}
 	if suspected.localProbe == probeNone {
 		suspected.localProbe = probePending
-		output.Probes = append(output.Probes, Probe{Subject: subject, Target: subject.Target, IsAlone: true})
+		output.Probes = append(output.Probes, Probe{Subject: subject, Target: subject.Target, IsLocal: true})
 	}
-	if silence := now.Sub(own.since); suspected.localProbe == probeFailed && silence >= d.config.LeastSilence {
-		d.declareDead(now, subject, suspected, Verdict{Silence: silence, Reporters: 1, Flows: own.flows, Sends: own.retransmissions}, output)
+	if silence := now.Sub(own.since); suspected.localProbe == probeFailed && silence >= d.config.MinSilence {
+		d.declareDead(now, subject, suspected, Verdict{Silence: silence, Reporters: 1, Flows: own.flows, Retransmissions: own.retransmissions}, output)
 	}
 }
 
@@ -119,9 +119,9 @@
 // did, or the one that did reached no verdict.
 func (d *Detector) mayStartSuspicion(now time.Time, suspected *suspect) bool {
 	if suspected.suspectedAt.IsZero() {
-		return now.Sub(suspected.sufficientAt) >= time.Duration(suspected.rank)*d.config.ObjectFor
+		return now.Sub(suspected.sufficientAt) >= time.Duration(suspected.rank)*d.config.RefutationTimeout
 	}
-	return now.Sub(suspected.suspectedAt) >= 2*d.config.ObjectFor
+	return now.Sub(suspected.suspectedAt) >= 2*d.config.RefutationTimeout
 }
 
 // isSufficient reports whether the evidence suffices for a suspicion.
@@ -139,15 +139,15 @@
 			daemons++
 		}
 	}
-	return daemons >= d.config.Reporters && flows >= d.config.Flows && retransmissions >= d.config.Sends
+	return daemons >= d.config.MinReporters && flows >= d.config.MinFlows && retransmissions >= d.config.MinRetransmissions
 }
 
 // requiredSilence returns how long a subject must be unresponsive, given the expected number of
 // observations of its activity per second.
 func (d *Detector) requiredSilence(rate float64) time.Duration {
 	if rate <= 0 {
-		return d.config.MostSilence
+		return d.config.MaxSilence
 	}
-	needed := time.Duration(d.config.SignsMissed / rate * float64(time.Second))
-	return min(max(needed, d.config.LeastSilence), d.config.MostSilence)
+	needed := time.Duration(d.config.MinMissedObservations / rate * float64(time.Second))
+	return min(max(needed, d.config.MinSilence), d.config.MaxSilence)
 }
--- a/internal/liveness/report.go
+++ b/internal/liveness/report.go
@@ -11,10 +11,10 @@
 
 // Kinds are sent between daemons; do not renumber them.
 const (
-	// Silent reports to judges that callers of the sender retransmit unacknowledged data.
-	Silent Kind = 1
-	// Asked broadcasts a suspicion, which any daemon that has seen activity since refutes.
-	Asked Kind = 2
+	// Unresponsive reports to judges that callers of the sender retransmit unacknowledged data.
+	Unresponsive Kind = 1
+	// Suspected broadcasts a suspicion, which any daemon that has seen activity since refutes.
+	Suspected Kind = 2
 	// Alive refutes a suspicion or verdict: the sender has seen activity.
 	Alive Kind = 3
 	// Dead broadcasts a verdict.
@@ -39,8 +39,8 @@
 	// activity was seen.
 	AgeMilliseconds uint32 `cbor:"3,keyasint"`
 	// The numbers of affected flows and of retransmissions, in reports to judges.
-	Flows int `cbor:"4,keyasint,omitempty"`
-	Sends int `cbor:"5,keyasint,omitempty"`
+	Flows           int `cbor:"4,keyasint,omitempty"`
+	Retransmissions int `cbor:"5,keyasint,omitempty"`
 	// Rank is the receiver's rank among the judges, from 0, in reports to judges.
 	Rank int `cbor:"6,keyasint,omitempty"`
 }
--- a/internal/liveness/suspect.go
+++ b/internal/liveness/suspect.go
@@ -60,7 +60,7 @@
 // addEvidence records another daemon's evidence. A report of a failed probe (without
 // retransmissions) only extends what the daemon reported on its callers.
 func (s *suspect) addEvidence(report *Received, update evidence) {
-	if known, found := s.evidence[report.From]; found && report.Sends == 0 {
+	if known, found := s.evidence[report.From]; found && report.Retransmissions == 0 {
 		known.until = update.until
 		update = known
 	}
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -159,9 +159,9 @@
 	return to
 }
 
-// Hear merges the reports in a message and returns the number of bytes at its end that could
+// HandleMessage merges the reports in a message and returns the number of bytes at its end that could
 // not be decoded.
-func (e *Exchange) Hear(now time.Time, message []byte) (unread int) {
+func (e *Exchange) HandleMessage(now time.Time, message []byte) (unread int) {
 	for len(message) >= reportHeaderBytes {
 		count := int(message[reportHeaderBytes-1])
 		if count == tooManyTargets {
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -34,27 +34,27 @@
 
 func TestTotalsSumReports(t *testing.T) {
 	one, other := newReportingExchange(1, map[uint32]int{tokenOf(7): 2, tokenOf(8): 1}), newReportingExchange(2, map[uint32]int{tokenOf(7): 3})
-	assert.Equal(t, one.Hear(testStart, other.Message(testStart)), 0)
+	assert.Equal(t, one.HandleMessage(testStart, other.Message(testStart)), 0)
 	assert.DeepEqual(t, totals(t, one, testStart), map[Mark]int{7: 5, 8: 1})
 	t.Run("a repeated report changes nothing", func(t *testing.T) {
-		one.Hear(testStart, other.Message(testStart))
+		one.HandleMessage(testStart, other.Message(testStart))
 		assert.DeepEqual(t, totals(t, one, testStart), map[Mark]int{7: 5, 8: 1})
 	})
 	t.Run("a newer report replaces the old one", func(t *testing.T) {
 		later := testStart.Add(ReportInterval)
 		other.Tick(later, func() map[uint32]int { return map[uint32]int{tokenOf(9): 1} })
-		one.Hear(later, other.Message(later))
+		one.HandleMessage(later, other.Message(later))
 		assert.DeepEqual(t, totals(t, one, later), map[Mark]int{7: 2, 8: 1, 9: 1})
 	})
 	t.Run("a report expires a fixed time after it was made", func(t *testing.T) {
 		third := New(address(3), 0)
-		third.Hear(testStart.Add(2*time.Second), other.Message(testStart.Add(2*time.Second)))
+		third.HandleMessage(testStart.Add(2*time.Second), other.Message(testStart.Add(2*time.Second)))
 		assert.Equal(t, len(totals(t, third, testStart.Add(2*time.Second))), 1)
 		assert.Equal(t, len(totals(t, third, testStart.Add(ReportInterval+lifetime))), 0)
 	})
 	t.Run("reports of its own address are ignored", func(t *testing.T) {
 		again := New(address(2), 0)
-		again.Hear(testStart, one.Message(testStart))
+		again.HandleMessage(testStart, one.Message(testStart))
 		assert.Equal(t, totals(t, again, testStart)[9], 0)
 	})
 }
@@ -67,13 +67,13 @@
 		for mark := range Mark(number % (maxTargets + 1)) {
 			counts[tokenOf(mark+1)] = 1000
 		}
-		hub.Hear(testStart, newReportingExchange(number+1, counts).Message(testStart))
+		hub.HandleMessage(testStart, newReportingExchange(number+1, counts).Message(testStart))
 	}
 	listener := New(address(250), 0)
 	for range 150 {
 		message := hub.Message(testStart)
 		assert.Assert(t, len(message) > 0 && len(message) <= MaxMessageBytes)
-		assert.Equal(t, listener.Hear(testStart, message), 0)
+		assert.Equal(t, listener.HandleMessage(testStart, message), 0)
 	}
 	assert.Equal(t, len(listener.reports), 201)
 	assert.Equal(t, len(listener.reports[address(maxTargets+1)].flows), maxTargets)
@@ -87,7 +87,7 @@
 		counts[tokenOf(mark)] = 1
 	}
 	listener := newReportingExchange(1, map[uint32]int{tokenOf(7): 2})
-	assert.Equal(t, listener.Hear(testStart, newReportingExchange(2, counts).Message(testStart)), 0)
+	assert.Equal(t, listener.HandleMessage(testStart, newReportingExchange(2, counts).Message(testStart)), 0)
 	_, areComplete := listener.Totals(testStart)
 	assert.Assert(t, !areComplete)
 	_, areComplete = listener.Totals(testStart.Add(lifetime))
@@ -96,11 +96,11 @@
 
 func TestTruncatedMessageIsDecodedPartially(t *testing.T) {
 	sender := newReportingExchange(1, map[uint32]int{tokenOf(7): 2})
-	sender.Hear(testStart, newReportingExchange(2, map[uint32]int{tokenOf(8): 1}).Message(testStart))
+	sender.HandleMessage(testStart, newReportingExchange(2, map[uint32]int{tokenOf(8): 1}).Message(testStart))
 	message := sender.Message(testStart)
 	for length := range len(message) {
 		exchange := New(address(9), 0)
-		unread := exchange.Hear(testStart, message[:length])
+		unread := exchange.HandleMessage(testStart, message[:length])
 		assert.Assert(t, unread > 0 || length%(reportHeaderBytes+targetBytes) == 0)
 		assert.Equal(t, len(exchange.reports), length/(reportHeaderBytes+targetBytes))
 	}
@@ -110,7 +110,7 @@
 	f.Add(newReportingExchange(1, map[uint32]int{tokenOf(7): 2}).Message(testStart))
 	f.Fuzz(func(t *testing.T, message []byte) {
 		exchange := New(address(9), 0)
-		unread := exchange.Hear(testStart, message)
+		unread := exchange.HandleMessage(testStart, message)
 		assert.Assert(t, unread >= 0 && unread <= len(message))
 		exchange.Totals(testStart)
 		assert.Assert(t, len(exchange.Message(testStart)) <= MaxMessageBytes)
@@ -135,7 +135,7 @@
 						return map[uint32]int{tokenOf(Mark(number)): 1, tokenOf(Mark(number + 1)): 1, tokenOf(Mark(number + 2)): 1, tokenOf(Mark(number + 3)): 1}
 					})
 					for range 2 {
-						zone[random.IntN(daemons)].Hear(now, daemon.Message(now))
+						zone[random.IntN(daemons)].HandleMessage(now, daemon.Message(now))
 					}
 				}
 			}
--- a/internal/node/dataplane_backend.go
+++ b/internal/node/dataplane_backend.go
@@ -90,7 +90,7 @@
 		return
 	}
 	if h.pins.MarkAnswered(header.ServiceNumber, header.Caller, header.TargetNumber) {
-		target.Signal.NoteAnswered()
+		target.Signal.RecordResponse()
 	}
 	if header.Ingress.IsValid() && header.Ingress != h.self {
 		h.relay(worker, inbound, offset)
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -15,8 +15,8 @@
 // inputBytes is the length of the hash input: a key, an IP address and a port.
 const inputBytes = 8 + 16 + 2
 
-// Rank returns a daemon's score for a key; higher scores are selected first.
-func Rank(key uint64, daemon netip.AddrPort) uint64 {
+// Score returns a daemon's score for a key; higher scores are selected first.
+func Score(key uint64, daemon netip.AddrPort) uint64 {
 	var input [inputBytes]byte
 	binary.BigEndian.PutUint64(input[:8], key)
 	address := daemon.Addr().As16()
@@ -25,13 +25,13 @@
 	return xxhash.Sum64(input[:])
 }
 
-// First returns the count highest-scoring daemons for a key, in descending order. It sorts by
+// Top returns the count highest-scoring daemons for a key, in descending order. It sorts by
 // insertion, which suits a small count.
-func First(key uint64, daemons []netip.AddrPort, count int) []netip.AddrPort {
+func Top(key uint64, daemons []netip.AddrPort, count int) []netip.AddrPort {
 	count = min(count, len(daemons))
 	first, scores := make([]netip.AddrPort, 0, count+1), make([]uint64, 0, count+1)
 	for _, daemon := range daemons {
-		score := Rank(key, daemon)
+		score := Score(key, daemon)
 		if len(first) == count && (count == 0 || score <= scores[count-1]) {
 			continue
 		}
@@ -42,12 +42,12 @@
 	return first
 }
 
-// IsAmongFirst reports whether a daemon is among the count highest-scoring ones for a key.
-func IsAmongFirst(key uint64, daemon netip.AddrPort, daemons []netip.AddrPort, count int) bool {
-	ownScore := Rank(key, daemon)
+// IsInTop reports whether a daemon is among the count highest-scoring ones for a key.
+func IsInTop(key uint64, daemon netip.AddrPort, daemons []netip.AddrPort, count int) bool {
+	ownScore := Score(key, daemon)
 	higher := 0
 	for _, other := range daemons {
-		if other != daemon && Rank(key, other) > ownScore {
+		if other != daemon && Score(key, other) > ownScore {
 			higher++
 		}
 	}
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -18,12 +18,12 @@
 func TestFirstAgreesWithIsAmongFirst(t *testing.T) {
 	for key := range uint64(50) {
 		chosen := map[netip.AddrPort]bool{}
-		for _, daemon := range First(key, daemons(30), 4) {
+		for _, daemon := range Top(key, daemons(30), 4) {
 			chosen[daemon] = true
 		}
 		assert.Equal(t, len(chosen), 4)
 		for _, daemon := range daemons(30) {
-			assert.Equal(t, IsAmongFirst(key, daemon, daemons(30), 4), chosen[daemon])
+			assert.Equal(t, IsInTop(key, daemon, daemons(30), 4), chosen[daemon])
 		}
 	}
 }
@@ -31,8 +31,8 @@
 func TestRemovalAffectsOnlyOwnKeys(t *testing.T) {
 	all := daemons(30)
 	for key := range uint64(200) {
-		before := First(key, daemons(30), 1)[0]
-		after := First(key, daemons(29), 1)[0]
+		before := Top(key, daemons(30), 1)[0]
+		after := Top(key, daemons(29), 1)[0]
 		if before != all[29] {
 			assert.Equal(t, after, before)
 		}
@@ -42,7 +42,7 @@
 func TestKeysAreSpreadEvenly(t *testing.T) {
 	counts := map[netip.AddrPort]int{}
 	for key := range uint64(3000) {
-		counts[First(key, daemons(30), 1)[0]]++
+		counts[Top(key, daemons(30), 1)[0]]++
 	}
 	for daemon, count := range counts {
 		assert.Assert(t, count > 60 && count < 150, "%s got %d of 3000 keys", daemon, count)
--- a/internal/simulation/balance.go
+++ b/internal/simulation/balance.go
@@ -150,7 +150,7 @@
 	request := balance.Request{Now: r.clock.Now(), LeaseHeld: true}
 	picked := balance.Pick(&request, candidates, r.random)
 	if r.config.Policy != PolicyNoPicks {
-		candidates[picked].Signal.NotePick(r.clock.Now())
+		candidates[picked].Signal.RecordPick(r.clock.Now())
 	}
 	return picked
 }
@@ -213,9 +213,9 @@
 	}
 	connectionImbalance, _ := statistics.ImbalanceOf(connections)
 	busyImbalance, _ := statistics.ImbalanceOf(busy)
-	r.result.ConnectionsMaxToMean += connectionImbalance.MaximumToMean
+	r.result.ConnectionsMaxToMean += connectionImbalance.MaxToMean
 	r.result.ConnectionsVariation += connectionImbalance.Variation
-	r.result.BusyMaxToMean += busyImbalance.MaximumToMean
+	r.result.BusyMaxToMean += busyImbalance.MaxToMean
 	r.samples++
 	r.clock.After(balanceSampling, r.sample)
 }
--- a/internal/simulation/flows_liveness.go
+++ b/internal/simulation/flows_liveness.go
@@ -40,8 +40,8 @@
 	return rate
 }
 
-// LastAnswered implements liveness.Directory.
-func (d livenessDirectory) LastAnswered() time.Time { return d.path.lastAnswered }
+// LastResponse implements liveness.Directory.
+func (d livenessDirectory) LastResponse() time.Time { return d.path.lastAnswered }
 
 func (m *FlowModel) livenessDirectory(path *dataPath) livenessDirectory {
 	return livenessDirectory{m.directory(path), path}
@@ -57,7 +57,7 @@
 
 func (m *FlowModel) receiveLivenessReports(index int, reports []liveness.Received) {
 	if path := m.path(index); path != nil {
-		m.applyLivenessOutput(index, path, path.livenessDetector.Hear(m.Clock.Now(), m.livenessDirectory(path), reports))
+		m.applyLivenessOutput(index, path, path.livenessDetector.HandleReports(m.Clock.Now(), m.livenessDirectory(path), reports))
 	}
 }
 
@@ -157,7 +157,7 @@
 	}
 	m.Clock.After(after, func() {
 		if path := m.path(index); path != nil && path.generation == generation {
-			path.livenessDetector.Probed(m.Clock.Now(), probe, hasAnswered)
+			path.livenessDetector.HandleProbeResult(m.Clock.Now(), probe, hasAnswered)
 			m.tickLiveness(index, path)
 		}
 	})
--- a/internal/simulation/flows_unrouted.go
+++ b/internal/simulation/flows_unrouted.go
@@ -11,7 +11,7 @@
 func (m *FlowModel) resetDropped(index int, path *dataPath) {
 	confirmedAt := m.Daemons[index].Core.ConfirmedAt()
 	for _, head := range path.unrouted.TakeDropped(m.Clock.Now(), confirmedAt, path.table) {
-		path.requests.NoteDropped(path.table, &head)
+		path.requests.RecordDropped(path.table, &head)
 		m.Clock.After(m.delay(), func() {
 			if flow := m.flows[head.Source]; flow != nil && flow.Route == head.Destination && flow.Token == head.Token {
 				m.handleReset(flow, token.ReasonDroppedRoute)
--- a/internal/simulation/idle_flows_test.go
+++ b/internal/simulation/idle_flows_test.go
@@ -127,8 +127,8 @@
 
 func hastyConfig() liveness.Config {
 	hasty := liveness.DefaultConfig()
-	hasty.Reporters, hasty.Flows, hasty.Sends = 1, 1, 1
-	hasty.ObjectFor, hasty.LeastSilence, hasty.SignsMissed = 0, 0, 0
+	hasty.MinReporters, hasty.MinFlows, hasty.MinRetransmissions = 1, 1, 1
+	hasty.RefutationTimeout, hasty.MinSilence, hasty.MinMissedObservations = 0, 0, 0
 	return hasty
 }
 
--- a/internal/simulation/overload.go
+++ b/internal/simulation/overload.go
@@ -225,7 +225,7 @@
 		call.target = balance.Pick(&request, daemon.candidates, o.random)
 	}
 	daemon.controller.Begin(call.rank)
-	daemon.candidates[call.target].Signal.NoteWaiting(1)
+	daemon.candidates[call.target].Signal.AddPending(1)
 	o.result.Arrivals++
 	target := o.targets[call.target]
 	switch {
@@ -268,14 +268,14 @@
 func (o *overloadRun) respond(call *overloadCall, isServed bool) {
 	now, daemon, signal := o.clock.Now(), call.daemon, call.daemon.candidates[call.target].Signal
 	daemon.controller.End(call.rank)
-	signal.NoteWaiting(-1)
+	signal.AddPending(-1)
 	if isServed {
 		o.result.Served[call.rank]++
 		daemon.controller.NoteAnswer(now, overloadRoute, overloadResponseBytes)
 	} else {
 		o.result.TurnedAway++
 		daemon.controller.NoteAnswer(now, overloadRoute, overloadRejectionBytes)
-		signal.NoteAwaited(now, 8)
+		signal.RecordOverdue(now, 8)
 	}
 	if call.rank == overload.Ordinary && len(daemon.idle) < overloadIdleFlows*88/len(o.daemons) {
 		daemon.idle = append(daemon.idle, call.target)
--- a/internal/simulation/speedload.go
+++ b/internal/simulation/speedload.go
@@ -152,7 +152,7 @@
 	daemon.loads.Tick(now, func() map[uint32]int { return daemon.open })
 	if daemon.gossipsFalseSpeeds {
 		for index := range s.targets {
-			daemon.speeds.Note(now, loadshare.MarkOf(zoneToken(index)), []float64{0.25, 4}[index%2])
+			daemon.speeds.Record(now, loadshare.MarkOf(zoneToken(index)), []float64{0.25, 4}[index%2])
 		}
 	}
 	daemon.speeds.Tick(now)
@@ -164,7 +164,7 @@
 		message := append(daemon.loads.MessageWithin(now, loadshare.MaxMessageBytes-len(speedMessage)), speedMessage...)
 		s.bytes += len(message)
 		other := s.daemons[s.random.IntN(len(s.daemons))]
-		other.speeds.Hear(now, message[len(message)-other.loads.Hear(now, message):])
+		other.speeds.HandleMessage(now, message[len(message)-other.loads.HandleMessage(now, message):])
 	}
 	totals, areComplete := daemon.loads.Totals(now)
 	estimates := daemon.speeds.Estimates(now)
@@ -174,7 +174,7 @@
 		if areComplete {
 			open = totals[loadshare.MarkOf(zoneToken(index))]
 		}
-		signal.SetOpen(open)
+		signal.SetOpenFlows(open)
 		if estimate, isKnown := estimates[loadshare.MarkOf(zoneToken(index))]; isKnown && s.config.Learns {
 			signal.SetSpeed(now, estimate.Speed)
 		}
@@ -200,14 +200,14 @@
 // later.
 func (s *speedLoad) pick(daemon *speedDaemon, then func(index int)) {
 	now := s.clock.Now()
-	request := balance.Request{Now: now, Zone: zoneName, LeaseHeld: true, PrefersZone: true, KnowsOpen: true, Daemons: s.config.Fleet}
+	request := balance.Request{Now: now, Zone: zoneName, LeaseHeld: true, PrefersZone: true, KnowsOpenFlows: true, Daemons: s.config.Fleet}
 	index := balance.Pick(&request, daemon.candidates, s.random)
 	if index < 0 {
 		s.clock.After(10*time.Millisecond, func() { s.pick(daemon, then) })
 		return
 	}
-	daemon.candidates[index].Signal.NotePick(now)
-	s.clock.After(speedRoundTrip, func() { daemon.candidates[index].Signal.NoteOpened(s.clock.Now()) })
+	daemon.candidates[index].Signal.RecordPick(now)
+	s.clock.After(speedRoundTrip, func() { daemon.candidates[index].Signal.RecordOpened(s.clock.Now()) })
 	then(index)
 }
 
@@ -267,10 +267,10 @@
 		s.clock.After(speedRoundTrip, func() { done(false) })
 		return
 	}
-	signal.NoteWaiting(1)
+	signal.AddPending(1)
 	s.serve(target, mean, func() {
 		s.clock.After(speedRoundTrip, func() {
-			signal.NoteWaiting(-1)
+			signal.AddPending(-1)
 			s.noteResponse(daemon, index, kind, startedAt)
 			done(true)
 		})
@@ -288,9 +288,9 @@
 		latency += s.exponential(s.config.FeedPause)
 	}
 	if ratio, isKnown := daemon.usual[kind].note(latency - speedRoundTrip); isKnown {
-		daemon.candidates[index].Signal.NoteLatency(now, ratio)
+		daemon.candidates[index].Signal.RecordLatency(now, ratio)
 		if !daemon.gossipsFalseSpeeds && !now.Before(daemon.candidates[index].WarmAt) {
-			daemon.speeds.Note(now, loadshare.MarkOf(zoneToken(index)), ratio)
+			daemon.speeds.Record(now, loadshare.MarkOf(zoneToken(index)), ratio)
 		}
 	}
 }
--- a/internal/simulation/zoneload.go
+++ b/internal/simulation/zoneload.go
@@ -109,7 +109,7 @@
 	for range zoneGossipFanout {
 		message := daemon.exchange.Message(now)
 		z.bytes += len(message)
-		z.daemons[z.random.IntN(len(z.daemons))].exchange.Hear(now, message)
+		z.daemons[z.random.IntN(len(z.daemons))].exchange.HandleMessage(now, message)
 	}
 	totals, areComplete := daemon.exchange.Totals(now)
 	for index := range daemon.candidates {
@@ -117,7 +117,7 @@
 		if areComplete {
 			open = totals[loadshare.MarkOf(zoneToken(index))]
 		}
-		daemon.candidates[index].Signal.SetOpen(open)
+		daemon.candidates[index].Signal.SetOpenFlows(open)
 	}
 	z.clock.After(zoneGossipInterval, func() { z.gossip(daemon) })
 }
@@ -135,9 +135,9 @@
 func (z *zoneLoad) open() {
 	now := z.clock.Now()
 	daemon := z.daemons[z.random.IntN(len(z.daemons))]
-	request := balance.Request{Now: now, Zone: zoneName, LeaseHeld: true, PrefersZone: true, KnowsOpen: z.config.Shares}
+	request := balance.Request{Now: now, Zone: zoneName, LeaseHeld: true, PrefersZone: true, KnowsOpenFlows: z.config.Shares}
 	index := balance.Pick(&request, daemon.candidates, z.random)
-	daemon.candidates[index].Signal.NotePick(now)
+	daemon.candidates[index].Signal.RecordPick(now)
 	target := z.targets[index]
 	target.addFlows(now, z.measuredFrom(), 1)
 	daemon.open[zoneToken(index)]++
--- a/internal/statistics/imbalance.go
+++ b/internal/statistics/imbalance.go
@@ -5,8 +5,8 @@
 
 // Imbalance measures how unevenly values are distributed.
 type Imbalance struct {
-	// MaximumToMean is the maximum over the mean; 1 means even. It is 0 if the mean is.
-	MaximumToMean float64 `json:"max_to_mean"`
+	// MaxToMean is the maximum over the mean; 1 means even. It is 0 if the mean is.
+	MaxToMean float64 `json:"max_to_mean"`
 	// Variation is the coefficient of variation, the standard deviation over the mean; 0 means
 	// even.
 	Variation float64 `json:"coefficient_of_variation"`
@@ -28,7 +28,7 @@
 		squares += (value - mean) * (value - mean)
 	}
 	return Imbalance{
-		MaximumToMean: highest / mean,
-		Variation:     math.Sqrt(squares/float64(len(values))) / mean,
+		MaxToMean: highest / mean,
+		Variation: math.Sqrt(squares/float64(len(values))) / mean,
 	}, mean
 }
--- a/internal/steering/token/activity.go
+++ b/internal/steering/token/activity.go
@@ -42,11 +42,11 @@
 	return nil
 }
 
-// LastLife returns the time of the last observed activity of a subject, zero if there was none.
-func (t *Table) LastLife(subject liveness.Subject) time.Time {
+// LastActivity returns the time of the last observed activity of a subject, zero if there was none.
+func (t *Table) LastActivity(subject liveness.Subject) time.Time {
 	var last time.Time
 	for _, target := range t.subjectTargets(subject) {
-		if activity := target.Signal.LastLife(); activity.After(last) {
+		if activity := target.Signal.LastActivity(); activity.After(last) {
 			last = activity
 		}
 	}
@@ -70,7 +70,7 @@
 func (t *Table) TargetsToProbe(subject liveness.Subject, count int) []uint64 {
 	targets := slices.Clone(t.subjectTargets(subject))
 	slices.SortFunc(targets, func(a, b *Target) int {
-		return cmp.Or(b.Signal.LastLife().Compare(a.Signal.LastLife()), cmp.Compare(a.Token, b.Token))
+		return cmp.Or(b.Signal.LastActivity().Compare(a.Signal.LastActivity()), cmp.Compare(a.Token, b.Token))
 	})
 	if len(targets) > count {
 		latest := (count + 1) / 2
--- a/internal/steering/token/builder.go
+++ b/internal/steering/token/builder.go
@@ -132,7 +132,7 @@
 		t.Signal = &balance.Signal{}
 	case previous.LatestIncarnation != 0 && t.Incarnation > previous.LatestIncarnation:
 		t.Signal = &balance.Signal{}
-		t.Signal.NoteLife(t.LearnedAt)
+		t.Signal.RecordActivity(t.LearnedAt)
 	default:
 		t.Signal = previous.Signal
 		t.LatestIncarnation = max(t.LatestIncarnation, previous.LatestIncarnation)
--- a/internal/steering/token/builder_test.go
+++ b/internal/steering/token/builder_test.go
@@ -150,8 +150,8 @@
 		site.table.Eject(100, site.now.Add(time.Minute), site.now.Add(2*time.Minute))
 		site.table.SetDead(100, site.now.Add(time.Minute), site.now.Add(2*time.Minute))
 		previous := site.table.targetByIdentifier(100)
-		previous.Signal.NoteWaiting(2)
-		previous.Signal.SetOpen(5)
+		previous.Signal.AddPending(2)
+		previous.Signal.SetOpenFlows(5)
 		site.now = site.now.Add(time.Second)
 		return site, previous
 	}
@@ -161,7 +161,7 @@
 		started := site.table.targetByIdentifier(100)
 		assert.Assert(t, !started.Signal.IsEjected(site.now) && !site.table.IsDead(site.now, 100))
 		assert.Equal(t, started.Signal.InProgress(site.now), 0.0)
-		assert.Assert(t, started.Signal.LastLife().Equal(site.now))
+		assert.Assert(t, started.Signal.LastActivity().Equal(site.now))
 		assert.Equal(t, site.table.Incarnation(100), uint64(2000))
 	})
 	t.Run("same or earlier incarnation changes nothing", func(t *testing.T) {
--- a/internal/steering/token/dead_test.go
+++ b/internal/steering/token/dead_test.go
@@ -133,7 +133,7 @@
 }
 
 func TestTargetActivity(t *testing.T) {
-	lastActivity := func(flow *exchange) time.Time { return flow.site.table.LastLife(liveness.Subject{Target: 100}) }
+	lastActivity := func(flow *exchange) time.Time { return flow.site.table.LastActivity(liveness.Subject{Target: 100}) }
 	t.Run("response", func(t *testing.T) {
 		flow := newExchange(t)
 		flow.send(1, 500, 100)
@@ -155,7 +155,7 @@
 		opened := site.open(rosterAddress, 1)
 		site.now = site.now.Add(5 * time.Millisecond)
 		site.follow(rosterAddress, 1, opened.Target.Token)
-		assert.Assert(t, site.table.LastLife(liveness.Subject{Target: opened.Target.Identifier}).Equal(site.now))
+		assert.Assert(t, site.table.LastActivity(liveness.Subject{Target: opened.Target.Identifier}).Equal(site.now))
 	})
 	t.Run("new data some time after the first", func(t *testing.T) {
 		flow := newExchange(t)
@@ -194,8 +194,8 @@
 	assert.Assert(t, site.table.IsKnown(zone) && !site.table.IsKnown(liveness.Subject{Zone: "nowhere"}))
 	assert.DeepEqual(t, site.table.ServicesOf(zone), map[string]int{"roster": 2})
 	assert.Equal(t, len(site.table.TargetsToProbe(zone, 1)), 1)
-	site.table.targetByIdentifier(104).Signal.NoteLife(site.now)
-	assert.Assert(t, site.table.LastLife(zone).Equal(site.now))
+	site.table.targetByIdentifier(104).Signal.RecordActivity(site.now)
+	assert.Assert(t, site.table.LastActivity(zone).Equal(site.now))
 	assert.DeepEqual(t, site.table.TargetsToProbe(zone, 2), []uint64{104, 101})
 }
 
@@ -208,6 +208,6 @@
 		table.index.add(target)
 	}
 	for b.Loop() {
-		table.LastLife(liveness.Subject{Zone: "7"})
+		table.LastActivity(liveness.Subject{Zone: "7"})
 	}
 }
--- a/internal/steering/token/limit_test.go
+++ b/internal/steering/token/limit_test.go
@@ -57,12 +57,12 @@
 	assert.Equal(t, opened.Action, Forward)
 	data := &Packet{Source: caller(1), Destination: rosterAddress, Token: opened.BoundToken(), PayloadLength: 100, Acknowledgement: 1}
 	followed := site.table.SteerEstablished(site.now, data)
-	site.opener.NoteAnswered(site.now, &followed, data)
-	requests.Note(site.now, &followed, data)
+	site.opener.RecordResponse(site.now, &followed, data)
+	requests.Record(site.now, &followed, data)
 	site.now = site.now.Add(time.Second)
 	assert.Equal(t, site.open(rosterAddress, 2).Action, Hold, "request pending for longer than the lifetime of a pick")
 	answered := &Packet{Source: caller(1), Destination: rosterAddress, Token: opened.BoundToken(), Acknowledgement: 4001}
-	requests.Note(site.now, &followed, answered)
+	requests.Record(site.now, &followed, answered)
 	assert.Equal(t, site.open(rosterAddress, 3).Action, Forward)
 }
 
@@ -93,7 +93,7 @@
 	for number := range 3 {
 		decision = site.open(rosterAddress, number)
 		data := &Packet{Source: caller(number), Destination: rosterAddress, Token: decision.BoundToken(), PayloadLength: 100}
-		requests.Note(site.now, &decision, data)
+		requests.Record(site.now, &decision, data)
 	}
 	later := site.now.Add(time.Minute)
 	assert.Equal(t, decision.Target.Signal.InProgress(later) > 0.5, true, "only one request is tracked")
--- a/internal/steering/token/opener.go
+++ b/internal/steering/token/opener.go
@@ -139,7 +139,7 @@
 	}
 	decision.Reason = ReasonUnresponsiveTarget
 	if suspect != nil {
-		suspect.Signal.NoteUnanswered(now, ejectAfterUnanswered)
+		suspect.Signal.RecordNoResponse(now, ejectAfterUnanswered)
 		table.trackUnavailable(suspect)
 		o.suspect = append(o.suspect, FailureEvidence{Target: suspect.Identifier, Evidence: outlier.Weak})
 	}
@@ -174,20 +174,20 @@
 	if decision.Target == nil {
 		return pin, false
 	}
-	decision.Target.Signal.NotePick(now)
+	decision.Target.Signal.RecordPick(now)
 	decision.Target.Load.Opened(now, decision.Route.rank)
 	pin.Target = decision.Target.Token
 	pin.Created = now
 	return pin, true
 }
 
-// NoteAnswered records that a caller has received a reply from its target. This counts as activity
+// RecordResponse records that a caller has received a reply from its target. This counts as activity
 // of the target, and retransmissions of the flow's first packet stay with it.
-func (o *Opener) NoteAnswered(now time.Time, decision *Decision, packet *Packet) {
+func (o *Opener) RecordResponse(now time.Time, decision *Decision, packet *Packet) {
 	if o.pins.MarkAnswered(decision.Route.Number, packet.Source, decision.Target.Token) {
-		decision.Target.Signal.NoteAnswered()
-		decision.Target.Signal.NoteLife(now)
-		decision.Target.Signal.NoteOpened(now)
+		decision.Target.Signal.RecordResponse()
+		decision.Target.Signal.RecordActivity(now)
+		decision.Target.Signal.RecordOpened(now)
 		decision.Target.Load.Established(now, decision.Route.rank)
 	}
 }
--- a/internal/steering/token/overload_test.go
+++ b/internal/steering/token/overload_test.go
@@ -69,7 +69,7 @@
 	acknowledgement := *data
 	acknowledgement.PayloadLength = 0
 	assert.Equal(t, requests.HoldIfOverloaded(site.now, followed, &acknowledgement, 0).Action, Forward)
-	requests.Note(site.now, &followed, data)
+	requests.Record(site.now, &followed, data)
 	assert.Equal(t, requests.HoldIfOverloaded(site.now, followed, data, 0).Action, Forward, "data of an admitted request was held")
 }
 
@@ -79,15 +79,15 @@
 	decision := Decision{Action: Forward, Route: site.table.routes[ordinaryAddress], Target: target}
 	for range 3 {
 		packet := &Packet{Source: caller(1), Destination: ordinaryAddress, PayloadLength: 10}
-		requests.Note(site.now, &decision, packet)
-		requests.Note(site.now, &decision, &Packet{Source: caller(1), Destination: ordinaryAddress, Acknowledgement: 100})
+		requests.Record(site.now, &decision, packet)
+		requests.Record(site.now, &decision, &Packet{Source: caller(1), Destination: ordinaryAddress, Acknowledgement: 100})
 	}
 	counts := map[*Target]int{}
 	for number := range 300 {
 		if opened := site.open(preferredAddress, 100+number); opened.Action == Forward {
 			counts[opened.Target]++
 			opened.Target.Load.Established(site.now, overload.Preferred)
-			opened.Target.Signal.NoteOpened(site.now)
+			opened.Target.Signal.RecordOpened(site.now)
 		}
 	}
 	assert.Assert(t, counts[target] < 20, "%d of 300, with six targets", counts[target])
@@ -132,14 +132,14 @@
 	decision := site.table.SteerEstablished(site.now, data)
 	const answerLength = 1000
 	for range 20 { // collect enough samples
-		requests.Note(site.now, &decision, data)
+		requests.Record(site.now, &decision, data)
 		site.now = site.now.Add(10 * time.Millisecond)
 		data.Acknowledgement += answerLength
-		requests.Note(site.now, &decision, &Packet{Source: caller(1), Destination: ordinaryAddress, Acknowledgement: data.Acknowledgement})
+		requests.Record(site.now, &decision, &Packet{Source: caller(1), Destination: ordinaryAddress, Acknowledgement: data.Acknowledgement})
 		site.now = site.now.Add(10 * time.Millisecond)
 	}
 	requests.TakeLatencySamples()
-	requests.Note(site.now, &decision, data)
+	requests.Record(site.now, &decision, data)
 	sentAt := site.now
 	site.now = site.now.Add(500 * time.Millisecond)
 	next := *data
@@ -147,9 +147,9 @@
 	site.exhaustCapacity(&decision)
 	held := requests.HoldIfOverloaded(site.now, decision, &next, 0)
 	assert.Equal(t, held.Action, Hold)
-	_, isAnswer := requests.Note(site.now, &held, &next)
+	_, isAnswer := requests.Record(site.now, &held, &next)
 	assert.Assert(t, isAnswer)
-	assert.Assert(t, decision.Target.Signal.LastLife().Equal(sentAt))
+	assert.Assert(t, decision.Target.Signal.LastActivity().Equal(sentAt))
 	assert.Equal(t, len(requests.TakeLatencySamples()), 0)
 	assert.Equal(t, requests.Len(), 0, "held request already tracked")
 }
--- a/internal/steering/token/pick.go
+++ b/internal/steering/token/pick.go
@@ -55,7 +55,7 @@
 
 // pickFromSources selects a target from the sources, other than excluded.
 func (o *Opener) pickFromSources(sources []balance.Source[*Target], excluded *Target) *Target {
-	o.request = balance.Request{Now: o.now, Zone: o.zone, LeaseHeld: true, PrefersZone: true, Daemons: o.daemons, KnowsOpen: o.openCountsKnown}
+	o.request = balance.Request{Now: o.now, Zone: o.zone, LeaseHeld: true, PrefersZone: true, Daemons: o.daemons, KnowsOpenFlows: o.openCountsKnown}
 	if excluded != nil {
 		o.request.Excluded = excluded.Signal
 	}
--- a/internal/steering/token/retransmitted.go
+++ b/internal/steering/token/retransmitted.go
@@ -28,7 +28,7 @@
 		req.sequence = packet.Sequence
 		req.lastData = now
 		if now.Sub(req.startedAt) >= minRetransmitDelay {
-			req.signal.NoteLife(now)
+			req.signal.RecordActivity(now)
 		}
 		return
 	}
--- a/internal/steering/token/service.go
+++ b/internal/steering/token/service.go
@@ -23,7 +23,7 @@
 func (s *Service) add(target *Target) {
 	candidate := balance.Candidate{
 		Signal: target.Signal, Weight: max(1, target.Slots), Cap: s.maximumFlows, Zone: target.Zone,
-		Slots: target.Slots, WarmAt: target.WarmAt, IsColdBounded: target.SlowStartRate > 0,
+		Slots: target.Slots, WarmAt: target.WarmAt, IsSlowStartLimited: target.SlowStartRate > 0,
 	}
 	switch {
 	case target.IsEligible:
--- a/internal/steering/token/unrouted.go
+++ b/internal/steering/token/unrouted.go
@@ -62,9 +62,9 @@
 // Len returns the number of tracked flows.
 func (u *Unrouted) Len() int { return len(u.flows) }
 
-// Note records a packet with a decision of ReasonUnconfirmedRoute, of a flow that was open at
+// Record records a packet with a decision of ReasonUnconfirmedRoute, of a flow that was open at
 // openAt.
-func (u *Unrouted) Note(now, openAt time.Time, packet *Packet) {
+func (u *Unrouted) Record(now, openAt time.Time, packet *Packet) {
 	pair := addressPair{packet.Source, packet.Destination}
 	flow, isKnown := u.flows[pair]
 	if !isKnown && len(u.flows) >= maxUnrouted {
--- a/internal/steering/token/unrouted_test.go
+++ b/internal/steering/token/unrouted_test.go
@@ -26,7 +26,7 @@
 	t.Helper()
 	packet := &Packet{Source: caller(number), Destination: rosterAddress, Token: BoundTokenAt(rosterAddress, 100), Acknowledgement: uint32(number)}
 	assert.Equal(t, site.table.SteerEstablished(site.now, packet).Reason, ReasonUnconfirmedRoute)
-	unrouted.Note(site.now, site.now, packet)
+	unrouted.Record(site.now, site.now, packet)
 }
 
 // TestUnroutedFlowIsResetOnceRemovalIsConfirmed also checks that further packets don't delay the
@@ -87,7 +87,7 @@
 	site := newSite(t)
 	data := &Packet{Source: caller(1), Destination: rosterAddress, Token: BoundTokenAt(rosterAddress, 100), PayloadLength: 1}
 	decision := site.table.SteerEstablished(site.now, data)
-	site.requests.Note(site.now, &decision, data)
+	site.requests.Record(site.now, &decision, data)
 	site.now = site.now.Add(time.Second)
 	for _, routes := range [][]storeview.Route{standardRoutes()[1:], standardRoutes(), standardRoutes()[1:]} {
 		site.configure(routes...)
@@ -105,19 +105,19 @@
 	target := &Target{KnownTarget: newEntry("t", 1), Token: 11, Signal: &balance.Signal{}, Load: overload.New(overload.Config{})}
 	routed := Decision{Action: Forward, Route: &Route{Number: 1}, Target: target}
 	old := Packet{Source: caller(1), Destination: rosterAddress, PayloadLength: 1, Acknowledgement: 5}
-	requests.Note(now, &routed, &old)
+	requests.Record(now, &routed, &old)
 	table := &Table{dropped: map[netip.AddrPort]*Route{rosterAddress: routed.Route}}
 	dropped := Decision{Reason: ReasonUnconfirmedRoute, Route: routed.Route, Target: target}
 	now = now.Add(time.Second)
-	unrouted.Note(now, requests.OpenSince(now, &dropped, &old), &old)
+	unrouted.Record(now, requests.OpenSince(now, &dropped, &old), &old)
 	reset := unrouted.TakeDropped(now, now, table)
 	assert.Equal(t, len(reset), 1, "old flow not reset")
-	requests.NoteDropped(table, &reset[0])
+	requests.RecordDropped(table, &reset[0])
 	assert.Equal(t, requests.Len(), 0, "request of the old flow still pending")
 	confirmedAt := now
 	now = now.Add(time.Second) // a new flow was opened through another daemon
 	later := Packet{Source: caller(1), Destination: rosterAddress, PayloadLength: 1, Acknowledgement: 77_000_000}
-	unrouted.Note(now, requests.OpenSince(now, &dropped, &later), &later)
+	unrouted.Record(now, requests.OpenSince(now, &dropped, &later), &later)
 	assert.Equal(t, len(unrouted.TakeDropped(now, confirmedAt, table)), 0, "new flow was reset")
 }
 
@@ -130,9 +130,9 @@
 	two := &Target{KnownTarget: newEntry("t", 2), Token: 22, Signal: &balance.Signal{}, Load: load}
 	before := Decision{Action: Forward, Route: &Route{Number: 1}, Target: one}
 	after := Decision{Action: Forward, Route: &Route{Number: 2}, Target: two}
-	requests.Note(now, &before, &Packet{Source: caller(1), Destination: rosterAddress, Token: 11, Acknowledgement: 5})
+	requests.Record(now, &before, &Packet{Source: caller(1), Destination: rosterAddress, Token: 11, Acknowledgement: 5})
 	now = now.Add(time.Second)
-	requests.NoteOpening(now, &after, &Packet{Source: caller(1), Destination: rosterAddress, IsOpening: true})
-	requests.Note(now, &after, &Packet{Source: caller(1), Destination: rosterAddress, Token: 22, Acknowledgement: 9})
+	requests.RecordOpening(now, &after, &Packet{Source: caller(1), Destination: rosterAddress, IsOpening: true})
+	requests.Record(now, &after, &Packet{Source: caller(1), Destination: rosterAddress, Token: 22, Acknowledgement: 9})
 	assert.Equal(t, len(requests.TakeIdle(isDeadAt(11), 10)), 0)
 }
--- a/internal/storenode/liveness.go
+++ b/internal/storenode/liveness.go
@@ -41,8 +41,8 @@
 	return rate
 }
 
-// LastAnswered implements liveness.Directory.
-func (d livenessDirectory) LastAnswered() time.Time {
+// LastResponse implements liveness.Directory.
+func (d livenessDirectory) LastResponse() time.Time {
 	return time.Unix(0, d.plane.lastAnsweredSend.Load())
 }
 
@@ -62,7 +62,7 @@
 // handleLivenessReports handles liveness reports of other daemons.
 func (n *Node) handleLivenessReports(now time.Time, reports []liveness.Received) {
 	if table := n.plane.table.Load(); table != nil && len(reports) > 0 {
-		n.applyVerdicts(now, table, n.failureDetector.Hear(now, n.livenessDirectory(now, table), reports))
+		n.applyVerdicts(now, table, n.failureDetector.HandleReports(now, n.livenessDirectory(now, table), reports))
 	}
 }
 
@@ -80,7 +80,7 @@
 			telemetry.FieldTarget, strconv.FormatUint(verdict.Subject.Target, 16),
 			telemetry.FieldSpan, verdict.Silence.String(),
 			telemetry.FieldReporters, verdict.Reporters,
-			telemetry.FieldEvidence, verdict.Sends,
+			telemetry.FieldEvidence, verdict.Retransmissions,
 			telemetry.FieldCount, reset,
 		)
 	}
@@ -90,7 +90,7 @@
 		n.counters().revived.Add(1)
 		n.log.Info(messageAlive, telemetry.FieldTarget, strconv.FormatUint(target, 16))
 	}
-	for _, verdict := range output.Silent {
+	for _, verdict := range output.UnresponsiveZones {
 		n.log.Info(messageUnresponsiveZone, telemetry.FieldZone, verdict.Subject.Zone, telemetry.FieldSpan, verdict.Silence.String())
 	}
 	n.link.send(n.fleet.LivenessDatagrams(output.Reports))
@@ -111,7 +111,7 @@
 	}
 	hasAnswered := n.isReachable(address, timeout)
 	n.Enqueue(func(now time.Time) {
-		n.failureDetector.Probed(now, probe, hasAnswered)
+		n.failureDetector.HandleProbeResult(now, probe, hasAnswered)
 		if table := n.plane.table.Load(); table != nil {
 			n.detectFailures(now, table) // act on the result without waiting for the next tick
 		}
--- a/internal/storenode/loads.go
+++ b/internal/storenode/loads.go
@@ -27,7 +27,7 @@
 	if isComplete {
 		local = nil
 	}
-	n.appliedOpen.local = applyChanges(n.appliedOpen.local, local, table.SetOpen)
+	n.appliedOpen.local = applyChanges(n.appliedOpen.local, local, table.SetOpenFlows)
 	n.appliedOpen.totals = applyChanges(n.appliedOpen.totals, totals, table.SetOpenByMark)
 	n.plane.setOpenFlowsKnown()
 	n.exchangeSpeeds(now, table)
@@ -59,8 +59,8 @@
 // handleZoneMessages handles messages from daemons in the zone: open flows, followed by speeds.
 func (n *Node) handleZoneMessages(now time.Time, messages [][]byte) {
 	for _, message := range messages {
-		rest := message[len(message)-n.loads.Hear(now, message):]
-		if n.speeds.Hear(now, rest) > 0 {
+		rest := message[len(message)-n.loads.HandleMessage(now, message):]
+		if n.speeds.HandleMessage(now, rest) > 0 {
 			n.counters().loadsUndecoded.Add(1)
 		}
 	}
--- a/internal/storenode/overload_queue_test.go
+++ b/internal/storenode/overload_queue_test.go
@@ -223,7 +223,7 @@
 	next.Sequence, next.Acknowledgement = 1, 1000
 	held := plane.decide(plane.table.Load(), &next, arrival{at: time.Now()})
 	assert.Equal(t, held.Action, token.Hold)
-	activity := held.Target.Signal.LastLife()
+	activity := held.Target.Signal.LastActivity()
 	assert.Assert(t, !activity.IsZero() && !activity.After(sentBefore), "%v after the request was sent", activity.Sub(sentBefore))
 	assert.Equal(t, next.PayloadLength, 1)
 }
--- a/internal/storenode/speeds.go
+++ b/internal/storenode/speeds.go
@@ -27,7 +27,7 @@
 // from the observations of all daemons in it.
 func (n *Node) exchangeSpeeds(now time.Time, table *token.Table) {
 	for _, answered := range n.plane.answered() {
-		n.speeds.Note(now, loadshare.MarkOf(answered.Token), answered.Ratio)
+		n.speeds.Record(now, loadshare.MarkOf(answered.Token), answered.Ratio)
 		n.counters().speedResponses.Add(1)
 	}
 	n.speeds.Tick(now)
--- a/internal/storenode/speeds_test.go
+++ b/internal/storenode/speeds_test.go
@@ -28,11 +28,11 @@
 		sender := daemonAt(number)
 		for target := range loadshare.Mark(16) {
 			for range 10 {
-				sender.speeds.Note(now, target, 1)
+				sender.speeds.Record(now, target, 1)
 			}
 		}
 		for range 90 {
-			sender.speeds.Note(now, slow, 4)
+			sender.speeds.Record(now, slow, 4)
 		}
 		sender.speeds.Tick(now)
 		sender.loads.Tick(now, func() map[uint32]int { return map[uint32]int{uint32(slow) << 16: 2} })
--- a/internal/storenode/unrouted.go
+++ b/internal/storenode/unrouted.go
@@ -16,7 +16,7 @@
 	p.mutex.Lock()
 	dropped := p.unrouted.TakeDropped(now, confirmedAt, table)
 	for index := range dropped {
-		p.requests.NoteDropped(table, &dropped[index])
+		p.requests.RecordDropped(table, &dropped[index])
 	}
 	p.mutex.Unlock()
 	decision := token.Decision{Action: token.Refuse, Reason: token.ReasonDroppedRoute}
--- a/internal/targetspeed/codec.go
+++ b/internal/targetspeed/codec.go
@@ -19,11 +19,11 @@
 	headBytes  = loadshare.HeaderBytes + 2
 	entryBytes = 4
 	logUnit    = 1.0 / 64
-	// maxEntries is the maximum number of targets per report, so that it fits into MaximumBytes.
+	// maxEntries is the maximum number of targets per report, so that it fits into MaxMessageBytes.
 	maxEntries = 20
-	// MaximumBytes is the maximum size of the speed reports in a message, a third of the maximum
+	// MaxMessageBytes is the maximum size of the speed reports in a message, a third of the maximum
 	// size of a message within the zone (loadshare.MaxMessageBytes).
-	MaximumBytes = headBytes + entryBytes*maxEntries
+	MaxMessageBytes = headBytes + entryBytes*maxEntries
 )
 
 // Message returns reports to send or forward: the least often sent ones first, and of those the
@@ -36,7 +36,7 @@
 		if now.Sub(stored.at) >= forwardTTL {
 			continue
 		}
-		if len(message)+headBytes+entryBytes*len(stored.entries) > MaximumBytes {
+		if len(message)+headBytes+entryBytes*len(stored.entries) > MaxMessageBytes {
 			break
 		}
 		stored.sent++
@@ -55,8 +55,8 @@
 	return buf
 }
 
-// Hear handles a message and returns the number of bytes at its end that could not be decoded.
-func (e *Exchange) Hear(now time.Time, message []byte) (unread int) {
+// HandleMessage handles a message and returns the number of bytes at its end that could not be decoded.
+func (e *Exchange) HandleMessage(now time.Time, message []byte) (unread int) {
 	for len(message) >= headBytes && message[headBytes-2] == loadshare.OtherKind {
 		count := int(message[headBytes-1])
 		length := headBytes + entryBytes*count
--- a/internal/targetspeed/estimate.go
+++ b/internal/targetspeed/estimate.go
@@ -15,8 +15,8 @@
 	// logRatioDeviation is the approximate standard deviation of the logarithms of a target's single
 	// latencies. A deviation below the resulting standard error is treated as noise, so that equal
 	// targets get equal shares.
-	logRatioDeviation = 0.5
-	Slowest, Fastest  = 0.2, 3
+	logRatioDeviation  = 0.5
+	MinSpeed, MaxSpeed = 0.2, 3
 )
 
 // Estimate is a target's estimated speed.
@@ -55,7 +55,7 @@
 	log := -median(observations, total) * total / (total + priorWeight)
 	noise := logRatioDeviation / math.Sqrt(total)
 	log = math.Copysign(max(0, math.Abs(log)-noise), log)
-	return Estimate{Speed: min(max(math.Exp(log), Slowest), Fastest), Observations: total}
+	return Estimate{Speed: min(max(math.Exp(log), MinSpeed), MaxSpeed), Observations: total}
 }
 
 // capWeights limits the highest weight to the second highest, so that no daemon has more than half of the
--- a/internal/targetspeed/exchange.go
+++ b/internal/targetspeed/exchange.go
@@ -81,10 +81,10 @@
 	}
 }
 
-// Note records the latency ratio of a response: its time to first byte over the usual one of its
+// Record records the latency ratio of a response: its time to first byte over the usual one of its
 // route.
-func (e *Exchange) Note(now time.Time, target loadshare.Mark, ratio float64) {
-	e.meter.Note(now, target, ratio)
+func (e *Exchange) Record(now time.Time, target loadshare.Mark, ratio float64) {
+	e.meter.Record(now, target, ratio)
 }
 
 // Tick drops expired reports and observations and renews this daemon's report, every ReportInterval.
--- a/internal/targetspeed/meter.go
+++ b/internal/targetspeed/meter.go
@@ -49,9 +49,9 @@
 
 func NewMeter() *Meter { return &Meter{targets: map[loadshare.Mark]*decayedSum{}} }
 
-// Note records the latency ratio of a response: its time to first byte over the usual one of its
+// Record records the latency ratio of a response: its time to first byte over the usual one of its
 // route.
-func (m *Meter) Note(now time.Time, target loadshare.Mark, ratio float64) {
+func (m *Meter) Record(now time.Time, target loadshare.Mark, ratio float64) {
 	if !(ratio > 0) {
 		return
 	}
--- a/internal/targetspeed/targetspeed_test.go
+++ b/internal/targetspeed/targetspeed_test.go
@@ -23,7 +23,7 @@
 // note records responses of one target.
 func note(exchange *Exchange, now time.Time, target loadshare.Mark, count int, ratio float64) {
 	for range count {
-		exchange.Note(now, target, ratio)
+		exchange.Record(now, target, ratio)
 	}
 }
 
@@ -35,7 +35,7 @@
 		other := NewExchange(daemonAt(2+index), 0)
 		note(other, now, slowTarget, 20, ratio)
 		other.Tick(now)
-		assert.Equal(t, first.Hear(now, other.Message(now)), 0)
+		assert.Equal(t, first.HandleMessage(now, other.Message(now)), 0)
 	}
 	return first
 }
@@ -107,7 +107,7 @@
 		second := NewExchange(daemonAt(9), 0)
 		message := first.Message(testNow)
 		for range 2 {
-			assert.Equal(t, second.Hear(testNow, message), 0)
+			assert.Equal(t, second.HandleMessage(testNow, message), 0)
 		}
 		assert.Equal(t, second.Estimates(testNow)[slowTarget].Observations, 20.0)
 	})
@@ -119,8 +119,8 @@
 		later := testNow.Add(ReportInterval)
 		note(other, later, slowTarget, 200, 1)
 		other.Tick(later)
-		assert.Equal(t, first.Hear(later, other.Message(later)), 0)
-		assert.Equal(t, first.Hear(later, old), 0)
+		assert.Equal(t, first.HandleMessage(later, other.Message(later)), 0)
+		assert.Equal(t, first.HandleMessage(later, old), 0)
 		assert.Assert(t, speedOf(first, later, slowTarget) > 0.9)
 	})
 	t.Run("cover the targets with the most observations first", func(t *testing.T) {
@@ -132,8 +132,8 @@
 			now := testNow.Add(time.Duration(round) * ReportInterval)
 			other.Tick(now)
 			message := other.Message(now)
-			assert.Assert(t, len(message) <= MaximumBytes)
-			first.Hear(now, message)
+			assert.Assert(t, len(message) <= MaxMessageBytes)
+			first.HandleMessage(now, message)
 			assert.Equal(t, len(first.Estimates(now)), known)
 		}
 	})
@@ -145,7 +145,7 @@
 		loads, receiver := loadshare.New(daemonAt(1), 0), loadshare.New(daemonAt(2), 0)
 		loads.Tick(testNow, func() map[uint32]int { return map[uint32]int{0x70000: 3} })
 		speeds := receiveReports(t, testNow, 2).Message(testNow)
-		assert.Equal(t, receiver.Hear(testNow, append(loads.Message(testNow), speeds...)), len(speeds))
+		assert.Equal(t, receiver.HandleMessage(testNow, append(loads.Message(testNow), speeds...)), len(speeds))
 		totals, _ := receiver.Totals(testNow)
 		assert.DeepEqual(t, totals, map[loadshare.Mark]int{7: 3})
 	})
@@ -170,11 +170,11 @@
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, message []byte) {
 		receiver := NewExchange(daemonAt(2), 0)
-		unread := receiver.Hear(testNow, message)
+		unread := receiver.HandleMessage(testNow, message)
 		assert.Assert(t, unread >= 0 && unread <= len(message))
-		assert.Assert(t, len(receiver.Message(testNow)) <= MaximumBytes)
+		assert.Assert(t, len(receiver.Message(testNow)) <= MaxMessageBytes)
 		for _, estimate := range receiver.Estimates(testNow) {
-			assert.Assert(t, estimate.Speed >= Slowest && estimate.Speed <= Fastest)
+			assert.Assert(t, estimate.Speed >= MinSpeed && estimate.Speed <= MaxSpeed)
 		}
 	})
 }
