--- a/backend/packetconn.go
+++ b/backend/packetconn.go
@@ -229,7 +229,7 @@
 	}
 	header := c.replyHeader(caller, path.service)
 	header.Ingress = path.ingress
-	datagram := encapsulation.Append(make([]byte, 0, encapsulation.MaximumSize+len(payload)), &header)
+	datagram := encapsulation.Append(make([]byte, 0, encapsulation.MaxSize+len(payload)), &header)
 	datagram = append(datagram, payload...)
 	if _, err := c.PacketConn.WriteTo(datagram, net.UDPAddrFromAddrPort(path.daemon)); err != nil {
 		// Treated as a lost packet. The retransmission uses another daemon if one is active.
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -98,8 +98,8 @@
 	return limits.flows.AllowN(now, 1)
 }
 
-// NoteFlow counts a new flow, which adds retryShare to the service's retry credit.
-func (l *Limiter) NoteFlow(_ time.Time, number uint32) {
+// RecordFlow counts a new flow, which adds retryShare to the service's retry credit.
+func (l *Limiter) RecordFlow(_ time.Time, number uint32) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	limits := l.service(number)
--- a/internal/admission/refuser.go
+++ b/internal/admission/refuser.go
@@ -23,13 +23,13 @@
 	listener   *quic.Listener
 }
 
-// Send sends a refusal from the service to the caller, by way of the ingress daemon if it is valid.
-type Send func(service, caller, ingress netip.AddrPort, datagram []byte)
+// SendFunc sends a refusal from the service to the caller, by way of the ingress daemon if it is valid.
+type SendFunc func(service, caller, ingress netip.AddrPort, datagram []byte)
 
 var errRefused = eris.New("new flows are refused")
 
 // NewRefuser returns a refuser that sends its answers with send.
-func NewRefuser(send Send) (*Refuser, error) {
+func NewRefuser(send SendFunc) (*Refuser, error) {
 	connection := newVirtualConnection(send)
 	transport := &quic.Transport{Conn: connection}
 	config := &quic.Config{GetConfigForClient: func(*quic.ClientInfo) (*quic.Config, error) { return nil, errRefused }}
@@ -82,7 +82,7 @@
 
 // virtualConnection is a net.PacketConn without a socket.
 type virtualConnection struct {
-	send        Send
+	send        SendFunc
 	incoming    chan virtualDatagram
 	closed      chan struct{}
 	once        sync.Once
@@ -90,7 +90,7 @@
 	returnPaths map[netip.AddrPort]returnPath
 }
 
-func newVirtualConnection(send Send) *virtualConnection {
+func newVirtualConnection(send SendFunc) *virtualConnection {
 	return &virtualConnection{
 		send:        send,
 		incoming:    make(chan virtualDatagram, queueCapacity),
--- a/internal/connectionid/connectionid.go
+++ b/internal/connectionid/connectionid.go
@@ -14,9 +14,9 @@
 const (
 	// Length is the size in bytes of every issued connection ID: the first octet and one AES block.
 	Length = 1 + aes.BlockSize
-	// MaximumKeys is the number of key identifiers. The draft reserves value 7 of the three
+	// MaxKeys is the number of key identifiers. The draft reserves value 7 of the three
 	// rotation bits for unroutable IDs.
-	MaximumKeys = 7
+	MaxKeys = 7
 	// KeySize is the size in bytes of a key (AES-128, as the draft requires).
 	KeySize = 16
 	// NonceSize is the size in bytes of the nonce, which makes IDs unlinkable.
@@ -55,15 +55,15 @@
 // is immutable; rotation replaces it.
 type Keyring struct {
 	active uint8
-	blocks [MaximumKeys]cipher.Block
+	blocks [MaxKeys]cipher.Block
 }
 
 // NewKeyring validates the keys and returns a keyring that encodes with the active one.
 func NewKeyring(active uint8, keys []Key) (*Keyring, error) {
 	keyring := &Keyring{active: active}
 	for _, key := range keys {
-		if key.Identifier >= MaximumKeys {
-			return nil, eris.Errorf("key identifier %d: must be 0 to %d", key.Identifier, MaximumKeys-1)
+		if key.Identifier >= MaxKeys {
+			return nil, eris.Errorf("key identifier %d: must be 0 to %d", key.Identifier, MaxKeys-1)
 		}
 		if len(key.Secret) != KeySize {
 			return nil, eris.Errorf("key %d: is %d bytes long, must be %d", key.Identifier, len(key.Secret), KeySize)
@@ -77,7 +77,7 @@
 		}
 		keyring.blocks[key.Identifier] = block
 	}
-	if active >= MaximumKeys || keyring.blocks[active] == nil {
+	if active >= MaxKeys || keyring.blocks[active] == nil {
 		return nil, eris.Errorf("active key %d: is not among the keys", active)
 	}
 	return keyring, nil
@@ -104,7 +104,7 @@
 		return Route{}, false
 	}
 	identifier := id[0] >> configShift
-	if identifier >= MaximumKeys {
+	if identifier >= MaxKeys {
 		return Route{}, false
 	}
 	cipherBlock := k.blocks[identifier]
--- a/internal/encapsulation/header.go
+++ b/internal/encapsulation/header.go
@@ -80,14 +80,14 @@
 }
 
 const (
-	// MaximumSize is the maximum size in bytes of a header that Append writes.
-	MaximumSize = fixedSize + addressesSizeIPv6 +
+	// MaxSize is the maximum size in bytes of a header that Append writes.
+	MaxSize = fixedSize + addressesSizeIPv6 +
 		tlvHeaderSize + routeSize +
 		tlvHeaderSize + ingressSize +
 		tlvHeaderSize + reportSize +
-		tlvHeaderSize + MaximumNames
-	// MaximumNames is the maximum size of Names: two names of 63 bytes and a slash.
-	MaximumNames = 127
+		tlvHeaderSize + MaxNamesSize
+	// MaxNamesSize is the maximum size of Names: two names of 63 bytes and a slash.
+	MaxNamesSize = 127
 
 	fixedSize         = 16
 	addressesSizeIPv4 = 12
@@ -112,10 +112,10 @@
 
 // Errors of Parse. They are preallocated, so that a flood of invalid datagrams does not allocate.
 var (
-	ErrTruncated = eris.New("truncated header")
-	ErrSignature = eris.New("not a PROXY protocol version 2 header")
-	ErrTransport = eris.New("transport is not datagram over IPv4 or IPv6")
-	ErrValue     = eris.New("invalid length or content of a TLV")
+	ErrTruncated  = eris.New("truncated header")
+	ErrSignature  = eris.New("not a PROXY protocol version 2 header")
+	ErrTransport  = eris.New("transport is not datagram over IPv4 or IPv6")
+	ErrInvalidTLV = eris.New("invalid length or content of a TLV")
 )
 
 // Append appends the header to destination. The addresses must be valid and, after unmapping, of
@@ -240,7 +240,7 @@
 		values = values[tlvHeaderSize+size:]
 	}
 	if (header.Kind == KindFromTarget) != (header.Report.State != 0) {
-		return ErrValue
+		return ErrInvalidTLV
 	}
 	return nil
 }
@@ -249,7 +249,7 @@
 	switch valueType {
 	case tlvRoute:
 		if len(value) != routeSize || value[0] < byte(KindToTarget) || value[0] > byte(KindReplicatePin) {
-			return ErrValue
+			return ErrInvalidTLV
 		}
 		header.Kind = Kind(value[0])
 		header.ServiceNumber = binary.BigEndian.Uint32(value[1:])
@@ -258,13 +258,13 @@
 		header.Draining = value[17]&flagDraining != 0
 	case tlvIngress:
 		if len(value) != ingressSize {
-			return ErrValue
+			return ErrInvalidTLV
 		}
 		address := netip.AddrFrom16([16]byte(value[:16])).Unmap()
 		header.Ingress = netip.AddrPortFrom(address, binary.BigEndian.Uint16(value[16:]))
 	case tlvReport:
 		if len(value) != reportSize || value[0] < byte(TargetAccepting) || value[0] > byte(TargetDraining) {
-			return ErrValue
+			return ErrInvalidTLV
 		}
 		header.Report.State = TargetState(value[0])
 		header.Report.BusySlots = binary.BigEndian.Uint16(value[1:])
@@ -272,8 +272,8 @@
 		header.Report.Connections = binary.BigEndian.Uint32(value[5:])
 		header.Report.MaximumConnections = binary.BigEndian.Uint32(value[9:])
 	case tlvNames:
-		if len(value) == 0 || len(value) > MaximumNames {
-			return ErrValue
+		if len(value) == 0 || len(value) > MaxNamesSize {
+			return ErrInvalidTLV
 		}
 		header.Names = value
 	}
--- a/internal/encapsulation/header_test.go
+++ b/internal/encapsulation/header_test.go
@@ -113,7 +113,7 @@
 
 func BenchmarkParseAndAppend(b *testing.B) {
 	datagram := Append(nil, newTestHeader(KindToTarget))
-	buffer := make([]byte, 0, MaximumSize)
+	buffer := make([]byte, 0, MaxSize)
 	var header Header
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/followed/epoch.go
+++ b/internal/followed/epoch.go
@@ -13,11 +13,11 @@
 		return a
 	}
 	stamped := *a
-	stamped.Revision = storeview.RevisionIn(a.Epoch, a.Revision)
+	stamped.Revision = storeview.NewRevision(a.Epoch, a.Revision)
 	stamped.Entries = make([]storeview.Entry, len(a.Entries))
 	for index := range a.Entries {
 		stamped.Entries[index] = a.Entries[index]
-		stamped.Entries[index].Revision = storeview.RevisionIn(a.Epoch, a.Entries[index].Revision)
+		stamped.Entries[index].Revision = storeview.NewRevision(a.Epoch, a.Entries[index].Revision)
 	}
 	return &stamped
 }
@@ -69,6 +69,6 @@
 
 func (f *Follower) emitRestored(answer *Answer, output *Output) {
 	detail := fmt.Sprintf("epoch %d after %d, revision %d after %d", answer.Epoch, f.epoch(),
-		storeview.NumberOf(f.listRevision), storeview.NumberOf(f.view.Revision()))
+		storeview.ChangeNumberOf(f.listRevision), storeview.ChangeNumberOf(f.view.Revision()))
 	output.Events = append(output.Events, Event{EventRestored, detail})
 }
--- a/internal/followed/epoch_test.go
+++ b/internal/followed/epoch_test.go
@@ -17,11 +17,11 @@
 }
 
 func TestRevisionsOrderChangesOfAllEpochs(t *testing.T) {
-	assert.Assert(t, storeview.RevisionIn(1, 2) > storeview.RevisionIn(0, 900))
-	assert.Assert(t, storeview.RevisionIn(1, 3) > storeview.RevisionIn(1, 2))
-	assert.Equal(t, storeview.RevisionIn(0, 7), uint64(7), "a store without epochs has plain revisions")
-	assert.Equal(t, storeview.EpochOf(storeview.RevisionIn(storeview.MostEpochs, storeview.MostChanges)), uint64(storeview.MostEpochs))
-	assert.Equal(t, storeview.NumberOf(storeview.RevisionIn(storeview.MostEpochs, storeview.MostChanges)), uint64(storeview.MostChanges))
+	assert.Assert(t, storeview.NewRevision(1, 2) > storeview.NewRevision(0, 900))
+	assert.Assert(t, storeview.NewRevision(1, 3) > storeview.NewRevision(1, 2))
+	assert.Equal(t, storeview.NewRevision(0, 7), uint64(7), "a store without epochs has plain revisions")
+	assert.Equal(t, storeview.EpochOf(storeview.NewRevision(storeview.MaxEpoch, storeview.MaxChangeNumber)), uint64(storeview.MaxEpoch))
+	assert.Equal(t, storeview.ChangeNumberOf(storeview.NewRevision(storeview.MaxEpoch, storeview.MaxChangeNumber)), uint64(storeview.MaxChangeNumber))
 }
 
 // After the restore the store's revisions had passed the daemon's, so that its watch succeeded
@@ -37,9 +37,9 @@
 	output = follower.Step(testStart, inEpoch(1, answered(output.Call, 11,
 		configurationEntry(8, 2), targetEntry("a", 9), targetEntry("b", 10), targetEntry("c", 11))))
 	assert.Equal(t, follower.View().Configuration().Version, uint64(2))
-	assert.Equal(t, follower.View().Present(), 3)
+	assert.Equal(t, follower.View().PresentTargetCount(), 3)
 	assert.Equal(t, output.Events[0], Event{EventRestored, "epoch 1 after 0, revision 11 after 9"})
-	assert.Equal(t, storeview.NumberOf(output.Call.AfterRevision), uint64(11))
+	assert.Equal(t, storeview.ChangeNumberOf(output.Call.AfterRevision), uint64(11))
 	assert.Equal(t, storeview.EpochOf(output.Call.AfterRevision), uint64(1))
 }
 
@@ -49,11 +49,11 @@
 func TestWatchFromEarlierEpochIsNoContinuation(t *testing.T) {
 	follower := newTestFollower()
 	watch := startWatching(t, follower)
-	follower.MergeDelta(testStart, &Delta{Until: storeview.RevisionIn(1, 4), Entries: []storeview.Entry{configurationEntry(storeview.RevisionIn(1, 3), 2)}})
+	follower.MergeDelta(testStart, &Delta{Until: storeview.NewRevision(1, 4), Entries: []storeview.Entry{configurationEntry(storeview.NewRevision(1, 3), 2)}})
 	output := follower.Step(testStart, inEpoch(1, answered(watch, 11, targetEntry("c", 11))))
-	assert.Equal(t, follower.View().Revision(), storeview.RevisionIn(1, 4))
+	assert.Equal(t, follower.View().Revision(), storeview.NewRevision(1, 4))
 	assert.Equal(t, output.Call.Kind, CallWatch)
-	assert.Equal(t, output.Call.AfterRevision, storeview.RevisionIn(1, 4))
+	assert.Equal(t, output.Call.AfterRevision, storeview.NewRevision(1, 4))
 }
 
 func TestStaleListOfLaterEpochIsRepeated(t *testing.T) {
@@ -79,8 +79,8 @@
 	assert.Equal(t, confirm.AfterRevision, uint64(0))
 	watch := follower.Step(testStart, inEpoch(1, answered(confirm, 2, configurationEntry(2, 1)))).Call
 	assert.Equal(t, follower.View().Configuration().Version, uint64(1))
-	assert.Assert(t, watch == nil || watch.AfterRevision == storeview.RevisionIn(1, 2))
-	assert.Equal(t, follower.View().Revision(), storeview.RevisionIn(1, 2))
+	assert.Assert(t, watch == nil || watch.AfterRevision == storeview.NewRevision(1, 2))
+	assert.Equal(t, follower.View().Revision(), storeview.NewRevision(1, 2))
 }
 
 func TestLostHistoryInLaterEpochTriggersConsistentList(t *testing.T) {
@@ -94,10 +94,10 @@
 func TestAnswerFromEarlierEpochIsIgnored(t *testing.T) {
 	follower := newTestFollower()
 	watch := startWatching(t, follower)
-	follower.MergeDelta(testStart, &Delta{Until: storeview.RevisionIn(1, 4), Entries: []storeview.Entry{configurationEntry(storeview.RevisionIn(1, 3), 2)}})
+	follower.MergeDelta(testStart, &Delta{Until: storeview.NewRevision(1, 4), Entries: []storeview.Entry{configurationEntry(storeview.NewRevision(1, 3), 2)}})
 	output := follower.Step(testStart, answered(watch, 12, configurationEntry(12, 7), targetEntry("x", 11)))
 	assert.Equal(t, follower.View().Configuration().Version, uint64(2), "that version was lost in the restore")
-	assert.Equal(t, follower.View().Present(), 0)
+	assert.Equal(t, follower.View().PresentTargetCount(), 0)
 	assert.Equal(t, output.Events[0], Event{EventStoreLost, "failed: answer from epoch 0, but epoch 1 is known"})
 }
 
@@ -112,7 +112,7 @@
 	assert.Equal(t, again.AfterKey, "", "the list restarts")
 	confirm := follower.Step(testStart, inEpoch(1, answered(again, 9, configurationEntry(5, 1), targetEntry("b", 8)))).Call
 	assert.Equal(t, confirm.Kind, CallWatch)
-	assert.Equal(t, follower.View().Present(), 1, "target a was lost in the restore")
+	assert.Equal(t, follower.View().PresentTargetCount(), 1, "target a was lost in the restore")
 }
 
 // A gossiped change of a restored store does not include the changes before it, so they must be
@@ -120,7 +120,7 @@
 func TestDeltaOfLaterEpochIsIncomplete(t *testing.T) {
 	follower := newTestFollower()
 	startWatching(t, follower)
-	since, until := storeview.RevisionIn(1, 6), storeview.RevisionIn(1, 7)
+	since, until := storeview.NewRevision(1, 6), storeview.NewRevision(1, 7)
 	_, isComplete := follower.MergeDelta(testStart, &Delta{Since: since, Until: until, Entries: []storeview.Entry{configurationEntry(until, 3)}})
 	assert.Assert(t, !isComplete)
 	assert.Equal(t, follower.View().Revision(), uint64(9))
@@ -129,10 +129,10 @@
 
 func TestPeerOfEarlierEpochIsSentSnapshot(t *testing.T) {
 	fleet := newTestFleet(DefaultFleetConfig())
-	fleet.follower.MergeDelta(testStart, &Delta{Until: storeview.RevisionIn(1, 4), Entries: []storeview.Entry{configurationEntry(storeview.RevisionIn(1, 3), 2)}})
+	fleet.follower.MergeDelta(testStart, &Delta{Until: storeview.NewRevision(1, 4), Entries: []storeview.Entry{configurationEntry(storeview.NewRevision(1, 3), 2)}})
 	delta := fleet.Serve(testStart.Add(time.Millisecond), &Pull{Since: 900})
 	assert.Equal(t, delta.Since, uint64(0))
-	assert.Equal(t, delta.Until, storeview.RevisionIn(1, 4))
+	assert.Equal(t, delta.Until, storeview.NewRevision(1, 4))
 	assert.Equal(t, len(delta.Entries), 1)
 }
 
@@ -147,11 +147,11 @@
 		return configuration
 	}
 	reader, peer, other := storeview.New(time.Minute), storeview.New(time.Minute), storeview.New(time.Minute)
-	reader.MergeAll(testStart, []storeview.Entry{{Key: "config", Revision: storeview.RevisionIn(1, 5), Configuration: routes(3, 1, 2)}}, storeview.RevisionIn(1, 5))
-	reader.Merge(testStart, []storeview.Entry{{Key: "config", Revision: storeview.RevisionIn(1, 6), Configuration: routes(4, 1, 2, 3)}})
-	peer.MergeAll(testStart, []storeview.Entry{{Key: "config", Revision: 7, Configuration: routes(3, 1, 2)}}, 9)
-	other.MergeAll(testStart, []storeview.Entry{{Key: "config", Revision: 6, Configuration: routes(2, 1)}}, 8)
-	steps, found := reader.DifferencesSince(testStart, storeview.RevisionIn(1, 5))
+	reader.MergeSnapshot(testStart, []storeview.Entry{{Key: "config", Revision: storeview.NewRevision(1, 5), Configuration: routes(3, 1, 2)}}, storeview.NewRevision(1, 5))
+	reader.Merge(testStart, []storeview.Entry{{Key: "config", Revision: storeview.NewRevision(1, 6), Configuration: routes(4, 1, 2, 3)}})
+	peer.MergeSnapshot(testStart, []storeview.Entry{{Key: "config", Revision: 7, Configuration: routes(3, 1, 2)}}, 9)
+	other.MergeSnapshot(testStart, []storeview.Entry{{Key: "config", Revision: 6, Configuration: routes(2, 1)}}, 8)
+	steps, found := reader.DifferencesSince(testStart, storeview.NewRevision(1, 5))
 	assert.Assert(t, found)
 	change := peer.Merge(testStart, steps)
 	assert.Assert(t, change.Configuration && !change.LacksBase)
@@ -165,12 +165,12 @@
 // grace period it must keep the earlier state until the store's content is confirmed, since the
 // target may have written again that it is draining.
 func TestRestoredStateIsNotFinalBeforeConfirmation(t *testing.T) {
-	afterRestore := testStart.Add(DefaultConfig().View.RestoredFor)
+	afterRestore := testStart.Add(DefaultConfig().View.RestoreGrace)
 	cutOff := func(t *testing.T) *Fleet {
 		fleet := newTestFleet(DefaultFleetConfig())
-		leaving, copied := stateEntry("a", 12, true), stateEntry("a", storeview.RevisionIn(1, 2), false)
+		leaving, copied := stateEntry("a", 12, true), stateEntry("a", storeview.NewRevision(1, 2), false)
 		fleet.follower.MergeDelta(testStart, &Delta{Until: 15, Entries: []storeview.Entry{configurationEntry(1, 1), leaving}})
-		fleet.follower.MergeDelta(testStart, &Delta{Until: storeview.RevisionIn(1, 10), Entries: []storeview.Entry{configurationEntry(storeview.RevisionIn(1, 1), 1), copied}})
+		fleet.follower.MergeDelta(testStart, &Delta{Until: storeview.NewRevision(1, 10), Entries: []storeview.Entry{configurationEntry(storeview.NewRevision(1, 1), 1), copied}})
 		fleet.Tick(afterRestore)
 		assert.Equal(t, fleet.View().Target("a").State(), storeview.StateDraining)
 		return fleet
@@ -181,14 +181,14 @@
 	}
 	t.Run("the writer wrote again", func(t *testing.T) {
 		fleet := cutOff(t)
-		again := Delta{Since: storeview.RevisionIn(1, 10), Until: storeview.RevisionIn(1, 11), Entries: []storeview.Entry{stateEntry("a", storeview.RevisionIn(1, 11), true)}}
+		again := Delta{Since: storeview.NewRevision(1, 10), Until: storeview.NewRevision(1, 11), Entries: []storeview.Entry{stateEntry("a", storeview.NewRevision(1, 11), true)}}
 		fleet.follower.MergeDelta(afterRestore, &again)
-		confirm(fleet, storeview.RevisionIn(1, 11))
+		confirm(fleet, storeview.NewRevision(1, 11))
 		assert.Equal(t, fleet.View().Target("a").State(), storeview.StateDraining)
 	})
 	t.Run("the writer did not", func(t *testing.T) {
 		fleet := cutOff(t)
-		confirm(fleet, storeview.RevisionIn(1, 10))
+		confirm(fleet, storeview.NewRevision(1, 10))
 		assert.Equal(t, fleet.View().Target("a").State(), storeview.StateOpen)
 	})
 }
--- a/internal/followed/list.go
+++ b/internal/followed/list.go
@@ -62,7 +62,7 @@
 	if f.isFromLaterEpoch(answer) {
 		f.emitRestored(answer, output)
 	}
-	change := f.view.MergeAll(now, f.pages, f.listRevision)
+	change := f.view.MergeSnapshot(now, f.pages, f.listRevision)
 	f.emitChange(change, output)
 	output.Events = append(output.Events, Event{EventListed, f.listDetail(call, answer)})
 	f.resetPages()
@@ -75,7 +75,7 @@
 	if call.AllowStale {
 		freshness = "may be stale"
 	}
-	return fmt.Sprintf("revision %d, epoch %d, %s; ", storeview.NumberOf(f.listRevision), answer.Epoch, freshness) + listSummary(len(f.pages), answer)
+	return fmt.Sprintf("revision %d, epoch %d, %s; ", storeview.ChangeNumberOf(f.listRevision), answer.Epoch, freshness) + listSummary(len(f.pages), answer)
 }
 
 func listSummary(entries int, answer *Answer) string {
--- a/internal/followed/outage.go
+++ b/internal/followed/outage.go
@@ -38,12 +38,12 @@
 // confirmation after an outage.
 const outageMargin = time.Second
 
-// Lapse returns the expiry window, in which targets may be missing because their entries
+// ExpiryWindow returns the expiry window, in which targets may be missing because their entries
 // expired during an outage. Before the store's first answer, any target may be missing.
-func (f *Fleet) Lapse(now time.Time) storeview.Lapse {
+func (f *Fleet) ExpiryWindow(now time.Time) storeview.ExpiryWindow {
 	recovered := f.outages.recoveredAt
 	if recovered.IsZero() {
 		recovered = now
 	}
-	return storeview.Lapse{Since: recovered.Add(-outageMargin), Until: recovered.Add(f.config.RenewalTimeout)}
+	return storeview.ExpiryWindow{Since: recovered.Add(-outageMargin), Until: recovered.Add(f.config.RenewalTimeout)}
 }
--- a/internal/followed/serve.go
+++ b/internal/followed/serve.go
@@ -26,7 +26,7 @@
 	}
 	since := pull.Since
 	view := f.View()
-	if since < view.Forgotten() {
+	if since < view.CompactedRevision() {
 		since = 0
 	}
 	if since == 0 && pull.Redirects < MaxRedirects && f.budget.isExhausted(now) {
--- a/internal/followed/snapshot.go
+++ b/internal/followed/snapshot.go
@@ -23,7 +23,7 @@
 // get returns a snapshot of the view and its revision. Callers must not modify the entries.
 func (c *snapshotCache) get(now time.Time, view *storeview.View) (entries []storeview.Entry, revision uint64) {
 	isFresh := c.entries != nil && now.Sub(c.builtAt) < snapshotLifetime
-	if !isFresh || c.configurationRevision != view.ConfigurationRevision() || c.revision < view.Forgotten() {
+	if !isFresh || c.configurationRevision != view.ConfigurationRevision() || c.revision < view.CompactedRevision() {
 		*c = snapshotCache{
 			entries: view.EntriesSince(now, 0, storeview.Held{}), revision: view.Revision(), builtAt: now,
 			configurationRevision: view.ConfigurationRevision(),
--- a/internal/followed/splitlist_test.go
+++ b/internal/followed/splitlist_test.go
@@ -25,7 +25,7 @@
 	assert.Equal(t, first.MaxBytes, DefaultConfig().MaxEarlyTargetsBytes)
 	learned := follower.Step(testStart, answered(first, 30, targetEntry("a", 3), targetEntry("b", 7)))
 	assert.Assert(t, learned.Change.Targets && !learned.Change.Configuration)
-	assert.Equal(t, follower.View().Present(), 2)
+	assert.Equal(t, follower.View().PresentTargetCount(), 2)
 	assert.Equal(t, follower.View().Revision(), uint64(0), "the rest of the content is still unknown")
 	rest := learned.Call
 	assert.Assert(t, rest.WithoutTargets && !rest.TargetsOnly)
@@ -109,7 +109,7 @@
 	assert.Assert(t, rest.WithoutTargets)
 	confirm := follower.Step(testStart, answered(rest, 30, configurationEntry(9, 1))).Call
 	assert.Equal(t, confirm.AfterRevision, uint64(3))
-	assert.Equal(t, follower.View().Present(), 2)
+	assert.Equal(t, follower.View().PresentTargetCount(), 2)
 }
 
 func TestTargetsAreListedWhenFullContentIsTooLong(t *testing.T) {
--- a/internal/lab/environment/fabric.go
+++ b/internal/lab/environment/fabric.go
@@ -225,7 +225,7 @@
 		}
 		caller := netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 		header := encapsulation.Header{Kind: encapsulation.KindFabric, Caller: caller, Service: service}
-		datagram := append(encapsulation.Append(make([]byte, 0, encapsulation.MaximumSize+length), &header), buffer[:length]...)
+		datagram := append(encapsulation.Append(make([]byte, 0, encapsulation.MaxSize+length), &header), buffer[:length]...)
 		f.toDaemons.schedule(func() { f.spray(datagram) })
 	}
 }
--- a/internal/lab/storelab/site.go
+++ b/internal/lab/storelab/site.go
@@ -254,7 +254,7 @@
 		}
 	}
 	for _, service := range []string{serviceFeeds, serviceForms, serviceOther} {
-		configuration.Services = append(configuration.Services, storeview.Service{Name: service, MaximumFlows: 2000})
+		configuration.Services = append(configuration.Services, storeview.Service{Name: service, MaxFlows: 2000})
 	}
 	s.store.Put(storeview.Entry{Key: platform.ConfigurationKey, Configuration: configuration})
 	for address, service := range s.routes {
--- a/internal/node/data.go
+++ b/internal/node/data.go
@@ -149,7 +149,7 @@
 		case <-n.Context().Done():
 			return
 		case now := <-ticker.C:
-			for _, handover := range n.peers.TakeSilent(now) {
+			for _, handover := range n.peers.TakeUnacknowledged(now) {
 				n.plane.counters.resent.Add(1)
 				inbound := &forwarding.Inbound{Buffer: append(make([]byte, forwarding.Headroom), handover.Payload...)}
 				wctx.header = encapsulation.Header{Caller: handover.Caller, Service: handover.Service, Ingress: handover.Ingress}
--- a/internal/node/dataplane_backend.go
+++ b/internal/node/dataplane_backend.go
@@ -38,7 +38,7 @@
 		h.steer(worker, inbound, offset, true)
 	case encapsulation.KindOwnerAcknowledgement:
 		if peer := h.peers.Find(inbound.Source); peer != nil {
-			peer.NoteAcknowledged()
+			peer.RecordAcknowledgement()
 		}
 	case encapsulation.KindReplicatePin:
 		if !h.snapshot.Load().IsPeer(inbound.Source) {
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -83,7 +83,7 @@
 	config Config
 	// fairShare is this daemon's fair share of the targets' capacity, 0 if unknown.
 	fairShare float64
-	// limit is valid while isLimited. Bound returns at least fairShare; the clamping is not stored,
+	// limit is valid while isLimited. Limit returns at least fairShare; the clamping is not stored,
 	// so that a momentarily wrong share has no lasting effect.
 	limit     float64
 	isLimited bool
@@ -161,8 +161,8 @@
 	return float64(c.waiting[rank]) + c.openings(now, rank)
 }
 
-// Bound returns the concurrency limit, or false if there is none.
-func (c *Controller) Bound(now time.Time) (float64, bool) {
+// Limit returns the concurrency limit, or false if there is none.
+func (c *Controller) Limit(now time.Time) (float64, bool) {
 	if c == nil || !c.isLimited || c.fairShare == 0 || !c.config.Enabled {
 		return 0, false
 	}
@@ -184,7 +184,7 @@
 // Admit reports whether a request of a rank may proceed now. Preferred requests compete only with
 // each other; ordinary ones use what they leave.
 func (c *Controller) Admit(now time.Time, rank Rank) bool {
-	limit, isLimited := c.Bound(now)
+	limit, isLimited := c.Limit(now)
 	if !isLimited {
 		return true
 	}
@@ -218,9 +218,9 @@
 // gradually.
 const roundingSlack = 0.5
 
-// NoteAnswer handles the length, in bytes, of the beginning of a route's response and reports whether
+// RecordResponse handles the length, in bytes, of the beginning of a route's response and reports whether
 // the target rejected the request.
-func (c *Controller) NoteAnswer(now time.Time, route uint32, length uint32) (isRejection bool) {
+func (c *Controller) RecordResponse(now time.Time, route uint32, length uint32) (isRejection bool) {
 	if c == nil || !c.config.Enabled {
 		return false
 	}
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -22,7 +22,7 @@
 	controller := New(DefaultConfig())
 	controller.SetShare(20, 10)
 	for range initialResponses + 2*currentWindow {
-		assert.Assert(t, !controller.NoteAnswer(start, route, answerSize))
+		assert.Assert(t, !controller.RecordResponse(start, route, answerSize))
 	}
 	return controller
 }
@@ -37,10 +37,10 @@
 	controller := newLearnedController(t)
 	for index := range count {
 		if index < responsesBelowThreshold {
-			assert.Assert(t, !controller.NoteAnswer(start, route, rejectSize), "a few short responses are not rejections")
+			assert.Assert(t, !controller.RecordResponse(start, route, rejectSize), "a few short responses are not rejections")
 			continue
 		}
-		assert.Assert(t, controller.NoteAnswer(start, route, rejectSize))
+		assert.Assert(t, controller.RecordResponse(start, route, rejectSize))
 	}
 	return controller
 }
@@ -98,29 +98,29 @@
 
 func TestLimitGrowsOnlyWhileEffective(t *testing.T) {
 	controller := newOverloadedController(t, 100)
-	before, _ := controller.Bound(start)
+	before, _ := controller.Limit(start)
 	countAdmitted(controller, start, Ordinary)
 	for range 100 {
-		controller.NoteAnswer(start, route, answerSize)
+		controller.RecordResponse(start, route, answerSize)
 	}
-	after, _ := controller.Bound(start)
+	after, _ := controller.Limit(start)
 	assert.Assert(t, after > 2*before, "%v after %v", after, before)
 	t.Run("and not while it has no effect", func(t *testing.T) {
 		controller := newOverloadedController(t, 100)
-		before, _ := controller.Bound(start)
+		before, _ := controller.Limit(start)
 		for range 100 {
-			controller.NoteAnswer(start, route, answerSize)
+			controller.RecordResponse(start, route, answerSize)
 		}
-		after, _ := controller.Bound(start)
+		after, _ := controller.Limit(start)
 		assert.Equal(t, after, before)
 	})
 }
 
 func TestLimitExpiresWithoutRejections(t *testing.T) {
 	controller := newOverloadedController(t, 100)
-	_, isLimited := controller.Bound(start.Add(limitExpiry - time.Millisecond))
+	_, isLimited := controller.Limit(start.Add(limitExpiry - time.Millisecond))
 	assert.Assert(t, isLimited)
-	_, isLimited = controller.Bound(start.Add(limitExpiry))
+	_, isLimited = controller.Limit(start.Add(limitExpiry))
 	assert.Assert(t, !isLimited)
 }
 
@@ -150,9 +150,9 @@
 func TestRejectionsDoNotBecomeBaseline(t *testing.T) {
 	controller := newOverloadedController(t, responsesBelowThreshold)
 	for range 1000 {
-		assert.Assert(t, controller.NoteAnswer(start, route, rejectSize))
+		assert.Assert(t, controller.RecordResponse(start, route, rejectSize))
 	}
-	assert.Assert(t, !controller.NoteAnswer(start, route, answerSize))
+	assert.Assert(t, !controller.RecordResponse(start, route, answerSize))
 }
 
 func TestNewFlowCountsUntilEstablished(t *testing.T) {
@@ -167,28 +167,28 @@
 }
 
 // flowlessPacket returns a packet queued at start for a service.
-func flowlessPacket(controller *Controller, rank Rank, isOpening bool, name string) Waiting[string] {
-	return Waiting[string]{Load: controller, Rank: rank, IsOpening: isOpening, At: start, Until: start.Add(flowWaitLimit), Packet: name}
+func flowlessPacket(controller *Controller, rank Rank, isOpening bool, name string) QueuedPacket[string] {
+	return QueuedPacket[string]{Load: controller, Rank: rank, IsOpening: isOpening, ArrivedAt: start, Deadline: start.Add(flowWaitLimit), Packet: name}
 }
 
 func TestQueueOrder(t *testing.T) {
 	controller := newOverloadedController(t, 100)
 	countAdmitted(controller, start, Ordinary)
 	queue := NewQueue[string](10)
-	for _, waiting := range []Waiting[string]{
+	for _, waiting := range []QueuedPacket[string]{
 		flowlessPacket(controller, Ordinary, true, "one"), flowlessPacket(controller, Ordinary, false, "two"), flowlessPacket(controller, Preferred, true, "three"),
 	} {
-		assert.Assert(t, queue.Put(start, waiting))
+		assert.Assert(t, queue.Push(start, waiting))
 	}
-	first, _ := queue.Take(start)
+	first, _ := queue.Pop(start)
 	assert.Equal(t, first.Packet, "three")
-	_, found := queue.Take(start)
+	_, found := queue.Pop(start)
 	assert.Assert(t, !found, "the limit is reached for ordinary requests")
 	controller.End(Ordinary)
-	second, _ := queue.Take(start)
+	second, _ := queue.Pop(start)
 	assert.Equal(t, second.Packet, "one")
 	controller.Begin(Ordinary)
-	third, found := queue.Take(start.Add(flowWaitLimit))
+	third, found := queue.Pop(start.Add(flowWaitLimit))
 	assert.Assert(t, found)
 	assert.Equal(t, third.Packet, "two", "it has reached its deadline")
 }
@@ -197,31 +197,31 @@
 	controller := newOverloadedController(t, 100)
 	queue := NewQueue[string](10)
 	for range 4 {
-		assert.Assert(t, queue.Put(start, flowlessPacket(controller, Ordinary, true, "flow")))
+		assert.Assert(t, queue.Push(start, flowlessPacket(controller, Ordinary, true, "flow")))
 	}
-	assert.Assert(t, !queue.Put(start, flowlessPacket(controller, Ordinary, true, "flow")))
-	assert.Assert(t, queue.Put(start, flowlessPacket(controller, Ordinary, false, "request")))
+	assert.Assert(t, !queue.Push(start, flowlessPacket(controller, Ordinary, true, "flow")))
+	assert.Assert(t, queue.Push(start, flowlessPacket(controller, Ordinary, false, "request")))
 	assert.Equal(t, queue.Len(), 5)
 }
 
 // A momentarily wrong number of daemons must have no lasting effect on the limit.
 func TestMomentaryShareHasNoLastingEffect(t *testing.T) {
 	controller := newOverloadedController(t, 100)
-	before, _ := controller.Bound(start)
+	before, _ := controller.Limit(start)
 	controller.SetShare(20, 1)
-	during, _ := controller.Bound(start)
+	during, _ := controller.Limit(start)
 	assert.Assert(t, during > before, "the limit is at least the fair share")
-	controller.NoteAnswer(start, route, rejectSize)
+	controller.RecordResponse(start, route, rejectSize)
 	controller.SetShare(20, 10)
-	after, _ := controller.Bound(start)
+	after, _ := controller.Limit(start)
 	assert.Equal(t, after, before)
 }
 
 func TestRejectionDoesNotReviveExpiredLimit(t *testing.T) {
 	controller := newOverloadedController(t, 100)
 	later := start.Add(time.Hour)
-	controller.NoteAnswer(later, route, rejectSize)
-	_, isLimited := controller.Bound(later)
+	controller.RecordResponse(later, route, rejectSize)
+	_, isLimited := controller.Limit(later)
 	assert.Assert(t, !isLimited)
 }
 
@@ -229,14 +229,14 @@
 	controller := New(Config{})
 	controller.SetShare(20, 10)
 	for range 1000 {
-		assert.Assert(t, !controller.NoteAnswer(start, route, answerSize))
+		assert.Assert(t, !controller.RecordResponse(start, route, answerSize))
 	}
 	for range 100 {
-		assert.Assert(t, !controller.NoteAnswer(start, route, rejectSize))
+		assert.Assert(t, !controller.RecordResponse(start, route, rejectSize))
 	}
 	assert.Equal(t, len(controller.responseLengths), 0)
 	var none *Controller
-	assert.Assert(t, !none.NoteAnswer(start, route, rejectSize))
+	assert.Assert(t, !none.RecordResponse(start, route, rejectSize))
 }
 
 // The limit may expire between the decision to queue a flow and its queuing.
@@ -246,5 +246,5 @@
 	assert.Assert(t, !controller.Admit(start, Ordinary))
 	controller.SetShare(0, 0)
 	queue := NewQueue[string](10)
-	assert.Assert(t, queue.Put(start, flowlessPacket(controller, Ordinary, true, "flow")))
+	assert.Assert(t, queue.Push(start, flowlessPacket(controller, Ordinary, true, "flow")))
 }
--- a/internal/overload/queue.go
+++ b/internal/overload/queue.go
@@ -13,8 +13,8 @@
 	IsOpening           bool
 }
 
-// Waiting is a queued packet.
-type Waiting[T any] struct {
+// QueuedPacket is a queued packet.
+type QueuedPacket[T any] struct {
 	Load *Controller
 	Rank Rank
 	// Flow is the packet's flow; later packets of it are queued behind this one.
@@ -22,8 +22,8 @@
 	// IsOpening reports whether the packet opens a flow, so that it may be rejected.
 	IsOpening bool
 	// Arrival time and deadline for waiting.
-	At, Until time.Time
-	Packet    T
+	ArrivedAt, Deadline time.Time
+	Packet              T
 	// Behind holds later packets of the flow, in order. They leave the queue with Packet.
 	Behind []T
 }
@@ -36,7 +36,7 @@
 	// count is the number of queued packets.
 	count int
 	fifos []*fifo[T]
-	flows map[Flow]*Waiting[T]
+	flows map[Flow]*QueuedPacket[T]
 }
 
 // fifo is a FIFO of packets with the same controller, rank and maximum wait, so that its head is
@@ -46,36 +46,36 @@
 	rank       Rank
 	isOpening  bool
 	maxWait    time.Duration
-	waiting    []*Waiting[T]
+	waiting    []*QueuedPacket[T]
 }
 
 // NewQueue returns a queue for at most capacity packets.
 func NewQueue[T any](capacity int) *Queue[T] {
-	return &Queue[T]{capacity: capacity, flows: map[Flow]*Waiting[T]{}}
+	return &Queue[T]{capacity: capacity, flows: map[Flow]*QueuedPacket[T]{}}
 }
 
 // Len returns the number of queued packets.
 func (q *Queue[T]) Len() int { return q.count }
 
-// Of returns the first queued packet of a flow, nil if there is none. It is valid until the queue
+// PeekFlow returns the first queued packet of a flow, nil if there is none. It is valid until the queue
 // changes.
-func (q *Queue[T]) Of(flow Flow) *Waiting[T] {
+func (q *Queue[T]) PeekFlow(flow Flow) *QueuedPacket[T] {
 	if q.count == 0 {
 		return nil
 	}
 	return q.flows[flow]
 }
 
-// HasPlace reports whether a packet may be queued: the queue is not full and, if the packet opens a
+// HasRoom reports whether a packet may be queued: the queue is not full and, if the packet opens a
 // flow, another flow of its rank is expected to be admitted in time.
-func (q *Queue[T]) HasPlace(now time.Time, controller *Controller, rank Rank, isOpening bool) bool {
+func (q *Queue[T]) HasRoom(now time.Time, controller *Controller, rank Rank, isOpening bool) bool {
 	return q.count < q.capacity && (!isOpening || q.waitingFlows(controller, rank) < controller.maxWaitingFlows(now, rank))
 }
 
-// Put queues a packet. It reports false if there is no room. A packet is queued behind earlier ones
+// Push queues a packet. It reports false if there is no room. A packet is queued behind earlier ones
 // of its flow. One that is queued again keeps its position by arrival time.
-func (q *Queue[T]) Put(now time.Time, added Waiting[T]) bool {
-	if !q.HasPlace(now, added.Load, added.Rank, added.IsOpening) {
+func (q *Queue[T]) Push(now time.Time, added QueuedPacket[T]) bool {
+	if !q.HasRoom(now, added.Load, added.Rank, added.IsOpening) {
 		return false
 	}
 	q.count++
@@ -88,7 +88,7 @@
 	}
 	fifo := q.fifoOf(&added)
 	position := len(fifo.waiting)
-	for position > 0 && fifo.waiting[position-1].At.After(added.At) {
+	for position > 0 && fifo.waiting[position-1].ArrivedAt.After(added.ArrivedAt) {
 		position--
 	}
 	fifo.waiting = slices.Insert(fifo.waiting, position, &added)
@@ -96,8 +96,8 @@
 }
 
 // fifoOf returns the FIFO for a packet.
-func (q *Queue[T]) fifoOf(added *Waiting[T]) *fifo[T] {
-	maxWait := added.Until.Sub(added.At)
+func (q *Queue[T]) fifoOf(added *QueuedPacket[T]) *fifo[T] {
+	maxWait := added.Deadline.Sub(added.ArrivedAt)
 	for _, fifo := range q.fifos {
 		if fifo.controller == added.Load && fifo.rank == added.Rank && fifo.isOpening == added.IsOpening && fifo.maxWait == maxWait {
 			return fifo
@@ -119,37 +119,37 @@
 	return count
 }
 
-// Take removes and returns the next packet that is admitted or has reached its deadline, with those
+// Pop removes and returns the next packet that is admitted or has reached its deadline, with those
 // behind it. Preferred packets come first, then the earliest.
-func (q *Queue[T]) Take(now time.Time) (taken Waiting[T], found bool) {
+func (q *Queue[T]) Pop(now time.Time) (taken QueuedPacket[T], found bool) {
 	var best *fifo[T]
 	for _, fifo := range q.fifos {
 		first := fifo.waiting[0]
-		if best != nil && (fifo.rank > best.rank || fifo.rank == best.rank && !first.At.Before(best.waiting[0].At)) {
+		if best != nil && (fifo.rank > best.rank || fifo.rank == best.rank && !first.ArrivedAt.Before(best.waiting[0].ArrivedAt)) {
 			continue
 		}
-		if !now.Before(first.Until) || fifo.controller.Admit(now, fifo.rank) {
+		if !now.Before(first.Deadline) || fifo.controller.Admit(now, fifo.rank) {
 			best = fifo
 		}
 	}
 	if best == nil {
-		return Waiting[T]{}, false
+		return QueuedPacket[T]{}, false
 	}
 	return q.remove(best, 0), true
 }
 
-// TakeFlow removes and returns the queued packets of a flow.
-func (q *Queue[T]) TakeFlow(flow Flow) (taken Waiting[T], found bool) {
-	first := q.Of(flow)
+// PopFlow removes and returns the queued packets of a flow.
+func (q *Queue[T]) PopFlow(flow Flow) (taken QueuedPacket[T], found bool) {
+	first := q.PeekFlow(flow)
 	if first == nil {
-		return Waiting[T]{}, false
+		return QueuedPacket[T]{}, false
 	}
 	fifo := q.fifoOf(first)
 	return q.remove(fifo, slices.Index(fifo.waiting, first)), true
 }
 
 // remove removes a packet from a FIFO, and the FIFO once it is empty.
-func (q *Queue[T]) remove(from *fifo[T], position int) Waiting[T] {
+func (q *Queue[T]) remove(from *fifo[T], position int) QueuedPacket[T] {
 	taken := from.waiting[position]
 	from.waiting = slices.Delete(from.waiting, position, position+1)
 	if len(from.waiting) == 0 {
--- a/internal/overload/queue_test.go
+++ b/internal/overload/queue_test.go
@@ -18,28 +18,28 @@
 			controller := New(DefaultConfig())
 			controller.SetShare(20, 10)
 			for range 64 {
-				controller.NoteAnswer(start, route, answerSize)
+				controller.RecordResponse(start, route, answerSize)
 			}
 			for range 100 {
-				controller.NoteAnswer(start, route, rejectSize)
+				controller.RecordResponse(start, route, rejectSize)
 			}
 			for controller.Admit(start, Ordinary) {
 				controller.Begin(Ordinary)
 			}
 			queue := NewQueue[[200]byte](count)
 			for range count {
-				queue.Put(start, Waiting[[200]byte]{Load: controller, Rank: Ordinary, Until: start.Add(time.Hour)})
+				queue.Push(start, QueuedPacket[[200]byte]{Load: controller, Rank: Ordinary, Deadline: start.Add(time.Hour)})
 			}
 			for b.Loop() {
-				queue.Of(Flow{Source: caller})
-				queue.Take(start)
+				queue.PeekFlow(Flow{Source: caller})
+				queue.Pop(start)
 			}
 		})
 	}
 }
 
 // flowPacket returns a packet of an open flow queued at start.
-func flowPacket(controller *Controller, name string) Waiting[string] {
+func flowPacket(controller *Controller, name string) QueuedPacket[string] {
 	waiting := flowlessPacket(controller, Ordinary, false, name)
 	waiting.Flow = Flow{Source: caller}
 	return waiting
@@ -50,45 +50,45 @@
 	countAdmitted(controller, start, Ordinary)
 	queue := NewQueue[string](8)
 	for _, name := range []string{"one", "two"} {
-		assert.Assert(t, queue.Put(start, flowPacket(controller, name)))
+		assert.Assert(t, queue.Push(start, flowPacket(controller, name)))
 	}
 	late := flowPacket(controller, "three")
-	late.At, late.Until = start.Add(flowWaitLimit/2), start.Add(flowWaitLimit*3/2)
-	assert.Assert(t, queue.Put(late.At, late))
+	late.ArrivedAt, late.Deadline = start.Add(flowWaitLimit/2), start.Add(flowWaitLimit*3/2)
+	assert.Assert(t, queue.Push(late.ArrivedAt, late))
 	assert.Equal(t, queue.Len(), 3)
-	taken, found := queue.Take(start.Add(flowWaitLimit))
+	taken, found := queue.Pop(start.Add(flowWaitLimit))
 	assert.Assert(t, found)
 	assert.Equal(t, taken.Packet, "one")
 	assert.DeepEqual(t, taken.Behind, []string{"two", "three"})
 	assert.Equal(t, queue.Len(), 0)
-	assert.Assert(t, queue.Of(Flow{Source: caller}) == nil)
+	assert.Assert(t, queue.PeekFlow(Flow{Source: caller}) == nil)
 }
 
 func TestTakeFlow(t *testing.T) {
 	controller := newOverloadedController(t, 100)
 	queue := NewQueue[string](8)
-	assert.Assert(t, queue.Put(start, flowlessPacket(controller, Ordinary, false, "other")))
-	assert.Assert(t, queue.Put(start, flowPacket(controller, "one")))
-	assert.Equal(t, queue.Of(Flow{Source: caller}).Packet, "one")
-	taken, found := queue.TakeFlow(Flow{Source: caller})
+	assert.Assert(t, queue.Push(start, flowlessPacket(controller, Ordinary, false, "other")))
+	assert.Assert(t, queue.Push(start, flowPacket(controller, "one")))
+	assert.Equal(t, queue.PeekFlow(Flow{Source: caller}).Packet, "one")
+	taken, found := queue.PopFlow(Flow{Source: caller})
 	assert.Assert(t, found)
 	assert.Equal(t, taken.Packet, "one")
 	assert.Equal(t, queue.Len(), 1)
-	_, found = queue.TakeFlow(Flow{Source: caller})
+	_, found = queue.PopFlow(Flow{Source: caller})
 	assert.Assert(t, !found)
 }
 
 func TestRequeuedPacketKeepsPosition(t *testing.T) {
 	controller := newOverloadedController(t, 100)
 	queue := NewQueue[string](8)
-	assert.Assert(t, queue.Put(start, flowlessPacket(controller, Ordinary, true, "first")))
+	assert.Assert(t, queue.Push(start, flowlessPacket(controller, Ordinary, true, "first")))
 	second := flowlessPacket(controller, Ordinary, true, "second")
-	second.At, second.Until = start.Add(time.Millisecond), second.Until.Add(time.Millisecond)
-	assert.Assert(t, queue.Put(second.At, second))
-	taken, _ := queue.Take(start.Add(flowWaitLimit))
+	second.ArrivedAt, second.Deadline = start.Add(time.Millisecond), second.Deadline.Add(time.Millisecond)
+	assert.Assert(t, queue.Push(second.ArrivedAt, second))
+	taken, _ := queue.Pop(start.Add(flowWaitLimit))
 	assert.Equal(t, taken.Packet, "first")
-	assert.Assert(t, queue.Put(second.At, taken))
-	taken, _ = queue.Take(start.Add(2 * flowWaitLimit))
+	assert.Assert(t, queue.Push(second.ArrivedAt, taken))
+	taken, _ = queue.Pop(start.Add(2 * flowWaitLimit))
 	assert.Equal(t, taken.Packet, "first")
 }
 
@@ -98,12 +98,12 @@
 	countAdmitted(controller, start, Ordinary)
 	queue := NewQueue[string](8)
 	data := flowlessPacket(controller, Ordinary, false, "data")
-	data.Until = start.Add(dataWaitLimit)
-	assert.Assert(t, queue.Put(start, data))
-	assert.Assert(t, queue.Put(start, flowlessPacket(controller, Ordinary, true, "flow")))
-	taken, found := queue.Take(start.Add(flowWaitLimit))
+	data.Deadline = start.Add(dataWaitLimit)
+	assert.Assert(t, queue.Push(start, data))
+	assert.Assert(t, queue.Push(start, flowlessPacket(controller, Ordinary, true, "flow")))
+	taken, found := queue.Pop(start.Add(flowWaitLimit))
 	assert.Assert(t, found)
 	assert.Equal(t, taken.Packet, "flow")
-	_, found = queue.Take(start.Add(flowWaitLimit))
+	_, found = queue.Pop(start.Add(flowWaitLimit))
 	assert.Assert(t, !found)
 }
--- a/internal/overload/responselengths_test.go
+++ b/internal/overload/responselengths_test.go
@@ -51,7 +51,7 @@
 			if random.Float64() < share {
 				length = rejectSize
 			}
-			controller.NoteAnswer(now, route, length)
+			controller.RecordResponse(now, route, length)
 		}
 		if !controller.Admit(now, Ordinary) {
 			result.refused++
@@ -63,7 +63,7 @@
 		controller.Begin(Ordinary)
 		ends = append(ends, now.Add(work))
 	}
-	_, result.isLimited = controller.Bound(now)
+	_, result.isLimited = controller.Limit(now)
 	return result
 }
 
@@ -111,8 +111,8 @@
 			if index > 1000 && random.IntN(100) == 0 {
 				length = rejectSize
 			}
-			controller.NoteAnswer(now, route, length)
-			if _, isLimited := controller.Bound(now); isLimited {
+			controller.RecordResponse(now, route, length)
+			if _, isLimited := controller.Limit(now); isLimited {
 				limited++
 			}
 		}
@@ -133,7 +133,7 @@
 			if index == 0 || random.IntN(100) < 64 {
 				length = rejectSize
 			}
-			if controller.NoteAnswer(start.Add(time.Duration(index)*10*time.Millisecond), route, length) {
+			if controller.RecordResponse(start.Add(time.Duration(index)*10*time.Millisecond), route, length) {
 				seen++
 			}
 		}
@@ -153,9 +153,9 @@
 			if random.IntN(5) == 0 {
 				length = rejectSize
 			}
-			_, wasLimited := c.Bound(now)
-			c.NoteAnswer(now, route, length)
-			if _, isLimited := c.Bound(now); isLimited && !wasLimited {
+			_, wasLimited := c.Limit(now)
+			c.RecordResponse(now, route, length)
+			if _, isLimited := c.Limit(now); isLimited && !wasLimited {
 				activations++
 			}
 		}
--- a/internal/overload/wait.go
+++ b/internal/overload/wait.go
@@ -23,18 +23,18 @@
 	dataWaitShare = 1.0 / 2
 )
 
-// DataHoldFor returns how long a request on an open flow may be queued, given the route's latency
+// MaxDataWait returns how long a request on an open flow may be queued, given the route's latency
 // objective (0 if none).
-func DataHoldFor(objective time.Duration) time.Duration {
+func MaxDataWait(objective time.Duration) time.Duration {
 	if objective <= 0 {
 		return dataWaitLimit
 	}
 	return min(dataWaitLimit, time.Duration(float64(objective)*dataWaitShare))
 }
 
-// HoldFor returns how long a new flow may be queued, given the route's latency objective (0 if
+// MaxFlowWait returns how long a new flow may be queued, given the route's latency objective (0 if
 // none).
-func HoldFor(objective time.Duration) time.Duration {
+func MaxFlowWait(objective time.Duration) time.Duration {
 	if objective <= 0 {
 		return flowWaitLimit
 	}
@@ -44,7 +44,7 @@
 // maxWaitingFlows returns how many new flows of a rank may be queued at once: as many as are
 // expected to be admitted in time, without limit while there is no concurrency limit.
 func (c *Controller) maxWaitingFlows(now time.Time, rank Rank) int {
-	limit, isLimited := c.Bound(now)
+	limit, isLimited := c.Limit(now)
 	if !isLimited {
 		return math.MaxInt // admitted immediately
 	}
--- a/internal/ownership/peers.go
+++ b/internal/ownership/peers.go
@@ -48,8 +48,8 @@
 // IsAvoided reports whether the peer is skipped for new flows.
 func (p *Peer) IsAvoided() bool { return p.avoided.Load() }
 
-// NoteSent records a handover until it is acknowledged.
-func (p *Peer) NoteSent(now time.Time, handover Handover) {
+// RecordSent records a handover until it is acknowledged.
+func (p *Peer) RecordSent(now time.Time, handover Handover) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.sent == 0 {
@@ -61,9 +61,9 @@
 	}
 }
 
-// NoteAcknowledged records that the peer is alive. All handovers sent before count as delivered;
+// RecordAcknowledgement records that the peer is alive. All handovers sent before count as delivered;
 // the caller's retransmission covers those that were lost.
-func (p *Peer) NoteAcknowledged() {
+func (p *Peer) RecordAcknowledgement() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.reset()
@@ -77,9 +77,9 @@
 	p.sent = 0
 }
 
-// TakeSilent returns the handovers to send again if the peer did not acknowledge in time, and
+// TakeUnacknowledged returns the handovers to send again if the peer did not acknowledge in time, and
 // ends the avoidance of a peer that is due to be tried again.
-func (p *Peer) TakeSilent(now time.Time) []Handover {
+func (p *Peer) TakeUnacknowledged(now time.Time) []Handover {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.avoided.Load() && !now.Before(p.avoidUntil) {
@@ -140,13 +140,13 @@
 	}
 }
 
-// TakeSilent returns the handovers that unresponsive peers did not acknowledge.
-func (p *Peers) TakeSilent(now time.Time) []Handover {
+// TakeUnacknowledged returns the handovers that unresponsive peers did not acknowledge.
+func (p *Peers) TakeUnacknowledged(now time.Time) []Handover {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	var unacknowledged []Handover
 	for _, peer := range p.peers {
-		unacknowledged = append(unacknowledged, peer.TakeSilent(now)...)
+		unacknowledged = append(unacknowledged, peer.TakeUnacknowledged(now)...)
 	}
 	return unacknowledged
 }
--- a/internal/pki/make.go
+++ b/internal/pki/make.go
@@ -86,7 +86,7 @@
 	}
 	switch step {
 	case RotationAdd:
-		if len(keys) >= connectionid.MaximumKeys {
+		if len(keys) >= connectionid.MaxKeys {
 			return eris.Errorf("key file %s: already has the maximum of %d keys; remove the old ones first", path, len(keys))
 		}
 		secret, err := newSecret()
@@ -114,9 +114,9 @@
 	for _, key := range keys {
 		used[key.Identifier] = true
 	}
-	identifier := (keys[len(keys)-1].Identifier + 1) % connectionid.MaximumKeys
+	identifier := (keys[len(keys)-1].Identifier + 1) % connectionid.MaxKeys
 	for used[identifier] {
-		identifier = (identifier + 1) % connectionid.MaximumKeys
+		identifier = (identifier + 1) % connectionid.MaxKeys
 	}
 	return identifier
 }
--- a/internal/seal/seal.go
+++ b/internal/seal/seal.go
@@ -25,7 +25,7 @@
 // Sealer seals and opens datagrams. It is immutable and safe for concurrent use.
 type Sealer struct {
 	active  uint8
-	ciphers [connectionid.MaximumKeys]cipher.AEAD
+	ciphers [connectionid.MaxKeys]cipher.AEAD
 }
 
 // ErrRefused is returned for a datagram that cannot be decrypted.
@@ -35,8 +35,8 @@
 func New(active uint8, keys []connectionid.Key) (*Sealer, error) {
 	sealer := &Sealer{active: active}
 	for _, key := range keys {
-		if key.Identifier >= connectionid.MaximumKeys {
-			return nil, eris.Errorf("key identifier %d: must be 0 to %d", key.Identifier, connectionid.MaximumKeys-1)
+		if key.Identifier >= connectionid.MaxKeys {
+			return nil, eris.Errorf("key identifier %d: must be 0 to %d", key.Identifier, connectionid.MaxKeys-1)
 		}
 		block, err := aes.NewCipher(key.Secret)
 		if err != nil {
@@ -48,7 +48,7 @@
 		}
 		sealer.ciphers[key.Identifier] = aead
 	}
-	if active >= connectionid.MaximumKeys || sealer.ciphers[active] == nil {
+	if active >= connectionid.MaxKeys || sealer.ciphers[active] == nil {
 		return nil, eris.Errorf("active key %d: not in the key list", active)
 	}
 	return sealer, nil
@@ -79,7 +79,7 @@
 
 // Open decrypts a sealed datagram, or returns ErrRefused.
 func (s *Sealer) Open(sealed []byte) ([]byte, error) {
-	if len(sealed) < Overhead || sealed[0] >= connectionid.MaximumKeys {
+	if len(sealed) < Overhead || sealed[0] >= connectionid.MaxKeys {
 		return nil, ErrRefused
 	}
 	aead := s.ciphers[sealed[0]]
--- a/internal/simulation/coldstart_test.go
+++ b/internal/simulation/coldstart_test.go
@@ -119,7 +119,7 @@
 				return
 			}
 			checked++
-			if daemon.Core.View().Present() < maxEarlyTargets {
+			if daemon.Core.View().PresentTargetCount() < maxEarlyTargets {
 				late++
 			}
 		}
--- a/internal/simulation/overload.go
+++ b/internal/simulation/overload.go
@@ -127,7 +127,7 @@
 	}
 	daemon.controller.SetShare(slots, o.assumedDaemons())
 	for range 100 { // warm up the response statistics
-		daemon.controller.NoteAnswer(now, overloadRoute, overloadResponseBytes)
+		daemon.controller.RecordResponse(now, overloadRoute, overloadResponseBytes)
 	}
 	return daemon
 }
@@ -180,16 +180,16 @@
 // decide applies the data path's admission decision to a packet that arrived at arrivedAt.
 func (o *overloadRun) decide(call *overloadCall, arrivedAt time.Time) {
 	now, daemon, isOpening := o.clock.Now(), call.daemon, call.target < 0
-	hold := overload.HoldFor(overloadObjective)
+	hold := overload.MaxFlowWait(overloadObjective)
 	if !isOpening {
-		hold = overload.DataHoldFor(overloadObjective)
+		hold = overload.MaxDataWait(overloadObjective)
 	}
 	hasWaited := now.Sub(arrivedAt) >= hold
 	switch {
 	case isOpening && daemon.controller.AdmitFlow(now, call.rank), !isOpening && (hasWaited || daemon.controller.Admit(now, call.rank)):
 		o.send(call)
-	case !hasWaited && daemon.queue.Put(now, overload.Waiting[*overloadCall]{
-		Load: daemon.controller, Rank: call.rank, IsOpening: isOpening, At: arrivedAt, Until: arrivedAt.Add(hold), Packet: call,
+	case !hasWaited && daemon.queue.Push(now, overload.QueuedPacket[*overloadCall]{
+		Load: daemon.controller, Rank: call.rank, IsOpening: isOpening, ArrivedAt: arrivedAt, Deadline: arrivedAt.Add(hold), Packet: call,
 	}):
 		o.clock.After(hold, func() { o.release(daemon) })
 	default:
@@ -203,11 +203,11 @@
 
 func (o *overloadRun) release(daemon *overloadDaemon) {
 	for {
-		waiting, found := daemon.queue.Take(o.clock.Now())
+		waiting, found := daemon.queue.Pop(o.clock.Now())
 		if !found {
 			return
 		}
-		o.decide(waiting.Packet, waiting.At)
+		o.decide(waiting.Packet, waiting.ArrivedAt)
 	}
 }
 
@@ -271,10 +271,10 @@
 	signal.AddPending(-1)
 	if isServed {
 		o.result.Served[call.rank]++
-		daemon.controller.NoteAnswer(now, overloadRoute, overloadResponseBytes)
+		daemon.controller.RecordResponse(now, overloadRoute, overloadResponseBytes)
 	} else {
 		o.result.TurnedAway++
-		daemon.controller.NoteAnswer(now, overloadRoute, overloadRejectionBytes)
+		daemon.controller.RecordResponse(now, overloadRoute, overloadRejectionBytes)
 		signal.RecordOverdue(now, 8)
 	}
 	if call.rank == overload.Ordinary && len(daemon.idle) < overloadIdleFlows*88/len(o.daemons) {
--- a/internal/steering/decide_test.go
+++ b/internal/steering/decide_test.go
@@ -170,9 +170,9 @@
 			break
 		}
 		now := time.Unix(1000, 0)
-		owner.Peer.NoteSent(now, ownership.Handover{})
-		owner.Peer.NoteSent(now, ownership.Handover{})
-		owner.Peer.TakeSilent(now.Add(time.Second))
+		owner.Peer.RecordSent(now, ownership.Handover{})
+		owner.Peer.RecordSent(now, ownership.Handover{})
+		owner.Peer.TakeUnacknowledged(now.Add(time.Second))
 		assert.Assert(t, snapshot.Owner(key) != owner)
 	}
 }
--- a/internal/steering/token/builder.go
+++ b/internal/steering/token/builder.go
@@ -43,7 +43,7 @@
 // only; it is nil if the view has no targets either. Earlier tables stay valid.
 func (b *Builder) Build(now time.Time, view *storeview.View) *Table {
 	configuration := view.Configuration()
-	if configuration == nil && view.Present() == 0 {
+	if configuration == nil && view.PresentTargetCount() == 0 {
 		return nil
 	}
 	b.isBuilt = true
@@ -68,7 +68,7 @@
 		return b.Build(now, view)
 	}
 	b.configuration = view.Configuration()
-	for _, altered := range change.Altered {
+	for _, altered := range change.ChangedTargets {
 		b.update(view, altered)
 	}
 	return b.table(now)
@@ -109,7 +109,7 @@
 	isEvacuated := b.evacuated[entry.Zone]
 	target := &Target{
 		KnownTarget: entry, Token: Of(entry.Identifier), Load: b.undeclared,
-		IsEligible:   !entry.Gone && !entry.Draining && !isEvacuated,
+		IsEligible:   !entry.IsRemoved && !entry.Draining && !isEvacuated,
 		IsEvacuated:  isEvacuated,
 		isUndeclared: b.configuration != nil && service == nil,
 	}
@@ -160,7 +160,7 @@
 	for _, declared := range b.configuration.Services {
 		services[declared.Name] = &Service{
 			Name: declared.Name, Load: b.loadOf(declared.Name),
-			maximumFlows: declared.MaximumFlows, coldRate: declared.SlowStartRate,
+			maximumFlows: declared.MaxFlows, coldRate: declared.SlowStartRate,
 		}
 	}
 	return services
--- a/internal/steering/token/builder_test.go
+++ b/internal/steering/token/builder_test.go
@@ -62,7 +62,7 @@
 func TestAnUpdatedTableIsThatOfAFullBuild(t *testing.T) {
 	configurations := []*storeview.Configuration{
 		{Services: []storeview.Service{{Name: "roster"}, {Name: "ledger", SlowStartRate: 5}}},
-		{Services: []storeview.Service{{Name: "roster", MaximumFlows: 9}}},
+		{Services: []storeview.Service{{Name: "roster", MaxFlows: 9}}},
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		view, builder, now := storeview.New(10*time.Second), NewBuilder(time.Minute), testStart
@@ -89,18 +89,18 @@
 					Identifier: collidingIdentifiers[pick("identifier", len(collidingIdentifiers))],
 					Service:    []string{"roster", "ledger", "unknown"}[pick("service", 3)], Zone: fmt.Sprint("zone", pick("zone", 2)),
 					Address: netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), uint16(1+pick("address", 4))),
-					Slots:   2, Draining: pick("drains", 4) == 0, ColdFor: time.Duration(pick("cold", 2)) * time.Second,
+					Slots:   2, Draining: pick("drains", 4) == 0, SlowStartRemaining: time.Duration(pick("cold", 2)) * time.Second,
 					Incarnation: uint64(pick("incarnation", 3)),
 				}
 			}
 			change := view.Merge(now, []storeview.Entry{entry})
 			if pick("expires", 3) == 0 {
 				expired := view.Expire(now)
-				change.Altered = append(change.Altered, expired.Altered...)
+				change.ChangedTargets = append(change.ChangedTargets, expired.ChangedTargets...)
 			}
 			table := builder.Update(now, view, &change)
 			if table == nil {
-				assert.Equal(t, view.Present(), 0)
+				assert.Equal(t, view.PresentTargetCount(), 0)
 				continue
 			}
 			full := NewBuilder(time.Minute).Build(now, view)
--- a/internal/steering/token/dead_test.go
+++ b/internal/steering/token/dead_test.go
@@ -92,7 +92,7 @@
 				target.Incarnation = 9
 			})
 			leave(site)
-			site.revision = storeview.RevisionIn(1, 1)
+			site.revision = storeview.NewRevision(1, 1)
 			site.target("roster-0", 100, "roster", func(target *storeview.Target) { target.Incarnation = 4 })
 			assert.Equal(t, site.follow(ledgerAddress, 1, Of(300)).Action, Forward)
 		})
--- a/internal/steering/token/expired.go
+++ b/internal/steering/token/expired.go
@@ -18,7 +18,7 @@
 // leaving.
 func (o *Opener) eligible(service *Service) []balance.Source[*Target] {
 	o.sources[0] = balance.Source[*Target]{Pool: &service.eligible}
-	if !o.expiryWindow.Holds(o.now) {
+	if !o.expiryWindow.IsOpen(o.now) {
 		return o.sources[:1]
 	}
 	o.sources[1] = balance.Source[*Target]{Pool: &service.leaving, Allows: o.allowsExpired}
--- a/internal/steering/token/expired_test.go
+++ b/internal/steering/token/expired_test.go
@@ -11,7 +11,7 @@
 
 // startExpiryWindow simulates that the store has just come back.
 func (s *site) startExpiryWindow() {
-	s.opener.SetExpiryWindow(storeview.Lapse{Since: s.now, Until: s.now.Add(2 * time.Second)})
+	s.opener.SetExpiryWindow(storeview.ExpiryWindow{Since: s.now, Until: s.now.Add(2 * time.Second)})
 }
 
 // countByTarget opens flows and returns their number by target identifier.
--- a/internal/steering/token/index.go
+++ b/internal/steering/token/index.go
@@ -163,7 +163,7 @@
 func currentAt(chain *Target, address netip.AddrPort) *Target {
 	var current *Target
 	for target := chain; target != nil; target = target.nextSameAddress {
-		if target.Address != address || target.Gone || target.isUndeclared {
+		if target.Address != address || target.IsRemoved || target.isUndeclared {
 			continue
 		}
 		if current == nil || target.startedAfter(current) {
@@ -202,7 +202,7 @@
 	switch {
 	case current == nil || current == t:
 		return false
-	case t.Gone || t.isUndeclared:
+	case t.IsRemoved || t.isUndeclared:
 		return cmp.Or(current.compareIncarnations(t), cmp.Compare(current.Revision, t.Written)) > 0
 	}
 	return true
--- a/internal/steering/token/open_bench_test.go
+++ b/internal/steering/token/open_bench_test.go
@@ -32,9 +32,9 @@
 		}})
 	}
 	s.view.Merge(testStart, entries)
-	s.view.MergeAll(testStart, entries[:1+listed], 3)
+	s.view.MergeSnapshot(testStart, entries[:1+listed], 3)
 	s.table = s.builder.Build(testStart, s.view)
-	s.opener.SetExpiryWindow(storeview.Lapse{Since: testStart, Until: testStart.Add(2500 * time.Millisecond)})
+	s.opener.SetExpiryWindow(storeview.ExpiryWindow{Since: testStart, Until: testStart.Add(2500 * time.Millisecond)})
 	return s
 }
 
--- a/internal/steering/token/opener.go
+++ b/internal/steering/token/opener.go
@@ -33,7 +33,7 @@
 	// suspect are the targets that left a first packet unanswered.
 	suspect []FailureEvidence
 	// expiryWindow is the period in which entries of running targets may be missing.
-	expiryWindow storeview.Lapse
+	expiryWindow storeview.ExpiryWindow
 	// daemons is the number of daemons that share the targets' capacity. atLimit is set if the
 	// last pick found only targets at their limit.
 	daemons int
@@ -60,7 +60,7 @@
 }
 
 // SetExpiryWindow sets the period in which entries of running targets may be missing.
-func (o *Opener) SetExpiryWindow(expiryWindow storeview.Lapse) { o.expiryWindow = expiryWindow }
+func (o *Opener) SetExpiryWindow(expiryWindow storeview.ExpiryWindow) { o.expiryWindow = expiryWindow }
 
 // SetDaemons sets the number of daemons, including this one, that share the targets' capacity.
 func (o *Opener) SetDaemons(count int) { o.daemons = count }
@@ -73,7 +73,7 @@
 func (o *Opener) HoldIfMissing(now time.Time, decision Decision) Decision {
 	switch decision.Reason {
 	case ReasonNoTarget, ReasonEvacuated, ReasonUnknownToken:
-		if o.expiryWindow.Holds(now) {
+		if o.expiryWindow.IsOpen(now) {
 			decision.Action = Hold
 		}
 	}
--- a/internal/steering/token/overload.go
+++ b/internal/steering/token/overload.go
@@ -62,7 +62,7 @@
 func (o *Opener) liveSlots(now time.Time, service *Service) int {
 	live, ejected := service.eligible.Slots(now)
 	service.leaving.Slots(now) // called for its side effect: it prunes the pool's watch list
-	if o.expiryWindow.Holds(now) {
+	if o.expiryWindow.IsOpen(now) {
 		o.now = now
 		for _, entry := range service.leaving.Entries() {
 			if o.mayHaveExpired(entry.Value) && !entry.Signal.IsDead(now) {
@@ -91,7 +91,7 @@
 		if target == nil || unanswered.Evidence != outlier.Weak {
 			return false
 		}
-		_, isBounded := target.Load.Bound(now)
+		_, isBounded := target.Load.Limit(now)
 		return isBounded
 	})
 }
--- a/internal/steering/token/overload_test.go
+++ b/internal/steering/token/overload_test.go
@@ -29,10 +29,10 @@
 	site.opener.SetOverloadShares(site.now, site.table, 100)
 	load, number := site.table.services["roster"].Load, site.table.routes[ordinaryAddress].Number
 	for range 100 {
-		load.NoteAnswer(site.now, number, 1000)
+		load.RecordResponse(site.now, number, 1000)
 	}
 	for range 100 {
-		load.NoteAnswer(site.now, number, 100)
+		load.RecordResponse(site.now, number, 100)
 	}
 	load.AdmitFlow(site.now, overload.Ordinary)
 	return site
@@ -160,7 +160,7 @@
 	bound := func(t *testing.T, site *site) float64 {
 		t.Helper()
 		site.opener.SetOverloadShares(site.now, site.table, 1)
-		bound, isBound := site.table.services["roster"].Load.Bound(site.now)
+		bound, isBound := site.table.services["roster"].Load.Limit(site.now)
 		assert.Assert(t, isBound)
 		return bound
 	}
--- a/internal/steering/token/reindex.go
+++ b/internal/steering/token/reindex.go
@@ -15,7 +15,7 @@
 		x.eligibleCount++
 	}
 	service := x.services[target.Service]
-	if service == nil || target.Refused {
+	if service == nil || target.IsInvalid {
 		return
 	}
 	service.add(target)
@@ -45,7 +45,7 @@
 	if target.IsEligible {
 		x.eligibleCount--
 	}
-	if service := x.services[target.Service]; service != nil && !target.Refused {
+	if service := x.services[target.Service]; service != nil && !target.IsInvalid {
 		service.remove(target)
 	}
 	delete(x.slowStarting, target)
--- a/internal/steering/token/slowstart_test.go
+++ b/internal/steering/token/slowstart_test.go
@@ -19,7 +19,7 @@
 		Version: 100, Routes: standardRoutes(), Services: []storeview.Service{{Name: "roster", SlowStartRate: 4}, {Name: "ledger"}},
 	}})
 	for number := range 3 {
-		s.target(fmt.Sprint("roster-", number), uint64(100+number), "roster", func(target *storeview.Target) { target.ColdFor = 5 * time.Second })
+		s.target(fmt.Sprint("roster-", number), uint64(100+number), "roster", func(target *storeview.Target) { target.SlowStartRemaining = 5 * time.Second })
 	}
 	return s
 }
--- a/internal/storenode/changes.go
+++ b/internal/storenode/changes.go
@@ -37,6 +37,6 @@
 		return
 	}
 	n.log.Info("targets changed", telemetry.FieldDetail, strings.Join(changed.details, ", "),
-		telemetry.FieldOmitted, changed.omitted, telemetry.FieldRevision, storeview.NumberOf(n.fleet.View().Revision()))
+		telemetry.FieldOmitted, changed.omitted, telemetry.FieldRevision, storeview.ChangeNumberOf(n.fleet.View().Revision()))
 	*changed = changedTargets{nextLogAt: now.Add(minTargetLogInterval)}
 }
--- a/internal/storenode/memory_bench_test.go
+++ b/internal/storenode/memory_bench_test.go
@@ -29,7 +29,7 @@
 
 // storeEntries returns the entries of the store.
 func (s deploymentSize) storeEntries() []storeview.Entry {
-	configuration := &storeview.Configuration{Version: 1, Services: []storeview.Service{{Name: "service-a", MaximumFlows: 2000}, {Name: "service-b", MaximumFlows: 2000}}}
+	configuration := &storeview.Configuration{Version: 1, Services: []storeview.Service{{Name: "service-a", MaxFlows: 2000}, {Name: "service-b", MaxFlows: 2000}}}
 	for index := range s.routes {
 		configuration.Routes = append(configuration.Routes, storeview.Route{
 			Name: fmt.Sprintf("r-%07d", index), Address: addressOf(200, index), Timeout: 4 * time.Second, Objective: 600 * time.Millisecond,
--- a/internal/storenode/orders.go
+++ b/internal/storenode/orders.go
@@ -21,7 +21,7 @@
 			telemetry.FieldOrder, order.Kind.String(),
 			telemetry.FieldZone, order.Zone,
 			telemetry.FieldState, order.State(),
-			telemetry.FieldRevision, storeview.NumberOf(order.Revision),
+			telemetry.FieldRevision, storeview.ChangeNumberOf(order.Revision),
 			telemetry.FieldAge, now.Sub(order.LearnedAt).String(),
 		)
 	}
@@ -31,7 +31,7 @@
 	orders := []telemetry.OrderStatus{}
 	for _, order := range n.fleet.View().Orders() {
 		orders = append(orders, telemetry.OrderStatus{
-			Key: order.Key, Kind: order.Kind.String(), Zone: order.Zone, Revision: storeview.NumberOf(order.Revision),
+			Key: order.Key, Kind: order.Kind.String(), Zone: order.Zone, Revision: storeview.ChangeNumberOf(order.Revision),
 			AgeMilliseconds: now.Sub(order.LearnedAt).Milliseconds(),
 		})
 	}
--- a/internal/storenode/overload.go
+++ b/internal/storenode/overload.go
@@ -57,7 +57,7 @@
 
 // isQueued reports whether a copy of the packet is queued. The mutex must be held.
 func (p *tokenPlane) isQueued(packet *token.Packet) bool {
-	first := p.queued.Of(flowOf(packet))
+	first := p.queued.PeekFlow(flowOf(packet))
 	return first != nil && (isRetransmission(&first.Packet.parsed, packet) ||
 		slices.ContainsFunc(first.Behind, func(held queuedPacket) bool { return isRetransmission(&held.parsed, packet) }))
 }
@@ -67,7 +67,7 @@
 // lost. The mutex must be held.
 func (p *tokenPlane) keepFlowOrder(decision token.Decision, packet *token.Packet, arrived arrival) token.Decision {
 	hasContent := packet.PayloadLength > 0 || packet.IsClosing
-	if decision.Action == token.Forward && hasContent && !arrived.isDequeued && p.queued.Of(flowOf(packet)) != nil {
+	if decision.Action == token.Forward && hasContent && !arrived.isDequeued && p.queued.PeekFlow(flowOf(packet)) != nil {
 		decision.Action, decision.Reason = token.Hold, token.ReasonOverload
 	}
 	return decision
@@ -78,7 +78,7 @@
 func (p *tokenPlane) dropQueued(packet *token.Packet) {
 	flow := flowOf(packet)
 	for _, flow.IsOpening = range []bool{false, true} {
-		if taken, found := p.queued.TakeFlow(flow); found {
+		if taken, found := p.queued.PopFlow(flow); found {
 			p.counters.dropped[token.ReasonOverload].Add(uint64(1 + len(taken.Behind)))
 		}
 	}
@@ -91,12 +91,12 @@
 	now, load, rank := time.Now(), decision.Load(), decision.Route.Rank()
 	p.mutex.Lock()
 	isDuplicate := p.isQueued(packet)
-	canQueue := !isDuplicate && p.queued.HasPlace(now, load, rank, packet.IsOpening)
+	canQueue := !isDuplicate && p.queued.HasRoom(now, load, rank, packet.IsOpening)
 	if canQueue {
 		p.mayBeQueued.Store(true)
-		p.queued.Put(now, overload.Waiting[queuedPacket]{
+		p.queued.Push(now, overload.QueuedPacket[queuedPacket]{
 			Load: load, Rank: rank, Flow: flowOf(packet), IsOpening: packet.IsOpening,
-			At: arrived.at, Until: arrived.at.Add(decision.Route.Hold(packet)),
+			ArrivedAt: arrived.at, Deadline: arrived.at.Add(decision.Route.Hold(packet)),
 			Packet: queuedPacket{parsed: *packet, buffer: append([]byte(nil), inbound.Buffer...), service: decision.Service},
 		})
 	}
@@ -118,7 +118,7 @@
 // bypassQueue forwards a packet of an open flow after the queued packets of that flow.
 func (p *tokenPlane) bypassQueue(worker *forwarding.Worker, inbound *forwarding.Inbound, packet *token.Packet, arrived arrival) {
 	p.mutex.Lock()
-	earlier, found := p.queued.TakeFlow(flowOf(packet))
+	earlier, found := p.queued.PopFlow(flowOf(packet))
 	p.mutex.Unlock()
 	if found {
 		p.decideDequeued(worker, &earlier)
@@ -127,8 +127,8 @@
 }
 
 // decideDequeued decides again on a packet taken from the queue and on those behind it.
-func (p *tokenPlane) decideDequeued(worker *forwarding.Worker, taken *overload.Waiting[queuedPacket]) {
-	arrived := arrival{at: taken.At, isDequeued: true, service: taken.Packet.service}
+func (p *tokenPlane) decideDequeued(worker *forwarding.Worker, taken *overload.QueuedPacket[queuedPacket]) {
+	arrived := arrival{at: taken.ArrivedAt, isDequeued: true, service: taken.Packet.service}
 	p.handle(worker, &forwarding.Inbound{Buffer: taken.Packet.buffer}, arrived)
 	for _, behind := range taken.Behind {
 		p.handle(worker, &forwarding.Inbound{Buffer: behind.buffer}, arrived)
@@ -140,7 +140,7 @@
 func (p *tokenPlane) releaseQueued(worker *forwarding.Worker, now time.Time) {
 	for {
 		p.mutex.Lock()
-		taken, found := p.queued.Take(now)
+		taken, found := p.queued.Pop(now)
 		p.mutex.Unlock()
 		if !found {
 			return
@@ -197,7 +197,7 @@
 	defer p.mutex.Unlock()
 	var loads []serviceLoad
 	table.EachLoad(func(service string, load *overload.Controller) {
-		limit, isLimited := load.Bound(now)
+		limit, isLimited := load.Limit(now)
 		loads = append(loads, serviceLoad{
 			service: service, preferred: load.InProgress(now, overload.Preferred), ordinary: load.InProgress(now, overload.Ordinary),
 			limit: limit, isLimited: isLimited,
--- a/internal/storenode/overload_queue_test.go
+++ b/internal/storenode/overload_queue_test.go
@@ -78,10 +78,10 @@
 	plane.tickQueue(now, 88)
 	plane.table.Load().EachLoad(func(_ string, load *overload.Controller) { plane.load = load })
 	for range 50 {
-		plane.load.NoteAnswer(now, 1, 1000)
+		plane.load.RecordResponse(now, 1, 1000)
 	}
 	for range 50 { // rejections in the future, so that they cannot expire during the test
-		plane.load.NoteAnswer(now.Add(time.Hour), 1, 100)
+		plane.load.RecordResponse(now.Add(time.Hour), 1, 100)
 	}
 	for plane.load.AdmitFlow(now.Add(time.Hour), overload.Ordinary) {
 		plane.load.Begin(overload.Preferred)
@@ -203,7 +203,7 @@
 func TestRequeuedPacketIsCountedOnce(t *testing.T) {
 	plane := newOverloadedPlane(t, 8)
 	plane.handle(plane.releaseWorker, newInbound(1, kindFirst, ""), arrival{at: time.Now().Add(time.Hour)})
-	taken, found := plane.queued.TakeFlow(overload.Flow{Source: callerOf(1), Destination: testRoute, IsOpening: true})
+	taken, found := plane.queued.PopFlow(overload.Flow{Source: callerOf(1), Destination: testRoute, IsOpening: true})
 	assert.Assert(t, found)
 	plane.decideDequeued(plane.releaseWorker, &taken)
 	assert.Equal(t, plane.queued.Len(), 1)
--- a/internal/storenode/overload_test.go
+++ b/internal/storenode/overload_test.go
@@ -19,10 +19,10 @@
 	defer node.plane.mutex.Unlock()
 	node.plane.table.Load().EachLoad(func(_ string, controller *overload.Controller) { load = controller })
 	for range 50 {
-		load.NoteAnswer(time.Now(), 1, 1000)
+		load.RecordResponse(time.Now(), 1, 1000)
 	}
 	for range 50 {
-		load.NoteAnswer(time.Now().Add(time.Hour), 1, 100)
+		load.RecordResponse(time.Now().Add(time.Hour), 1, 100)
 	}
 	for range inProgress {
 		load.Begin(overload.Preferred)
--- a/internal/storenode/start_bench_test.go
+++ b/internal/storenode/start_bench_test.go
@@ -14,7 +14,7 @@
 // newStoreEntries returns the entries of a store with the given numbers of routes and targets.
 func newStoreEntries(routes, targets int) []storeview.Entry {
 	configuration := &storeview.Configuration{
-		Version: 7, Services: []storeview.Service{{Name: "campaign", MaximumFlows: 2000}, {Name: "parcels", MaximumFlows: 2000}},
+		Version: 7, Services: []storeview.Service{{Name: "campaign", MaxFlows: 2000}, {Name: "parcels", MaxFlows: 2000}},
 	}
 	for number := range routes {
 		configuration.Routes = append(configuration.Routes, storeview.Route{
@@ -72,13 +72,13 @@
 		b.Run(fmt.Sprint("merge of routes ", routes), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				storeview.New(time.Minute).MergeAll(now, delta.Entries, 1000)
+				storeview.New(time.Minute).MergeSnapshot(now, delta.Entries, 1000)
 			}
 		})
 		b.Run(fmt.Sprint("build of routes ", routes), func(b *testing.B) {
 			b.ReportAllocs()
 			view := storeview.New(time.Minute)
-			view.MergeAll(now, delta.Entries, 1000)
+			view.MergeSnapshot(now, delta.Entries, 1000)
 			for b.Loop() {
 				token.NewBuilder(time.Minute).Build(now, view)
 			}
--- a/internal/storeview/change.go
+++ b/internal/storeview/change.go
@@ -5,16 +5,16 @@
 	// Configuration and Targets report whether the configuration or any target changed.
 	Configuration bool
 	Targets       bool
-	// Altered lists the changed targets. A target that changed several times may be listed as
+	// ChangedTargets lists the changed targets. A target that changed several times may be listed as
 	// often, also by a superseded entry.
-	Altered []*KnownTarget
+	ChangedTargets []*KnownTarget
 	// Orders lists the orders that were issued or withdrawn.
 	Orders []KnownOrder
 	// LacksBase reports that a Difference could not be applied because its base version is not held
 	// here.
 	LacksBase bool
-	// Refused lists the rejected entries, each with its reason.
-	Refused []string
+	// InvalidEntries lists the rejected entries, each with its reason.
+	InvalidEntries []string
 	// Details lists state changes of targets, at most maxDetails; Omitted counts the rest.
 	Details []string
 	Omitted int
@@ -34,10 +34,10 @@
 func (c *Change) Add(other Change) {
 	c.Configuration = c.Configuration || other.Configuration
 	c.Targets = c.Targets || other.Targets
-	c.Altered = append(c.Altered, other.Altered...)
+	c.ChangedTargets = append(c.ChangedTargets, other.ChangedTargets...)
 	c.Orders = append(c.Orders, other.Orders...)
 	c.LacksBase = c.LacksBase || other.LacksBase
-	c.Refused = append(c.Refused, other.Refused...)
+	c.InvalidEntries = append(c.InvalidEntries, other.InvalidEntries...)
 	c.Details = append(c.Details, other.Details...)
 	c.Omitted += other.Omitted
 }
--- a/internal/storeview/config.go
+++ b/internal/storeview/config.go
@@ -6,23 +6,23 @@
 type Config struct {
 	// Retention is how long removed targets and tombstones are kept.
 	Retention time.Duration
-	// RestoredFor is the grace period after the store was restored from a backup, in which earlier
+	// RestoreGrace is the grace period after the store was restored from a backup, in which earlier
 	// state that is newer than the backup is kept. It must give writers time to rewrite their
 	// entries, and entries of ended targets time to expire.
-	RestoredFor time.Duration
-	// RewrittenWithin is how long after the store's return, from a restore or an outage, an entry
+	RestoreGrace time.Duration
+	// RewriteGrace is how long after the store's return, from a restore or an outage, an entry
 	// may be missing from it before its target counts as removed. A live writer rewrites its entry
 	// sooner.
-	RewrittenWithin time.Duration
+	RewriteGrace time.Duration
 }
 
 // DefaultConfig suits targets that renew their entries every 1.2 s.
 func DefaultConfig() Config {
 	return Config{
-		Retention:   time.Minute,
-		RestoredFor: RestoredForRenewal(1200 * time.Millisecond),
+		Retention:    time.Minute,
+		RestoreGrace: RestoreGraceForRenewal(1200 * time.Millisecond),
 
-		RewrittenWithin: 2 * time.Second,
+		RewriteGrace: 2 * time.Second,
 	}
 }
 
@@ -33,7 +33,7 @@
 	propagationMargin = time.Second
 )
 
-// RestoredForRenewal derives RestoredFor from the interval at which targets renew their entries.
-func RestoredForRenewal(renewal time.Duration) time.Duration {
+// RestoreGraceForRenewal derives RestoreGrace from the interval at which targets renew their entries.
+func RestoreGraceForRenewal(renewal time.Duration) time.Duration {
 	return missedRenewalsToExpire*renewal + propagationMargin
 }
--- a/internal/storeview/invalid.go
+++ b/internal/storeview/invalid.go
@@ -10,8 +10,8 @@
 // ones are rejected as well, but neither listed nor sent to peers as invalid.
 const maxInvalidEntries = 1024
 
-// Refusal is a rejected, invalid entry.
-type Refusal struct {
+// InvalidEntry is a rejected, invalid entry.
+type InvalidEntry struct {
 	// Key and Revision are the store's.
 	Key      string
 	Revision uint64
@@ -22,7 +22,7 @@
 
 // invalidEntries holds the invalid entries by key. An invalid entry may stay in the store
 // indefinitely, so that it must not cause work each time it is listed.
-type invalidEntries map[string]Refusal
+type invalidEntries map[string]InvalidEntry
 
 // add remembers an invalid entry; it reports false if it, or a later one, is already known.
 func (r invalidEntries) add(entry *Entry, at time.Time) bool {
@@ -31,7 +31,7 @@
 		return false
 	}
 	if isHeld || len(r) < maxInvalidEntries {
-		r[entry.Key] = Refusal{Key: entry.Key, Revision: entry.Revision, Reason: entry.Fault, LearnedAt: at}
+		r[entry.Key] = InvalidEntry{Key: entry.Key, Revision: entry.Revision, Reason: entry.Fault, LearnedAt: at}
 	}
 	return true
 }
@@ -52,12 +52,12 @@
 	}
 }
 
-func (r invalidEntries) sorted() []Refusal {
-	all := make([]Refusal, 0, len(r))
+func (r invalidEntries) sorted() []InvalidEntry {
+	all := make([]InvalidEntry, 0, len(r))
 	for _, held := range r {
 		all = append(all, held)
 	}
-	slices.SortFunc(all, func(a, b Refusal) int { return cmp.Compare(a.Key, b.Key) })
+	slices.SortFunc(all, func(a, b InvalidEntry) int { return cmp.Compare(a.Key, b.Key) })
 	return all
 }
 
--- a/internal/storeview/invalid_test.go
+++ b/internal/storeview/invalid_test.go
@@ -21,32 +21,32 @@
 	assert.Assert(t, change.Targets)
 	present, known := stateOf(view, "a")
 	assert.Assert(t, !present && known, "its open flows are still routed")
-	assert.Assert(t, view.Targets()[0].Refused)
+	assert.Assert(t, view.Targets()[0].IsInvalid)
 	present, _ = stateOf(view, "b")
 	assert.Assert(t, present)
 	t.Run("a later valid entry restores the target", func(t *testing.T) {
 		view.Merge(testStart, []Entry{targetEntry("a", 5)})
 		present, _ := stateOf(view, "a")
 		assert.Assert(t, present)
-		assert.Equal(t, len(view.Refused()), 0)
+		assert.Equal(t, len(view.InvalidEntries()), 0)
 	})
 	t.Run("an earlier invalid entry is ignored", func(t *testing.T) {
 		change := view.Merge(testStart, []Entry{faultEntry("a", 4)})
-		assert.Assert(t, change.IsEmpty() && len(change.Refused) == 0)
+		assert.Assert(t, change.IsEmpty() && len(change.InvalidEntries) == 0)
 	})
 }
 
 func TestInvalidEntryIsReportedOnce(t *testing.T) {
 	view := New(time.Minute)
 	content := []Entry{targetEntry("a", 2), faultEntry("b", 3), faultEntry("c", 4)}
-	assert.Equal(t, len(view.MergeAll(testStart, content, 5).Refused), 2)
+	assert.Equal(t, len(view.MergeSnapshot(testStart, content, 5).InvalidEntries), 2)
 	for range 3 {
-		change := view.MergeAll(testStart, content, 5)
-		assert.Assert(t, change.IsEmpty() && len(change.Refused) == 0)
+		change := view.MergeSnapshot(testStart, content, 5)
+		assert.Assert(t, change.IsEmpty() && len(change.InvalidEntries) == 0)
 	}
-	assert.Equal(t, len(view.Merge(testStart, []Entry{faultEntry("b", 9)}).Refused), 1, "a new revision is reported again")
-	view.MergeAll(testStart, content[:1], 12)
-	assert.Equal(t, len(view.Refused()), 0, "no longer listed")
+	assert.Equal(t, len(view.Merge(testStart, []Entry{faultEntry("b", 9)}).InvalidEntries), 1, "a new revision is reported again")
+	view.MergeSnapshot(testStart, content[:1], 12)
+	assert.Equal(t, len(view.InvalidEntries()), 0, "no longer listed")
 }
 
 func TestInvalidEntriesAreBounded(t *testing.T) {
@@ -55,8 +55,8 @@
 		key := "k" + string(rune('a'+number%26)) + time.Duration(number).String()
 		view.Merge(testStart, []Entry{targetEntry(key, 2*number+1), faultEntry(key, 2*number+2)})
 	}
-	assert.Equal(t, len(view.Refused()), maxInvalidEntries)
-	assert.Equal(t, view.Present(), 0)
+	assert.Equal(t, len(view.InvalidEntries()), maxInvalidEntries)
+	assert.Equal(t, view.PresentTargetCount(), 0)
 }
 
 // A daemon that reads the store and one that learns from it, in any order, agree on which targets
--- a/internal/storeview/lwwmap.go
+++ b/internal/storeview/lwwmap.go
@@ -14,10 +14,10 @@
 	Revision uint64
 	// Written is the revision of the latest write; once the entry is removed, Revision is later.
 	Written uint64
-	// Gone reports that the store no longer holds the entry, Refused that it holds an invalid one
+	// IsRemoved reports that the store no longer holds the entry, IsInvalid that it holds an invalid one
 	// under the key.
-	Gone    bool
-	Refused bool
+	IsRemoved bool
+	IsInvalid bool
 	// LearnedAt is when the daemon that first read this state from the store did so.
 	LearnedAt time.Time
 }
@@ -106,8 +106,8 @@
 	default:
 		r.dropDeferred(record.Key, record.Revision)
 	}
-	record.Gone = record.Revision <= upTo && r.wasAbsent(record, upTo)
-	if record.Gone {
+	record.IsRemoved = record.Revision <= upTo && r.wasAbsent(record, upTo)
+	if record.IsRemoved {
 		// Peers that hold the entry must see its removal as newer.
 		record.Revision = upTo
 	}
@@ -131,7 +131,7 @@
 	held, isHeld := r.byKey[record.Key]
 	r.byKey[record.Key] = learned
 	delete(r.gone, record.Key)
-	if record.Gone {
+	if record.IsRemoved {
 		r.gone[record.Key] = true
 	}
 	r.removed.remove(record.Key)
@@ -163,9 +163,9 @@
 		return
 	}
 	r.dropDeferred(key, revision)
-	isNews := held.record().Gone && !held.record().Refused
+	isNews := held.record().IsRemoved && !held.record().IsInvalid
 	refused := held.clone()
-	refused.record().Refused = true
+	refused.record().IsInvalid = true
 	ended := r.markGone(refused, revision, at, change)
 	if isNews {
 		ended.addTo(change, false)
@@ -204,10 +204,10 @@
 func (r *lwwMap[K]) markGone(held K, revision uint64, at time.Time, change *Change) K {
 	ended := held.clone()
 	record := ended.record()
-	wasGone := record.Gone
+	wasGone := record.IsRemoved
 	record.Revision = max(record.Revision, revision)
 	if !wasGone {
-		record.Gone = true
+		record.IsRemoved = true
 		record.LearnedAt = at
 		r.gone[record.Key] = true
 	}
@@ -261,7 +261,7 @@
 			continue // stale: a later item holds the current state
 		}
 		entry := entryOf(now, held)
-		if record.Gone {
+		if record.IsRemoved {
 			removal := Entry{Key: entry.Key, Revision: entry.Revision, Age: entry.Age}
 			entry.Revision = record.Written
 			entries = append(entries, entry, removal)
--- a/internal/storeview/orders.go
+++ b/internal/storeview/orders.go
@@ -27,7 +27,7 @@
 	Zone string `cbor:"2,keyasint"`
 }
 
-// KnownOrder is the latest known state of an order; Gone means withdrawn.
+// KnownOrder is the latest known state of an order; IsRemoved means withdrawn.
 type KnownOrder struct {
 	Record
 	Order
@@ -35,16 +35,16 @@
 
 // States of an order.
 const (
-	StateInForce   = "in force"
+	StateActive    = "in force"
 	StateWithdrawn = "withdrawn"
 )
 
-// State returns StateInForce or StateWithdrawn.
+// State returns StateActive or StateWithdrawn.
 func (o *KnownOrder) State() string {
-	if o.Gone {
+	if o.IsRemoved {
 		return StateWithdrawn
 	}
-	return StateInForce
+	return StateActive
 }
 
 func (o *KnownOrder) clone() *KnownOrder {
@@ -52,7 +52,7 @@
 	return &clone
 }
 
-func (o *KnownOrder) supersedes(other *KnownOrder) bool { return o.Gone && !other.Gone }
+func (o *KnownOrder) supersedes(other *KnownOrder) bool { return o.IsRemoved && !other.IsRemoved }
 
 func (o *KnownOrder) identity() uint64 { return 0 }
 
--- a/internal/storeview/restoregrace.go
+++ b/internal/storeview/restoregrace.go
@@ -48,7 +48,7 @@
 // the same numbers.
 func (r *restoreGrace) isNewerThanBackup(earlier, restored uint64) bool {
 	isInBackup := EpochOf(restored) == r.epoch && restored <= r.startRevision
-	return r.isEarlierEpoch(earlier) && isInBackup && NumberOf(earlier) > NumberOf(restored)
+	return r.isEarlierEpoch(earlier) && isInBackup && ChangeNumberOf(earlier) > ChangeNumberOf(restored)
 }
 
 // deferEntry defers an entry of the restored store that conflicts with newer earlier state.
@@ -111,7 +111,7 @@
 func (r *lwwMap[K]) restoreEntries(now time.Time, revision uint64) []Entry {
 	var entries []Entry
 	if !r.grace.isEarlierEpoch(revision) {
-		entries = r.toEntries(now, r.index.upTo(RevisionIn(r.grace.epoch, 0)))
+		entries = r.toEntries(now, r.index.upTo(NewRevision(r.grace.epoch, 0)))
 	}
 	for _, key := range slices.Sorted(maps.Keys(r.deferred)) {
 		entries = append(entries, entryOf(now, r.deferred[key]))
@@ -128,7 +128,7 @@
 	for _, key := range slices.Sorted(maps.Keys(r.byKey)) {
 		held := r.byKey[key]
 		_, isDeferred := r.deferred[key]
-		if !isDeferred && EpochOf(held.record().Revision) < r.grace.epoch && !held.record().Gone {
+		if !isDeferred && EpochOf(held.record().Revision) < r.grace.epoch && !held.record().IsRemoved {
 			// The removal gets the epoch's first revision, so that a later backup with the entry is
 			// older.
 			r.markGone(held, r.grace.startRevision, now, change)
@@ -145,9 +145,9 @@
 	r.dropMissing(now, change)
 }
 
-// Settle ends the grace periods that are over. Everything that the store held at confirmedAt must
+// EndGracePeriods ends the grace periods that are over. Everything that the store held at confirmedAt must
 // be known: a daemon that was paused or partitioned may otherwise have missed rewritten entries.
-func (v *View) Settle(now, confirmedAt time.Time) Change {
+func (v *View) EndGracePeriods(now, confirmedAt time.Time) Change {
 	var change Change
 	r := v.grace
 	if !r.missingEndsAt.IsZero() && !confirmedAt.Before(r.missingEndsAt) {
--- a/internal/storeview/restoregrace_test.go
+++ b/internal/storeview/restoregrace_test.go
@@ -19,19 +19,19 @@
 // and d started.
 func newRestoredView() *View {
 	view := New(time.Minute)
-	view.MergeAll(testStart, []Entry{
+	view.MergeSnapshot(testStart, []Entry{
 		stateEntry("a", 12, true, 5), stateEntry("b", 3, false, 5), stateEntry("c", 14, false, 9), stateEntry("d", 15, false, 5), stateEntry("e", 5, false, 5),
 	}, 15)
 	view.Merge(testStart, []Entry{removalEntry("b", 16)})
 	view.AdvanceTo(20)
-	view.MergeAll(testStart, backupEntries(), RevisionIn(1, 10))
+	view.MergeSnapshot(testStart, backupEntries(), NewRevision(1, 10))
 	return view
 }
 
 func backupEntries() []Entry {
 	return []Entry{
-		stateEntry("a", RevisionIn(1, 2), false, 5), stateEntry("b", RevisionIn(1, 3), false, 5),
-		stateEntry("c", RevisionIn(1, 4), false, 5), stateEntry("e", RevisionIn(1, 5), false, 5),
+		stateEntry("a", NewRevision(1, 2), false, 5), stateEntry("b", NewRevision(1, 3), false, 5),
+		stateEntry("c", NewRevision(1, 4), false, 5), stateEntry("e", NewRevision(1, 5), false, 5),
 	}
 }
 
@@ -44,7 +44,7 @@
 }
 
 // finishRestore finishes the grace periods of a view that knows all that the store held at a time.
-func finishRestore(view *View, at time.Time) Change { return view.Settle(at, at) }
+func finishRestore(view *View, at time.Time) Change { return view.EndGracePeriods(at, at) }
 
 const (
 	statesBeforeRestore = "a draining 5; b gone 5; c open 9; d open 5; e open 5; "
@@ -52,16 +52,16 @@
 )
 
 func TestStateNewerThanBackupIsKeptDuringGrace(t *testing.T) {
-	grace := DefaultConfig().RestoredFor
+	grace := DefaultConfig().RestoreGrace
 	t.Run("newer state is kept", func(t *testing.T) {
 		view := newRestoredView()
 		assert.Equal(t, statesOf(view), statesBeforeRestore)
-		finishRestore(view, testStart.Add(DefaultConfig().RewrittenWithin-1))
+		finishRestore(view, testStart.Add(DefaultConfig().RewriteGrace-1))
 		assert.Equal(t, statesOf(view), statesBeforeRestore)
 	})
 	t.Run("an entry not rewritten in time counts as removed", func(t *testing.T) {
 		view := newRestoredView()
-		finishRestore(view, testStart.Add(DefaultConfig().RewrittenWithin))
+		finishRestore(view, testStart.Add(DefaultConfig().RewriteGrace))
 		assert.Equal(t, statesOf(view), "a draining 5; b gone 5; c open 9; d gone 5; e open 5; ")
 		finishRestore(view, testStart.Add(grace-1))
 		assert.Equal(t, statesOf(view), "a draining 5; b gone 5; c open 9; d gone 5; e open 5; ")
@@ -74,18 +74,18 @@
 	})
 	t.Run("a rewritten entry wins at once", func(t *testing.T) {
 		view := newRestoredView()
-		view.Merge(testStart, []Entry{stateEntry("b", RevisionIn(1, 11), false, 5), removalEntry("d", RevisionIn(1, 12))})
+		view.Merge(testStart, []Entry{stateEntry("b", NewRevision(1, 11), false, 5), removalEntry("d", NewRevision(1, 12))})
 		assert.Equal(t, statesOf(view), "a draining 5; b open 5; c open 9; d gone 5; e open 5; ")
 	})
 	t.Run("an expired entry of the backup does not come back", func(t *testing.T) {
 		view := newRestoredView()
-		view.Merge(testStart, []Entry{removalEntry("b", RevisionIn(1, 11))})
+		view.Merge(testStart, []Entry{removalEntry("b", NewRevision(1, 11))})
 		finishRestore(view, testStart.Add(grace))
 		assert.Equal(t, view.Target("b").State(), StateGone)
 	})
 	t.Run("a later list removes expired entries", func(t *testing.T) {
 		view := newRestoredView()
-		view.MergeAll(testStart, backupEntries()[2:], RevisionIn(1, 13))
+		view.MergeSnapshot(testStart, backupEntries()[2:], NewRevision(1, 13))
 		finishRestore(view, testStart.Add(grace))
 		assert.Equal(t, statesOf(view), "a gone 5; b gone 5; c open 5; d gone 5; e open 5; ")
 	})
@@ -95,11 +95,11 @@
 // expiry, not only the target's state from the earlier epoch.
 func TestExpiryFromBackupReachesPeers(t *testing.T) {
 	later := New(time.Minute)
-	later.MergeAll(testStart, []Entry{stateEntry("a", 12, true, 5), stateEntry("e", 5, false, 5)}, 15)
-	later.MergeAll(testStart, backupEntries()[3:], RevisionIn(1, 11))
+	later.MergeSnapshot(testStart, []Entry{stateEntry("a", 12, true, 5), stateEntry("e", 5, false, 5)}, 15)
+	later.MergeSnapshot(testStart, backupEntries()[3:], NewRevision(1, 11))
 	view := newRestoredView()
-	view.MergeAll(testStart, later.EntriesSince(testStart, 0, Held{}), later.Revision())
-	finishRestore(view, testStart.Add(DefaultConfig().RestoredFor))
+	view.MergeSnapshot(testStart, later.EntriesSince(testStart, 0, Held{}), later.Revision())
+	finishRestore(view, testStart.Add(DefaultConfig().RestoreGrace))
 	assert.Equal(t, view.Target("a").State(), StateGone)
 }
 
@@ -107,10 +107,10 @@
 // store.
 func TestRemovalBetweenListsOfRestoredStore(t *testing.T) {
 	early, late := newRestoredView(), New(time.Minute)
-	late.MergeAll(testStart, []Entry{stateEntry("e", 5, false, 5)}, 15)
-	late.MergeAll(testStart, nil, RevisionIn(1, 11))
+	late.MergeSnapshot(testStart, []Entry{stateEntry("e", 5, false, 5)}, 15)
+	late.MergeSnapshot(testStart, nil, NewRevision(1, 11))
 	assert.Equal(t, late.Target("e").State(), StateOpen, "it may have started after the backup was made")
-	early.MergeAll(testStart, late.EntriesSince(testStart, 0, Held{}), late.Revision())
+	early.MergeSnapshot(testStart, late.EntriesSince(testStart, 0, Held{}), late.Revision())
 	assert.Equal(t, early.Target("e").State(), StateGone)
 }
 
@@ -118,12 +118,12 @@
 // lacked.
 func TestStaleListOfRestoredStoreResurrectsNothing(t *testing.T) {
 	view := New(time.Minute)
-	view.MergeAll(testStart, []Entry{stateEntry("a", 12, true, 5), stateEntry("e", 5, false, 5)}, 15)
-	view.MergeAll(testStart, nil, RevisionIn(1, 11))
-	view.MergeAll(testStart, backupEntries(), RevisionIn(1, 5))
+	view.MergeSnapshot(testStart, []Entry{stateEntry("a", 12, true, 5), stateEntry("e", 5, false, 5)}, 15)
+	view.MergeSnapshot(testStart, nil, NewRevision(1, 11))
+	view.MergeSnapshot(testStart, backupEntries(), NewRevision(1, 5))
 	assert.Equal(t, view.Target("e").State(), StateGone)
 	assert.Equal(t, view.Target("a").State(), StateDraining)
-	finishRestore(view, testStart.Add(DefaultConfig().RestoredFor))
+	finishRestore(view, testStart.Add(DefaultConfig().RestoreGrace))
 	assert.Equal(t, view.Target("a").State(), StateGone)
 }
 
@@ -131,32 +131,32 @@
 // may have its address.
 func TestTombstoneOutlivesRestore(t *testing.T) {
 	view := New(time.Second)
-	view.MergeAll(testStart, []Entry{stateEntry("b", 3, false, 5), stateEntry("e", 5, false, 5)}, 15)
+	view.MergeSnapshot(testStart, []Entry{stateEntry("b", 3, false, 5), stateEntry("e", 5, false, 5)}, 15)
 	view.Merge(testStart, []Entry{removalEntry("b", 16)})
 	view.AdvanceTo(16)
 	now := testStart.Add(time.Second)
 	view.Expire(now)
 	assert.Assert(t, view.Target("b") == nil)
-	view.MergeAll(now, backupEntries()[1:2], RevisionIn(1, 10))
+	view.MergeSnapshot(now, backupEntries()[1:2], NewRevision(1, 10))
 	assert.Assert(t, view.Target("b") == nil)
 	started := New(time.Second)
-	started.MergeAll(now, view.EntriesSince(now, 0, Held{}), view.Revision())
+	started.MergeSnapshot(now, view.EntriesSince(now, 0, Held{}), view.Revision())
 	assert.Assert(t, started.Target("b") == nil, "a newly started daemon learns of the removal")
 	t.Run("a stale list after its removal from the restored store resurrects nothing", func(t *testing.T) {
 		listed := New(time.Second)
-		listed.MergeAll(testStart, []Entry{stateEntry("e", 5, false, 5)}, 15)
+		listed.MergeSnapshot(testStart, []Entry{stateEntry("e", 5, false, 5)}, 15)
 		listed.Merge(testStart, []Entry{removalEntry("b", 16)})
-		listed.MergeAll(now, nil, RevisionIn(1, 11))
-		listed.MergeAll(now, backupEntries()[1:2], RevisionIn(1, 3))
-		finishRestore(listed, now.Add(DefaultConfig().RestoredFor))
+		listed.MergeSnapshot(now, nil, NewRevision(1, 11))
+		listed.MergeSnapshot(now, backupEntries()[1:2], NewRevision(1, 3))
+		finishRestore(listed, now.Add(DefaultConfig().RestoreGrace))
 		assert.Assert(t, listed.Target("b") == nil)
 	})
 	t.Run("an expired entry stays removed", func(t *testing.T) {
-		started.MergeAll(now, nil, RevisionIn(1, 11))
-		finishRestore(started, now.Add(DefaultConfig().RestoredFor))
+		started.MergeSnapshot(now, nil, NewRevision(1, 11))
+		finishRestore(started, now.Add(DefaultConfig().RestoreGrace))
 		assert.Assert(t, started.Target("b") == nil)
 	})
-	finishRestore(view, now.Add(DefaultConfig().RestoredFor))
+	finishRestore(view, now.Add(DefaultConfig().RestoreGrace))
 	assert.Equal(t, view.Target("b").State(), StateOpen, "the store's content wins")
 }
 
@@ -164,22 +164,22 @@
 // restore from an older backup.
 func TestRemovalAtGraceEndSurvivesNextRestore(t *testing.T) {
 	view := newRestoredView()
-	now := testStart.Add(DefaultConfig().RestoredFor)
+	now := testStart.Add(DefaultConfig().RestoreGrace)
 	finishRestore(view, now)
 	assert.Equal(t, view.Target("d").State(), StateGone)
-	view.MergeAll(now, append(backupEntries(), stateEntry("d", RevisionIn(2, 9), false, 5)), RevisionIn(2, 9))
+	view.MergeSnapshot(now, append(backupEntries(), stateEntry("d", NewRevision(2, 9), false, 5)), NewRevision(2, 9))
 	assert.Equal(t, view.Target("d").State(), StateGone)
 }
 
 func TestOrderMissingFromBackupIsKept(t *testing.T) {
 	order := &Order{Kind: OrderEvacuate, Zone: "z"}
 	view := New(time.Minute)
-	view.MergeAll(testStart, []Entry{{Key: "given", Revision: 12, Order: order}, {Key: "withdrawn", Revision: 3, Order: order}}, 12)
+	view.MergeSnapshot(testStart, []Entry{{Key: "given", Revision: 12, Order: order}, {Key: "withdrawn", Revision: 3, Order: order}}, 12)
 	view.Merge(testStart, []Entry{removalEntry("withdrawn", 13)})
-	view.MergeAll(testStart, []Entry{{Key: "withdrawn", Revision: RevisionIn(1, 3), Order: order}}, RevisionIn(1, 10))
+	view.MergeSnapshot(testStart, []Entry{{Key: "withdrawn", Revision: NewRevision(1, 3), Order: order}}, NewRevision(1, 10))
 	assert.Equal(t, len(view.Orders()), 1)
 	assert.Equal(t, view.Orders()[0].Key, "given")
-	finishRestore(view, testStart.Add(DefaultConfig().RestoredFor))
+	finishRestore(view, testStart.Add(DefaultConfig().RestoreGrace))
 	assert.Equal(t, len(view.Orders()), 1)
 	assert.Equal(t, view.Orders()[0].Key, "withdrawn", "the store's content wins")
 }
@@ -189,9 +189,9 @@
 func TestRestoreConvergesOnEveryPath(t *testing.T) {
 	informed := newRestoredView()
 	full := func(view *View) {
-		view.MergeAll(testStart, informed.EntriesSince(testStart, 0, Held{}), informed.Revision())
+		view.MergeSnapshot(testStart, informed.EntriesSince(testStart, 0, Held{}), informed.Revision())
 	}
-	listed := func(view *View) { view.MergeAll(testStart, backupEntries(), RevisionIn(1, 10)) }
+	listed := func(view *View) { view.MergeSnapshot(testStart, backupEntries(), NewRevision(1, 10)) }
 	polled := func(view *View) {
 		view.Merge(testStart, informed.EntriesSince(testStart, view.Revision(), Held{}))
 		view.AdvanceTo(informed.Revision())
@@ -205,7 +205,7 @@
 				step(view)
 			}
 			assert.Equal(t, statesOf(view), statesBeforeRestore)
-			finishRestore(view, testStart.Add(DefaultConfig().RestoredFor))
+			finishRestore(view, testStart.Add(DefaultConfig().RestoreGrace))
 			assert.Equal(t, statesOf(view), statesInBackup)
 		})
 	}
@@ -221,7 +221,7 @@
 func (w *storeHistory) write(t *rapid.T, epoch uint64) {
 	w.number++
 	key := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key")
-	revision := RevisionIn(epoch, w.number)
+	revision := NewRevision(epoch, w.number)
 	var last *Entry
 	for index := range w.entries {
 		if w.entries[index].Key == key {
@@ -241,11 +241,11 @@
 // content returns the store's content after all writes.
 func (w *storeHistory) content() []Entry {
 	view := New(time.Hour)
-	view.MergeAll(testStart, nil, 0)
+	view.MergeSnapshot(testStart, nil, 0)
 	var entries []Entry
 	view.Merge(testStart, w.entries)
 	for _, target := range view.Targets() {
-		if !target.Gone {
+		if !target.IsRemoved {
 			described := target.Target
 			entries = append(entries, Entry{Key: target.Key, Revision: target.Revision, Target: &described})
 		}
@@ -263,7 +263,7 @@
 		}
 		restored := storeHistory{number: uint64(rapid.IntRange(0, int(before.number)).Draw(t, "in backup"))}
 		for _, entry := range before.entries[:restored.number] {
-			entry.Revision = RevisionIn(1, entry.Revision)
+			entry.Revision = NewRevision(1, entry.Revision)
 			restored.entries = append(restored.entries, entry)
 		}
 		views := make([]*View, 3)
@@ -272,7 +272,7 @@
 			known.entries = before.entries[:known.number]
 			views[index] = New(time.Hour)
 			if known.number > 0 {
-				views[index].MergeAll(testStart, known.content(), known.number)
+				views[index].MergeSnapshot(testStart, known.content(), known.number)
 			}
 		}
 		for range rapid.IntRange(0, 4).Draw(t, "changes after the restore") {
@@ -282,11 +282,11 @@
 		for index, view := range views {
 			if index > 0 && rapid.Bool().Draw(t, "is synced") {
 				sender := views[index-1]
-				view.MergeAll(now, sender.EntriesSince(now, 0, Held{}), sender.Revision())
+				view.MergeSnapshot(now, sender.EntriesSince(now, 0, Held{}), sender.Revision())
 			}
-			view.MergeAll(now, restored.content(), RevisionIn(1, restored.number))
+			view.MergeSnapshot(now, restored.content(), NewRevision(1, restored.number))
 		}
-		now = now.Add(DefaultConfig().RestoredFor)
+		now = now.Add(DefaultConfig().RestoreGrace)
 		expected := ""
 		for _, entry := range restored.content() {
 			expected += fmt.Sprintf("%s %v %d; ", entry.Key, entry.Target.Draining, entry.Target.Incarnation)
@@ -295,7 +295,7 @@
 			finishRestore(view, now)
 			held := ""
 			for _, target := range view.Targets() {
-				if !target.Gone {
+				if !target.IsRemoved {
 					held += fmt.Sprintf("%s %v %d; ", target.Key, target.Draining, target.Incarnation)
 				}
 			}
--- a/internal/storeview/revision.go
+++ b/internal/storeview/revision.go
@@ -10,16 +10,16 @@
 const numberBits = 40
 
 const (
-	// MostEpochs and MostChanges are the highest epoch and change number that a revision can hold.
-	MostEpochs  = 1<<(64-numberBits) - 1
-	MostChanges = 1<<numberBits - 1
+	// MaxEpoch and MaxChangeNumber are the highest epoch and change number that a revision can hold.
+	MaxEpoch        = 1<<(64-numberBits) - 1
+	MaxChangeNumber = 1<<numberBits - 1
 )
 
-// RevisionIn returns the revision of the change with a number in an epoch.
-func RevisionIn(epoch, number uint64) uint64 { return epoch<<numberBits | number&MostChanges }
+// NewRevision returns the revision of the change with a number in an epoch.
+func NewRevision(epoch, number uint64) uint64 { return epoch<<numberBits | number&MaxChangeNumber }
 
 // EpochOf returns the epoch of a revision, 0 if the store has no epochs.
 func EpochOf(revision uint64) uint64 { return revision >> numberBits }
 
-// NumberOf returns the change number of a revision within its epoch.
-func NumberOf(revision uint64) uint64 { return revision & MostChanges }
+// ChangeNumberOf returns the change number of a revision within its epoch.
+func ChangeNumberOf(revision uint64) uint64 { return revision & MaxChangeNumber }
--- a/internal/storeview/targets.go
+++ b/internal/storeview/targets.go
@@ -19,13 +19,13 @@
 )
 
 func newKnownTarget(record Record, target *Target) *KnownTarget {
-	return &KnownTarget{Record: record, Target: *target, WarmAt: record.LearnedAt.Add(target.ColdFor)}
+	return &KnownTarget{Record: record, Target: *target, WarmAt: record.LearnedAt.Add(target.SlowStartRemaining)}
 }
 
 // State returns StateOpen, StateDraining or StateGone.
 func (t *KnownTarget) State() string {
 	switch {
-	case t.Gone:
+	case t.IsRemoved:
 		return StateGone
 	case t.Draining:
 		return StateDraining
@@ -42,10 +42,10 @@
 	switch {
 	case t.Incarnation != other.Incarnation:
 		return t.Incarnation > other.Incarnation
-	case t.Gone:
-		return !other.Gone
+	case t.IsRemoved:
+		return !other.IsRemoved
 	}
-	return t.Draining && !other.Draining && !other.Gone
+	return t.Draining && !other.Draining && !other.IsRemoved
 }
 
 func (t *KnownTarget) identity() uint64 { return t.Identifier }
@@ -54,17 +54,17 @@
 
 func (t *KnownTarget) toEntry(now time.Time) Entry {
 	target := t.Target
-	target.ColdFor = max(0, t.WarmAt.Sub(now))
-	if !t.Gone {
+	target.SlowStartRemaining = max(0, t.WarmAt.Sub(now))
+	if !t.IsRemoved {
 		// The receiver counts from LearnedAt, which it derives from the entry's age.
-		target.ColdFor += max(0, now.Sub(t.LearnedAt))
+		target.SlowStartRemaining += max(0, now.Sub(t.LearnedAt))
 	}
 	return Entry{Target: &target}
 }
 
 func (t *KnownTarget) addTo(change *Change, hasNewState bool) {
 	change.Targets = true
-	change.Altered = append(change.Altered, t)
+	change.ChangedTargets = append(change.ChangedTargets, t)
 	if hasNewState {
 		change.addDetail(t.Key, t.State())
 	}
--- a/internal/storeview/tombstones_test.go
+++ b/internal/storeview/tombstones_test.go
@@ -11,11 +11,11 @@
 // hold them.
 func TestTombstonesOfUnknownEntriesReachPeers(t *testing.T) {
 	started := New(time.Minute)
-	started.MergeAll(testStart, []Entry{configurationEntry(5, 1)}, 5)
+	started.MergeSnapshot(testStart, []Entry{configurationEntry(5, 1)}, 5)
 	started.Merge(testStart, []Entry{removalEntry("a", 6)})
 	started.AdvanceTo(6)
 	peer := New(time.Minute)
-	peer.MergeAll(testStart, []Entry{configurationEntry(5, 1), targetEntry("a", 3)}, 5)
+	peer.MergeSnapshot(testStart, []Entry{configurationEntry(5, 1), targetEntry("a", 3)}, 5)
 	peer.Merge(testStart, started.EntriesSince(testStart, peer.Revision(), peer.Held()))
 	present, _ := stateOf(peer, "a")
 	assert.Assert(t, !present)
