--- a/internal/followed/gossip.go
+++ b/internal/followed/gossip.go
@@ -103,7 +103,7 @@
 // sent. After a pause of the process, when messages may have waited in the socket, the ages in
 // a digest are ignored.
 func (f *Fleet) handleDigest(now, sentAt time.Time, from netip.AddrPort, digest Digest) {
-	if !f.pause.MayBeOld(now) {
+	if !f.pause.MayBeStale(now) {
 		f.readerLease.merge(now, lease{rank: digest.Reader, renewedAt: sentAt.Add(-digest.ReaderAge)}, f.config.ReaderLeaseDuration)
 	}
 	if digest.Revision > 0 {
@@ -112,7 +112,7 @@
 	switch {
 	case digest.Revision > f.View().Revision() || digest.Version > f.View().Held().Version:
 		f.recordAhead(now, from, digest)
-	case digest.IsConfirmed && !f.pause.MayBeOld(now):
+	case digest.IsConfirmed && !f.pause.MayBeStale(now):
 		f.peerConfirmedAt = maxTime(f.peerConfirmedAt, sentAt.Add(-digest.Age))
 	}
 }
--- a/internal/followed/lease_test.go
+++ b/internal/followed/lease_test.go
@@ -66,7 +66,7 @@
 	fleet.isSeed = true
 	listing := fleet.Tick(testStart).Call
 	confirming := fleet.StepAnswer(testStart, answered(listing, 1, configurationEntry(1, 1))).Call
-	resumedAt := testStart.Add(2 * pause.After)
+	resumedAt := testStart.Add(2 * pause.Threshold)
 	fleet.StepAnswer(resumedAt, answered(confirming, 1))
 	assert.Equal(t, fleet.ConfirmedAt(), testStart)
 }
--- a/internal/followed/liveness.go
+++ b/internal/followed/liveness.go
@@ -102,7 +102,7 @@
 // handleLiveness handles reports on the liveness of targets. After a pause of the process they
 // are dropped: their ages count from when they were sent.
 func (f *Fleet) handleLiveness(now time.Time, messages []membership.DirectMessage, into *FleetOutput) {
-	if f.pause.MayBeOld(now) {
+	if f.pause.MayBeStale(now) {
 		return
 	}
 	for _, message := range messages {
--- a/internal/liveness/detector.go
+++ b/internal/liveness/detector.go
@@ -135,7 +135,7 @@
 // suspicions: refutations may have been missed, and a probe may have run into its timeout
 // only because of the pause.
 func (d *Detector) detectPause(now time.Time) {
-	if !d.pause.Note(now) {
+	if !d.pause.RecordStep(now) {
 		return
 	}
 	for _, suspected := range d.suspects {
--- a/internal/liveness/judge.go
+++ b/internal/liveness/judge.go
@@ -32,7 +32,7 @@
 // nobody refutes it in time.
 func (d *Detector) evaluate(now time.Time, directory Directory, subject Subject, suspected *suspect, output *Output) {
 	flows, retransmissions, since := suspected.sumEvidence()
-	if d.pause.MayBeOld(now) { // incoming reports are discarded now, refutations included
+	if d.pause.MayBeStale(now) { // incoming reports are discarded now, refutations included
 		return
 	}
 	if !d.isSufficient(suspected) || suspected.isDead(now) || !hasWorkingPath(directory, since) {
@@ -81,7 +81,7 @@
 // no target has callers at several daemons.
 func (d *Detector) evaluateLocally(now time.Time, directory Directory, subject Subject, suspected *suspect, output *Output) {
 	own, hasOwn := suspected.evidence[self]
-	if !hasOwn || d.pause.MayBeOld(now) || suspected.isDead(now) || !d.isInUnresponsiveZone(now, directory, subject) || !hasWorkingPath(directory, own.since) {
+	if !hasOwn || d.pause.MayBeStale(now) || suspected.isDead(now) || !d.isInUnresponsiveZone(now, directory, subject) || !hasWorkingPath(directory, own.since) {
 		return
 	}
 	if suspected.localProbe == probeNone {
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -12,15 +12,15 @@
 	l := New()
 	defer l.cancel()
 	start := time.Now()
-	l.NoteTick(start)
-	assert.Equal(t, l.StoodStill(start.Add(TickInterval)), time.Duration(0))
+	l.RecordTick(start)
+	assert.Equal(t, l.PausedFor(start.Add(TickInterval)), time.Duration(0))
 	resumed := start.Add(4 * time.Second)
-	assert.Equal(t, l.StoodStill(resumed), 4*time.Second)
-	l.NoteTick(resumed)
+	assert.Equal(t, l.PausedFor(resumed), 4*time.Second)
+	l.RecordTick(resumed)
 	for after := TickInterval; after < pauseBacklog; after += TickInterval {
-		l.NoteTick(resumed.Add(after))
-		assert.Equal(t, l.StoodStill(resumed.Add(after)), 4*time.Second)
+		l.RecordTick(resumed.Add(after))
+		assert.Equal(t, l.PausedFor(resumed.Add(after)), 4*time.Second)
 	}
-	l.NoteTick(resumed.Add(pauseBacklog))
-	assert.Equal(t, l.StoodStill(resumed.Add(pauseBacklog)), time.Duration(0))
+	l.RecordTick(resumed.Add(pauseBacklog))
+	assert.Equal(t, l.PausedFor(resumed.Add(pauseBacklog)), time.Duration(0))
 }
--- a/internal/node/data.go
+++ b/internal/node/data.go
@@ -59,7 +59,7 @@
 		}
 		n.plane.direct[entry.Service] = direct[index][0]
 	}
-	n.Waiting.Add(1)
+	n.Goroutines.Add(1)
 	go n.resendHandovers(backend[0])
 	n.startWorkers(backend, backendHandler{n.plane})
 	n.startWorkers(fabric, fabricHandler{n.plane})
@@ -138,7 +138,7 @@
 // resendHandovers steers again the handovers that were not acknowledged in time: to the next owner, or to the same one
 // if that has missed only a single acknowledgement.
 func (n *Node) resendHandovers(backend forwarding.Socket) {
-	defer n.Waiting.Done()
+	defer n.Goroutines.Done()
 	worker := forwarding.NewWorker(backend, backendHandler{n.plane}, &n.plane.counters.Counters)
 	wctx := newWorkerContext()
 	worker.Context = wctx
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -6,9 +6,9 @@
 import "time"
 
 const (
-	// After is the maximum time between two steps that does not count as a pause. Daemons tick several
+	// Threshold is the maximum time between two steps that does not count as a pause. Daemons tick several
 	// times as often.
-	After = 400 * time.Millisecond
+	Threshold = 400 * time.Millisecond
 	// backlogDuration is how long after a pause received messages may have waited during it.
 	backlogDuration = 300 * time.Millisecond
 )
@@ -19,8 +19,8 @@
 	staleUntil time.Time
 }
 
-// Note records the start of a step and reports whether the process was paused before it.
-func (d *Detector) Note(now time.Time) bool {
+// RecordStep records the start of a step and reports whether the process was paused before it.
+func (d *Detector) RecordStep(now time.Time) bool {
 	wasPaused := d.isOverdue(now)
 	d.lastStep = now
 	if wasPaused {
@@ -29,10 +29,12 @@
 	return wasPaused
 }
 
-// MayBeOld reports whether a message received now may have waited during a pause. It also detects a
+// MayBeStale reports whether a message received now may have waited during a pause. It also detects a
 // pause before the first step after it.
-func (d *Detector) MayBeOld(now time.Time) bool { return now.Before(d.staleUntil) || d.isOverdue(now) }
+func (d *Detector) MayBeStale(now time.Time) bool {
+	return now.Before(d.staleUntil) || d.isOverdue(now)
+}
 
 func (d *Detector) isOverdue(now time.Time) bool {
-	return !d.lastStep.IsZero() && now.Sub(d.lastStep) > After
+	return !d.lastStep.IsZero() && now.Sub(d.lastStep) > Threshold
 }
--- a/internal/storenode/liveness.go
+++ b/internal/storenode/liveness.go
@@ -96,7 +96,7 @@
 	n.link.send(n.fleet.LivenessDatagrams(output.Reports))
 	for _, probe := range output.Probes {
 		if address, found := table.AddressOf(probe.Target); found {
-			n.Waiting.Add(1)
+			n.Goroutines.Add(1)
 			go n.probe(probe, address)
 		}
 	}
@@ -104,7 +104,7 @@
 
 // probe checks whether a target accepts TCP connections. It sends no data on them.
 func (n *Node) probe(probe liveness.Probe, address netip.AddrPort) {
-	defer n.Waiting.Done()
+	defer n.Goroutines.Done()
 	timeout := probeTimeout
 	if probe.IsEarly {
 		timeout = earlyProbeTimeout
--- a/internal/storenode/overload_queue_test.go
+++ b/internal/storenode/overload_queue_test.go
@@ -64,7 +64,7 @@
 	cfg := newTestSettings(0)
 	cfg.Data.Held = maxQueued
 	plane := &overloadedPlane{socket: &recordingSocket{}}
-	plane.tokenPlane = newTokenPlane(cfg, sequenceCodec{}, plane.socket, logr.Discard(), loop.New().StoodStill)
+	plane.tokenPlane = newTokenPlane(cfg, sequenceCodec{}, plane.socket, logr.Discard(), loop.New().PausedFor)
 	view := storeview.New(time.Minute)
 	view.Merge(now, []storeview.Entry{
 		{Key: "config", Revision: 1, Configuration: &storeview.Configuration{
--- a/internal/storenode/targets_only_test.go
+++ b/internal/storenode/targets_only_test.go
@@ -39,7 +39,7 @@
 	store := &targetsOnlyStore{target: storeview.Target{Identifier: 77, Service: "s", Address: site.targetAddress(), Zone: "zone", Slots: 2}}
 	cfg := newTestSettings(1)
 	cfg.Limits.Link = 10
-	node, err := Start(cfg, logr.Discard(), Parts{
+	node, err := Start(cfg, logr.Discard(), Dependencies{
 		Store: store, Codec: testCodec{}, Reload: func() (settings.Followed, error) { return cfg, nil },
 	})
 	assert.NilError(t, err)
