--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -14,8 +14,8 @@
 	ErrNotLeader = eris.New("this replica is not the leader")
 	// ErrVotersChanging: the last change of voters, or an entry of this term, is not committed yet.
 	ErrVotersChanging = eris.New("a change of voters is in progress")
-	// ErrVotersStep: the change does not add or remove exactly one voter.
-	ErrVotersStep = eris.New("voters must be added or removed one at a time")
+	// ErrNotSingleVoterChange: the change does not add or remove exactly one voter.
+	ErrNotSingleVoterChange = eris.New("voters must be added or removed one at a time")
 )
 
 func (r *Replica) becomeLeader(now time.Time) {
@@ -76,7 +76,7 @@
 		return Output{}, ErrVotersChanging
 	}
 	if len(voters) == 0 || votersDistance(r.Voters(), voters) != 1 {
-		return Output{}, ErrVotersStep
+		return Output{}, ErrNotSingleVoterChange
 	}
 	r.appendEntry(now, Entry{Kind: EntryVoters, Voters: slices.Clone(voters)})
 	return r.takeOutput(), nil
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -228,7 +228,7 @@
 		c.handleUpdate(now, message.Update)
 	case message.MembersRequest != nil:
 		c.handleMembershipOutput(now, c.group.Merge(now, []membership.Member{message.MembersRequest.Self}))
-		if lacking := c.group.Lacking(message.MembersRequest.Fingerprints); len(lacking) > 0 {
+		if lacking := c.group.MissingFrom(message.MembersRequest.Fingerprints); len(lacking) > 0 {
 			c.send(from, PeerMessage{Members: &Members{Known: lacking}})
 		}
 	case message.Members != nil:
@@ -334,7 +334,7 @@
 
 func (c *Core) reportInvalid(err error) {
 	if err != nil {
-		c.addEvent(EventUnreadable, err.Error())
+		c.addEvent(EventInvalidUpdate, err.Error())
 	}
 }
 
--- a/internal/control/formation.go
+++ b/internal/control/formation.go
@@ -111,7 +111,7 @@
 	}
 	c.addEvent(kind, c.self.String())
 	c.output.ConfigurationChanged = true
-	c.handleConsensusOutput(now, c.replica.Found(now, epoch, version.Index, state))
+	c.handleConsensusOutput(now, c.replica.Bootstrap(now, epoch, version.Index, state))
 }
 
 // Recover founds a new group with a higher epoch number from this daemon's active configuration, after
--- a/internal/control/lease.go
+++ b/internal/control/lease.go
@@ -63,7 +63,7 @@
 		c.lease.isExpired = expired
 		kind := EventLeaseRenewed
 		if expired {
-			kind = EventLeaseOver
+			kind = EventLeaseExpired
 		}
 		c.addEvent(kind, "")
 	}
--- a/internal/control/message.go
+++ b/internal/control/message.go
@@ -170,8 +170,8 @@
 	EventLeaderLost     EventKind = "stopped leading"
 	EventVotersChanged  EventKind = "voters changed"
 	EventConflict       EventKind = "peer is in a conflicting group"
-	EventUnreadable     EventKind = "invalid configuration update"
-	EventLeaseOver      EventKind = "lease expired"
+	EventInvalidUpdate  EventKind = "invalid configuration update"
+	EventLeaseExpired   EventKind = "lease expired"
 	EventLeaseRenewed   EventKind = "lease renewed"
 	EventGroupRecovered EventKind = "group recovered by force"
 )
--- a/internal/followed/liveness.go
+++ b/internal/followed/liveness.go
@@ -45,7 +45,7 @@
 	var datagrams []membership.Datagram
 	send := func(to []netip.AddrPort, reports []liveness.Report) {
 		for batch := range slices.Chunk(reports, maxReportsPerDatagram) {
-			datagrams = append(datagrams, f.group.Tell(to, encode(batch))...)
+			datagrams = append(datagrams, f.group.DirectDatagrams(to, encode(batch))...)
 		}
 	}
 	for _, address := range order {
--- a/internal/followed/relays.go
+++ b/internal/followed/relays.go
@@ -132,5 +132,5 @@
 	if len(to) == 0 || !f.directLimiter.allow(now) {
 		return
 	}
-	f.directDatagrams = append(f.directDatagrams, f.group.TellNews(to, payload)...)
+	f.directDatagrams = append(f.directDatagrams, f.group.BroadcastDatagrams(to, payload)...)
 }
--- a/internal/followed/serve.go
+++ b/internal/followed/serve.go
@@ -47,7 +47,7 @@
 		delta.Entries, delta.Until = view.EntriesSince(now, since, pull.Held), view.Revision()
 	}
 	if pull.Fingerprints != nil {
-		delta.Members = f.group.Lacking(pull.Fingerprints)
+		delta.Members = f.group.MissingFrom(pull.Fingerprints)
 	}
 	if pull.Requester.Identity.Address.IsValid() {
 		f.informedPeers.add(pull.Requester.Identity.Address)
--- a/internal/membership/reconcile.go
+++ b/internal/membership/reconcile.go
@@ -38,9 +38,9 @@
 	return packed
 }
 
-// Lacking returns the members whose fingerprints are not in packed: those that the peer with these
+// MissingFrom returns the members whose fingerprints are not in packed: those that the peer with these
 // fingerprints does not know, or knows in another state. They are ordered by identity.
-func (g *Group) Lacking(packed []byte) []Member {
+func (g *Group) MissingFrom(packed []byte) []Member {
 	known := make(map[[fingerprintSize]byte]bool, len(packed)/fingerprintSize)
 	for ; len(packed) >= fingerprintSize; packed = packed[fingerprintSize:] {
 		known[[fingerprintSize]byte(packed)] = true
