--- a/internal/forwarding/worker.go
+++ b/internal/forwarding/worker.go
@@ -16,9 +16,9 @@
 	BatchSize = 64
 	// Headroom is the free space, in bytes, before each datagram read, for a longer header.
 	Headroom = 384
-	// MaximumDatagram is the size of the read buffer in bytes; datagrams that fill it are dropped. It exceeds an
-	// Ethernet frame with an encapsulation header.
-	MaximumDatagram = 2048
+	// MaxDatagramSize is the size of the read buffer in bytes; datagrams that fill it are dropped. It
+	// exceeds an Ethernet frame with an encapsulation header.
+	MaxDatagramSize = 2048
 
 	retryAfterError = time.Millisecond
 )
@@ -77,7 +77,7 @@
 	worker.incoming = make([]ipv4.Message, BatchSize)
 	worker.buffers = make([][]byte, BatchSize)
 	for index := range worker.incoming {
-		worker.buffers[index] = make([]byte, Headroom+MaximumDatagram)
+		worker.buffers[index] = make([]byte, Headroom+MaxDatagramSize)
 		worker.incoming[index].Buffers = [][]byte{worker.buffers[index][Headroom:]}
 	}
 	return worker
@@ -173,7 +173,7 @@
 
 func (w *Worker) handleOne(index int, inbound *Inbound) {
 	message := &w.incoming[index]
-	if message.N >= MaximumDatagram {
+	if message.N >= MaxDatagramSize {
 		w.counters.Oversized.Add(1)
 		return
 	}
--- a/internal/node/forwarding_bench_test.go
+++ b/internal/node/forwarding_bench_test.go
@@ -136,7 +136,7 @@
 func countArrivals(sink forwarding.Socket, arrived chan<- int) {
 	messages := make([]ipv4.Message, forwarding.BatchSize)
 	for index := range messages {
-		messages[index].Buffers = [][]byte{make([]byte, forwarding.MaximumDatagram)}
+		messages[index].Buffers = [][]byte{make([]byte, forwarding.MaxDatagramSize)}
 	}
 	for {
 		count, err := sink.ReadBatch(messages, 0)
--- a/internal/storenode/decision_log.go
+++ b/internal/storenode/decision_log.go
@@ -25,12 +25,12 @@
 // limit per reason.
 type decisionLog struct {
 	log              logr.Logger
-	budget           *telemetry.Budget
+	budget           *telemetry.LogLimiter
 	nextSuppressedAt time.Time
 }
 
 func newDecisionLog(log logr.Logger) *decisionLog {
-	return &decisionLog{log: log, budget: telemetry.NewBudget(int(token.ReasonCount), logLinesPerSecond, logLineBurst)}
+	return &decisionLog{log: log, budget: telemetry.NewLogLimiter(int(token.ReasonCount), logLinesPerSecond, logLineBurst)}
 }
 
 var actionNames = map[token.Action]string{
@@ -77,7 +77,7 @@
 	}
 	l.nextSuppressedAt = now.Add(suppressedInterval)
 	for reason := range token.ReasonCount {
-		if count := l.budget.TakeLeftOut(int(reason)); count > 0 {
+		if count := l.budget.TakeSuppressed(int(reason)); count > 0 {
 			l.log.Info(messageSuppressed, telemetry.FieldReason, reason.String(), telemetry.FieldCount, count)
 		}
 	}
--- a/internal/storenode/liveness.go
+++ b/internal/storenode/liveness.go
@@ -78,7 +78,7 @@
 		n.counters().dead.Add(1)
 		n.log.Info(messageDead,
 			telemetry.FieldTarget, strconv.FormatUint(verdict.Subject.Target, 16),
-			telemetry.FieldSpan, verdict.Silence.String(),
+			telemetry.FieldDuration, verdict.Silence.String(),
 			telemetry.FieldReporters, verdict.Reporters,
 			telemetry.FieldEvidence, verdict.Retransmissions,
 			telemetry.FieldCount, reset,
@@ -91,7 +91,7 @@
 		n.log.Info(messageAlive, telemetry.FieldTarget, strconv.FormatUint(target, 16))
 	}
 	for _, verdict := range output.UnresponsiveZones {
-		n.log.Info(messageUnresponsiveZone, telemetry.FieldZone, verdict.Subject.Zone, telemetry.FieldSpan, verdict.Silence.String())
+		n.log.Info(messageUnresponsiveZone, telemetry.FieldZone, verdict.Subject.Zone, telemetry.FieldDuration, verdict.Silence.String())
 	}
 	n.link.send(n.fleet.LivenessDatagrams(output.Reports))
 	for _, probe := range output.Probes {
--- a/internal/storenode/liveness_test.go
+++ b/internal/storenode/liveness_test.go
@@ -78,8 +78,8 @@
 			nodetest.WaitFor(t, "the log line", func() bool { return lines.contains(messageIdleReset) })
 			assert.Assert(t, lines.contains(token.ReasonDeadTargetIdle.String()), "log line of the flow")
 			status, _ := node.Status()
-			assert.Equal(t, status.Flows.ResetAtRest, uint64(1))
-			assert.Equal(t, status.Flows.Held, 0)
+			assert.Equal(t, status.Flows.ResetIdle, uint64(1))
+			assert.Equal(t, status.Flows.Tracked, 0)
 		})
 	}
 }
--- a/internal/storenode/overload.go
+++ b/internal/storenode/overload.go
@@ -13,7 +13,7 @@
 	"github.com/passtray/passtray/internal/telemetry"
 )
 
-func newBuilder(cfg settings.Followed) *token.Builder {
+func newBuilder(cfg settings.StoreNode) *token.Builder {
 	builder := token.NewBuilder(cfg.Data.Retention)
 	builder.SetOverload(overload.Config(cfg.Overload))
 	return builder
@@ -223,7 +223,7 @@
 		}
 		if load.isLimited {
 			n.loggedLimited[load.service] = true
-			n.log.Info("targets reject requests, limiting requests in progress", telemetry.FieldService, load.service, telemetry.FieldBound, load.limit)
+			n.log.Info("targets reject requests, limiting requests in progress", telemetry.FieldService, load.service, telemetry.FieldLimit, load.limit)
 			continue
 		}
 		delete(n.loggedLimited, load.service)
@@ -235,7 +235,7 @@
 	status := []telemetry.LoadStatus{}
 	for _, load := range n.plane.serviceLoads(now) {
 		status = append(status, telemetry.LoadStatus{
-			Service: load.service, Preferred: load.preferred, Ordinary: load.ordinary, IsBounded: load.isLimited, Bound: load.limit,
+			Service: load.service, Preferred: load.preferred, Ordinary: load.ordinary, IsLimited: load.isLimited, Limit: load.limit,
 		})
 	}
 	return status
--- a/internal/storenode/overload_test.go
+++ b/internal/storenode/overload_test.go
@@ -36,7 +36,7 @@
 	load := overloadService(t, node, 100)
 	nodetest.WaitFor(t, "the limit, which applies once shares are known", func() bool {
 		status, _ := node.Status()
-		return status.Loads[0].IsBounded
+		return status.Loads[0].IsLimited
 	})
 	site.send(t, 0, 0, kindFirst)
 	reset := receive(t, site.caller)
--- a/internal/storenode/targets_only_test.go
+++ b/internal/storenode/targets_only_test.go
@@ -40,7 +40,7 @@
 	cfg := newTestSettings(1)
 	cfg.Limits.Link = 10
 	node, err := Start(cfg, logr.Discard(), Dependencies{
-		Store: store, Codec: testCodec{}, Reload: func() (settings.Followed, error) { return cfg, nil },
+		Store: store, Codec: testCodec{}, Reload: func() (settings.StoreNode, error) { return cfg, nil },
 	})
 	assert.NilError(t, err)
 	t.Cleanup(node.Kill)
