--- a/internal/lab/storelab/caller.go
+++ b/internal/lab/storelab/caller.go
@@ -206,5 +206,5 @@
 // send hands a packet to the router.
 func (c *caller) send(flow *callerFlow, packet token.Packet, payload []byte) {
 	packet.Source, packet.Destination = flow.name.Caller, flow.name.Route
-	c.forward(flow.name, platform.PacketCodec{}.Write(&packet, payload))
+	c.forward(flow.name, platform.PacketCodec{}.Encode(&packet, payload))
 }
--- a/internal/lab/storelab/target.go
+++ b/internal/lab/storelab/target.go
@@ -81,7 +81,7 @@
 
 func (t *target) handlePacket(datagram []byte) {
 	codec := platform.PacketCodec{}
-	intended, datagram, ok := codec.Meant(datagram)
+	intended, datagram, ok := codec.ParseAddressed(datagram)
 	var packet token.Packet
 	if !ok || intended != 0 && intended != t.identifier || !codec.Parse(datagram, &packet) {
 		return
@@ -147,6 +147,6 @@
 // send writes directly to a flow's caller, bypassing the daemons.
 func (t *target) send(name Flow, packet token.Packet, payload []byte) {
 	packet.Source, packet.Destination = name.Route, name.Caller
-	datagram := platform.PacketCodec{}.Write(&packet, payload)
+	datagram := platform.PacketCodec{}.Encode(&packet, payload)
 	_, _ = t.socket.WriteToUDPAddrPort(datagram, netip.AddrPortFrom(name.Caller.Addr(), t.callerPort)) // treated as packet loss
 }
