--- a/internal/simulation/balance.go
+++ b/internal/simulation/balance.go
@@ -14,8 +14,8 @@
 type BalancePolicy string
 
 const (
-	// PolicyWhole is the policy of daemons.
-	PolicyWhole BalancePolicy = "passtray"
+	// PolicyFull is the policy of daemons.
+	PolicyFull BalancePolicy = "passtray"
 	// PolicyNoReports uses only the daemon's own picks, PolicyNoPicks only the targets' reports.
 	PolicyNoReports BalancePolicy = "without reports"
 	PolicyNoPicks   BalancePolicy = "without own picks"
@@ -27,7 +27,7 @@
 
 // BalancePolicies returns all policies in the order of result tables.
 func BalancePolicies() []BalancePolicy {
-	return []BalancePolicy{PolicyWhole, PolicyNoReports, PolicyNoPicks, PolicyRandom, PolicyModulo, PolicyRendezvous}
+	return []BalancePolicy{PolicyFull, PolicyNoReports, PolicyNoPicks, PolicyRandom, PolicyModulo, PolicyRendezvous}
 }
 
 // BalanceConfig describes a load and the reports that daemons get of it.
--- a/internal/simulation/coldstart_test.go
+++ b/internal/simulation/coldstart_test.go
@@ -169,7 +169,7 @@
 		t.Skip("1,000 daemons take minutes under the race detector; a seeded model has no races")
 	}
 	run := newColdStart(1, 1000, largeTargets, followed.FleetConfigFor(8*time.Second))
-	run.Store.PageLength = 12
+	run.Store.PageSize = 12
 	run.Links.TargetBytes = 16 * targetBytes // 600 targets are as large as 10,000
 	run.Links.SnapshotBytes = 300 << 10
 	run.Links.ConfigurationBytes = 20 << 10
--- a/internal/simulation/dead_targets_test.go
+++ b/internal/simulation/dead_targets_test.go
@@ -25,24 +25,24 @@
 	switch r.random.IntN(7) {
 	case 0:
 		lossy := r.random.IntN(flowDaemons)
-		r.LossAt = func(daemon int) float64 {
+		r.LossProbability = func(daemon int) float64 {
 			return []float64{0, 0.3}[boolToInt(daemon == lossy || daemon == (lossy+1)%flowDaemons)]
 		}
-		r.Clock.After(duration, func() { r.LossAt = nil })
+		r.Clock.After(duration, func() { r.LossProbability = nil })
 	case 1:
-		r.CutFrom = func(from int, to *FlowTarget) bool { return from == daemon && to == target }
-		r.Clock.After(duration, func() { r.CutFrom = nil })
+		r.IsCutOff = func(from int, to *FlowTarget) bool { return from == daemon && to == target }
+		r.Clock.After(duration, func() { r.IsCutOff = nil })
 	case 2:
-		r.CutFrom = func(from int, _ *FlowTarget) bool { return from == daemon || from == (daemon+1)%flowDaemons }
-		r.Clock.After(duration, func() { r.CutFrom = nil })
+		r.IsCutOff = func(from int, _ *FlowTarget) bool { return from == daemon || from == (daemon+1)%flowDaemons }
+		r.Clock.After(duration, func() { r.IsCutOff = nil })
 	case 3:
 		r.Pause(daemon, duration)
 	case 4:
 		target.Hangs = true
 		r.Clock.After(duration, func() { target.Hangs = false })
 	case 5:
-		r.AnswerAfter = duration / 2
-		r.Clock.After(duration, func() { r.AnswerAfter = 0 })
+		r.ResponseTime = duration / 2
+		r.Clock.After(duration, func() { r.ResponseTime = 0 })
 	case 6:
 		r.restart(daemon, duration/3)
 	}
@@ -58,7 +58,7 @@
 // violationsWithoutDeadTargets runs a schedule without dead targets and returns the violations.
 func violationsWithoutDeadTargets(seed uint64, config liveness.Config, suppressRefutations bool) []string {
 	run := startFlowRun(seed)
-	run.Liveness, run.NobodyObjects = config, suppressRefutations
+	run.Liveness, run.SuppressRefutations = config, suppressRefutations
 	for index := range run.paths {
 		*run.paths[index] = dataPath{generation: -1}
 	}
@@ -101,21 +101,21 @@
 
 // notificationDelays crashes three targets at once. It returns how long callers with open flows to
 // them waited for a reset, or until the end of the run.
-func notificationDelays(seed uint64, notify ToldWhen) []time.Duration {
+func notificationDelays(seed uint64, notify NotificationMode) []time.Duration {
 	run := startFlowRun(seed)
-	run.Told = notify
+	run.Notification = notify
 	for range 10 * flowsPerSecond {
 		run.beginFlow()
 		run.Clock.Advance(time.Second / flowsPerSecond)
 	}
-	run.Waits = nil
+	run.ResetDelays = nil
 	crashed := map[*FlowTarget]bool{}
 	for _, target := range run.activeTargets["roster"][:3] {
 		run.CrashTarget(target)
 		crashed[target] = true
 	}
 	run.simulateFor(3)
-	waits := run.Waits
+	waits := run.ResetDelays
 	for _, flow := range run.flows {
 		if flow.Opened && !flow.Ended && crashed[flow.Target] {
 			waits = append(waits, run.Clock.Now().Sub(flow.requestedAt))
@@ -127,8 +127,8 @@
 // TestCallersOfDeadTargetsAreNotifiedQuickly compares three modes of notification.
 func TestCallersOfDeadTargetsAreNotifiedQuickly(t *testing.T) {
 	t.Parallel()
-	median := map[ToldWhen]time.Duration{}
-	for _, notify := range []ToldWhen{ToldAtVerdict, ToldAtPacket, ToldNever} {
+	median := map[NotificationMode]time.Duration{}
+	for _, notify := range []NotificationMode{NotifyAtVerdict, NotifyAtNextPacket, NotifyNever} {
 		var waits []time.Duration
 		for seed := range uint64(5) {
 			waits = append(waits, notificationDelays(seed, notify)...)
@@ -138,9 +138,9 @@
 		median[notify] = waits[len(waits)/2]
 		t.Logf("mode %d: %d callers, half notified within %s, nine tenths within %s", notify, len(waits), median[notify], waits[len(waits)*9/10])
 	}
-	assert.Assert(t, median[ToldAtVerdict] <= median[ToldAtPacket])
-	assert.Assert(t, median[ToldAtVerdict] < 1200*time.Millisecond)
-	assert.Assert(t, median[ToldNever] > 2*time.Second)
+	assert.Assert(t, median[NotifyAtVerdict] <= median[NotifyAtNextPacket])
+	assert.Assert(t, median[NotifyAtVerdict] < 1200*time.Millisecond)
+	assert.Assert(t, median[NotifyNever] > 2*time.Second)
 }
 
 // TestIdleTargetOfUnresponsiveZoneKeepsItsFlows crashes all other targets of a zone while the
@@ -157,7 +157,7 @@
 		idle := zone[0]
 		for _, flow := range run.flows {
 			if flow.Target == idle && !flow.Ended {
-				flow.RestUntil = run.Clock.Now().Add(2 * time.Second)
+				flow.IdleUntil = run.Clock.Now().Add(2 * time.Second)
 			}
 		}
 		run.DrainTarget(idle)
@@ -195,14 +195,14 @@
 		}
 		run.Clock.Advance(time.Second)
 		run.simulateFor(4)
-		run.Waits = nil
+		run.ResetDelays = nil
 		for _, target := range slices.Concat(run.activeTargets["roster"], run.activeTargets["ledger"]) {
 			if target.Zone == testZones[0] {
 				run.CrashTarget(target)
 			}
 		}
 		run.simulateFor(2)
-		waits = append(waits, run.Waits...)
+		waits = append(waits, run.ResetDelays...)
 	}
 	slices.Sort(waits)
 	assert.Assert(t, len(waits) > 60, "%d callers were notified", len(waits))
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -70,7 +70,7 @@
 		fleet.Submit(int(seed%7), createService("one", 1), func(r control.ProposalResult) { result = r })
 		fleet.Clock.Advance(3 * time.Second)
 		assert.Equal(t, result.Status, control.ProposalDecided, "seed %d", seed)
-		lowest, highest := fleet.RevisionsInForce()
+		lowest, highest := fleet.RevisionRange()
 		assert.Equal(t, lowest, uint64(1), "seed %d", seed)
 		assert.Equal(t, highest, uint64(1))
 		fleet.assertNoViolations(t)
@@ -100,7 +100,7 @@
 			}
 			fleet.Clock.Advance(15 * time.Second)
 		}
-		lowest, highest := fleet.RevisionsInForce()
+		lowest, highest := fleet.RevisionRange()
 		assert.Equal(t, accepted, 4, "seed %d", seed)
 		assert.Equal(t, lowest, highest, "seed %d", seed)
 		assert.Equal(t, int(highest), 4, "seed %d", seed)
@@ -250,7 +250,7 @@
 		history := runHistory(fleet, 60*time.Second)
 		assert.Assert(t, countAccepted(history) > 5, "seed %d: only %d of %d calls were accepted", seed, countAccepted(history), len(history))
 		assert.Assert(t, porcupine.CheckOperations(casModel, history), "seed %d: the history is not linearizable", seed)
-		lowest, highest := fleet.RevisionsInForce()
+		lowest, highest := fleet.RevisionRange()
 		assert.Equal(t, lowest, highest, "seed %d: after the faults every daemon must have caught up", seed)
 		for _, violation := range fleet.Violations {
 			t.Errorf("seed %d: %s", seed, violation)
--- a/internal/simulation/flows_checks.go
+++ b/internal/simulation/flows_checks.go
@@ -9,7 +9,7 @@
 // handleReset handles a reset that a daemon sent to a caller. An open flow to a live target may be
 // reset only if its route was removed.
 func (m *FlowModel) handleReset(flow *Flow, reason token.Reason) {
-	isOpen := flow.Opened && !flow.Ended && flow.Target.isServing() && !m.Frozen[flow.Target]
+	isOpen := flow.Opened && !flow.Ended && flow.Target.isServing() && !m.PausedTargets[flow.Target]
 	if isOpen && m.hasKeptRoute(flow) {
 		m.recordViolation("FLOW: an open flow to target %s was reset: %s", flow.Target.Key, reason)
 	}
@@ -17,7 +17,7 @@
 		m.Resets++
 	}
 	if flow.Opened && !flow.Ended && !flow.requestedAt.IsZero() {
-		m.Waits = append(m.Waits, m.Clock.Now().Sub(flow.requestedAt))
+		m.ResetDelays = append(m.ResetDelays, m.Clock.Now().Sub(flow.requestedAt))
 	}
 	flow.Ended = true
 }
@@ -25,7 +25,7 @@
 // hasKeptRoute reports whether a flow's address has had a route since the flow began.
 func (m *FlowModel) hasKeptRoute(flow *Flow) bool {
 	since, isListed := m.routedSince[flow.Route]
-	return isListed && !since.After(flow.BegunAt)
+	return isListed && !since.After(flow.StartedAt)
 }
 
 // checkForwarded checks that a daemon doesn't drop a packet of an open flow if it knows the target
@@ -40,8 +40,8 @@
 
 // isUndisturbed reports whether bounds apply to a daemon.
 func (m *FlowModel) isUndisturbed(daemon int) bool {
-	isCutOff := m.OutOfTouch != nil && m.OutOfTouch(daemon)
-	return !isCutOff && m.Clock.Now().Sub(m.Daemons[daemon].TroubledAt) >= 4*time.Second
+	isCutOff := m.IsIsolated != nil && m.IsIsolated(daemon)
+	return !isCutOff && m.Clock.Now().Sub(m.Daemons[daemon].DisturbedAt) >= 4*time.Second
 }
 
 func (m *FlowModel) checkRoute(flow *Flow, daemon int, target *FlowTarget, sentAt time.Time) {
@@ -78,5 +78,5 @@
 
 // StoreIsStable reports whether the store has been healthy for long enough for bounds to apply.
 func (m *FlowModel) StoreIsStable() bool {
-	return m.Store.State == StoreWell && m.Clock.Now().Sub(m.Store.TroubledAt) >= 4*time.Second
+	return m.Store.State == StoreHealthy && m.Clock.Now().Sub(m.Store.DisturbedAt) >= 4*time.Second
 }
--- a/internal/simulation/flows_liveness.go
+++ b/internal/simulation/flows_liveness.go
@@ -9,20 +9,20 @@
 	"github.com/passtray/passtray/internal/steering/token"
 )
 
-// ToldWhen selects when callers of a dead target are notified.
-type ToldWhen uint8
+// NotificationMode selects when callers of a dead target are notified.
+type NotificationMode uint8
 
-// Times of notification. Daemons use ToldAtVerdict.
+// Times of notification. Daemons use NotifyAtVerdict.
 const (
-	// ToldAtVerdict resets all flows that a daemon knows when it finds their target dead, and other
+	// NotifyAtVerdict resets all flows that a daemon knows when it finds their target dead, and other
 	// flows on their next packet.
-	ToldAtVerdict ToldWhen = iota
-	// ToldIfWaiting resets flows with a pending request, and other flows on their next packet.
-	ToldIfWaiting
-	// ToldAtPacket resets flows on their next packet.
-	ToldAtPacket
-	// ToldNever resets nothing; callers run into their timeouts.
-	ToldNever
+	NotifyAtVerdict NotificationMode = iota
+	// NotifyIfPending resets flows with a pending request, and other flows on their next packet.
+	NotifyIfPending
+	// NotifyAtNextPacket resets flows on their next packet.
+	NotifyAtNextPacket
+	// NotifyNever resets nothing; callers run into their timeouts.
+	NotifyNever
 )
 
 // livenessDirectory implements liveness.Directory for a daemon.
@@ -65,7 +65,7 @@
 	for _, verdict := range output.Dead {
 		m.noteVerdict(verdict.Subject.Target)
 		path.table.SetDead(verdict.Subject.Target, verdict.Until, verdict.Until)
-		if m.Told > ToldIfWaiting {
+		if m.Notification > NotifyIfPending {
 			continue
 		}
 		isDead := func(target uint64) bool { return path.table.IsDead(m.Clock.Now(), target) }
@@ -80,7 +80,7 @@
 	for _, probe := range output.Probes {
 		m.probe(index, probe)
 	}
-	if m.NobodyObjects {
+	if m.SuppressRefutations {
 		output.Reports = slices.DeleteFunc(output.Reports, func(report liveness.Outgoing) bool { return report.Kind == liveness.Alive })
 	}
 	for _, datagram := range m.Daemons[index].Core.LivenessDatagrams(output.Reports) {
@@ -90,19 +90,19 @@
 
 // resetIdle resets the idle flows to dead targets that a daemon knows.
 func (m *FlowModel) resetIdle(path *dataPath) {
-	if m.Told != ToldAtVerdict {
+	if m.Notification != NotifyAtVerdict {
 		return
 	}
 	isDead := func(target uint32) bool { return m.shouldResetIdle(path, target) }
 	for _, idle := range path.requests.TakeIdle(isDead, flowTableSize) {
-		m.Resting++
+		m.IdleResets++
 		m.reset(idle.Source, idle.Token)
 	}
 }
 
 // shouldResetIdle reports whether idle flows to a target are to be reset.
 func (m *FlowModel) shouldResetIdle(path *dataPath, target uint32) bool {
-	return m.AllRestAtDead || path.table.IsTokenDead(m.Clock.Now(), target)
+	return m.ResetAllIdle || path.table.IsTokenDead(m.Clock.Now(), target)
 }
 
 // notificationBound is the time from the first detection of a dead target until all its idle flows
@@ -118,15 +118,15 @@
 }
 
 // noteRequest counts a request sent to a dead target on an open flow, which is lost if it can't be
-// retried. LostAfter counts those sent later than notificationBound after the detection.
+// retried. LostAfterVerdict counts those sent later than notificationBound after the detection.
 func (m *FlowModel) noteRequest(flow *Flow) {
 	if !flow.Opened || flow.Target.Alive {
 		return
 	}
-	m.Lost++
+	m.LostRequests++
 	declaredDeadAt, isKnown := m.declaredDeadAt[flow.Target.Identifier]
 	if isKnown && m.Clock.Now().Sub(declaredDeadAt) > notificationBound {
-		m.LostAfter++
+		m.LostAfterVerdict++
 	}
 }
 
@@ -142,8 +142,8 @@
 	generation := m.Daemons[index].generation
 	hasAnswered := false
 	for _, target := range m.targets {
-		isCut := m.CutFrom != nil && m.CutFrom(index, target)
-		if target.Identifier == probe.Target && target.Alive && !m.Frozen[target] && !isCut && !m.isLost(index) && !m.isLost(index) && !m.NobodyObjects {
+		isCut := m.IsCutOff != nil && m.IsCutOff(index, target)
+		if target.Identifier == probe.Target && target.Alive && !m.PausedTargets[target] && !isCut && !m.isLost(index) && !m.isLost(index) && !m.SuppressRefutations {
 			hasAnswered = true
 		}
 	}
--- a/internal/simulation/flows_targets.go
+++ b/internal/simulation/flows_targets.go
@@ -47,7 +47,7 @@
 		Identifier: target.Identifier, Service: target.Service, Address: target.Address,
 		Zone: target.Zone, Slots: 2, Draining: draining,
 	}
-	if !m.RunsAlike {
+	if !m.OmitIncarnations {
 		entry.Incarnation = uint64(target.startedAt.UnixMilli())
 	}
 	m.Store.Put(storeview.Entry{Key: target.Key, Target: entry})
@@ -70,9 +70,9 @@
 	m.Clock.After(drainBound+500*time.Millisecond, func() { m.stopTarget(target) })
 }
 
-// LapseTarget removes a target's entry as on expiry. The target registers again later if it is
+// ExpireTarget removes a target's entry as on expiry. The target registers again later if it is
 // alive and not leaving.
-func (m *FlowModel) LapseTarget(target *FlowTarget, renewAfter time.Duration) {
+func (m *FlowModel) ExpireTarget(target *FlowTarget, renewAfter time.Duration) {
 	if !target.LeavingAt.IsZero() {
 		return
 	}
@@ -131,6 +131,6 @@
 
 // WithdrawZone withdraws the order.
 func (m *FlowModel) WithdrawZone(zone string) {
-	m.Store.Withdraw(zone)
+	m.Store.WithdrawEvacuation(zone)
 	delete(m.evacuated, zone)
 }
--- a/internal/simulation/flows_unrouted.go
+++ b/internal/simulation/flows_unrouted.go
@@ -20,9 +20,9 @@
 	}
 }
 
-// Stray sends each daemon a packet of an unknown flow with a bound token that is not valid at the
+// SendStray sends each daemon a packet of an unknown flow with a bound token that is not valid at the
 // address. No daemon may forward it.
-func (m *FlowModel) Stray(caller, route netip.AddrPort, boundToken uint32) {
+func (m *FlowModel) SendStray(caller, route netip.AddrPort, boundToken uint32) {
 	for index := range m.paths {
 		path := m.path(index)
 		if path == nil {
--- a/internal/simulation/idle_flows_test.go
+++ b/internal/simulation/idle_flows_test.go
@@ -14,9 +14,9 @@
 const pooledMaxIdle = 3 * time.Second
 
 // startPooledRun starts a run with flows that are reused for many requests.
-func startPooledRun(seed uint64, notify ToldWhen) *flowRun {
+func startPooledRun(seed uint64, notify NotificationMode) *flowRun {
 	run := startFlowRun(seed)
-	run.Told = notify
+	run.Notification = notify
 	run.beginPooled(200)
 	run.simulateFor(4)
 	return run
@@ -24,7 +24,7 @@
 
 func (r *flowRun) beginPooled(count int) {
 	for range count {
-		r.beginFlow().Pause = pooledMaxIdle
+		r.beginFlow().MaxIdle = pooledMaxIdle
 	}
 }
 
@@ -63,9 +63,9 @@
 func TestIdleFlowsOfDeadTargetsAreReset(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, seed uint64) {
-		run := startPooledRun(seed, ToldAtVerdict)
+		run := startPooledRun(seed, NotifyAtVerdict)
 		run.simulateCrashes(false)
-		assert.Equal(t, run.LostAfter, 0, "seed %d: of %d lost", seed, run.Lost)
+		assert.Equal(t, run.LostAfterVerdict, 0, "seed %d: of %d lost", seed, run.LostRequests)
 		assert.Equal(t, len(run.Violations), 0, "seed %d: %v", seed, run.Violations)
 	})
 }
@@ -74,26 +74,26 @@
 // with a pending request are reset.
 func TestRequestsAreLostWithoutResetsOfIdleFlows(t *testing.T) {
 	t.Parallel()
-	after := map[ToldWhen]int{}
-	for _, notify := range []ToldWhen{ToldAtVerdict, ToldIfWaiting} {
+	after := map[NotificationMode]int{}
+	for _, notify := range []NotificationMode{NotifyAtVerdict, NotifyIfPending} {
 		lost := 0
 		for seed := range uint64(5) {
 			run := startPooledRun(seed, notify)
 			run.simulateCrashes(false)
-			lost += run.Lost
-			after[notify] += run.LostAfter
+			lost += run.LostRequests
+			after[notify] += run.LostAfterVerdict
 		}
 		t.Logf("mode %d: %d requests lost, %d after the verdict", notify, lost, after[notify])
 	}
-	assert.Equal(t, after[ToldAtVerdict], 0)
-	assert.Assert(t, after[ToldIfWaiting] > 50)
+	assert.Equal(t, after[NotifyAtVerdict], 0)
+	assert.Assert(t, after[NotifyIfPending] > 50)
 }
 
 // TestNoIdleFlowOfLiveTargetIsReset crashes targets while others only look dead.
 func TestNoIdleFlowOfLiveTargetIsReset(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, seed uint64) {
-		run := startPooledRun(seed, ToldAtVerdict)
+		run := startPooledRun(seed, NotifyAtVerdict)
 		run.simulateCrashes(true)
 		assert.Equal(t, len(run.Violations), 0, "seed %d: %v", seed, run.Violations)
 	})
@@ -102,8 +102,8 @@
 // TestCheckDetectsResetOfIdleFlow has daemons take live targets for dead.
 func TestCheckDetectsResetOfIdleFlow(t *testing.T) {
 	t.Parallel()
-	run := startPooledRun(1, ToldAtVerdict)
-	run.AllRestAtDead = true
+	run := startPooledRun(1, NotifyAtVerdict)
+	run.ResetAllIdle = true
 	run.crashTargets()
 	run.simulateFor(2)
 	assert.Assert(t, hasViolation(run, "FLOW"), "%v", run.Violations)
@@ -115,9 +115,9 @@
 	t.Parallel()
 	found := 0
 	for seed := range uint64(5) {
-		run := startPooledRun(seed, ToldAtVerdict)
+		run := startPooledRun(seed, NotifyAtVerdict)
 		run.Liveness = hastyConfig()
-		run.NobodyObjects = true
+		run.SuppressRefutations = true
 		run.rebuildPaths()
 		run.simulateCrashes(true)
 		found += len(run.Violations)
@@ -144,9 +144,9 @@
 func TestVerdictReachesDaemonThatMissedItsDatagram(t *testing.T) {
 	t.Parallel()
 	for _, seed := range []uint64{238, 283, 344, 347, 372, 378} {
-		run := startPooledRun(seed, ToldAtVerdict)
+		run := startPooledRun(seed, NotifyAtVerdict)
 		run.simulateCrashes(false)
-		assert.Equal(t, run.LostAfter, 0, "seed %d: of %d lost", seed, run.Lost)
+		assert.Equal(t, run.LostAfterVerdict, 0, "seed %d: of %d lost", seed, run.LostRequests)
 	}
 }
 
@@ -164,7 +164,7 @@
 // has a caller, and another one judges the target and loses both of its probes.
 func TestTwoLossyDaemonsDeclareNoTargetDead(t *testing.T) {
 	t.Parallel()
-	run := startPooledRun(760, ToldAtVerdict)
+	run := startPooledRun(760, NotifyAtVerdict)
 	run.simulateCrashes(true)
 	assert.Equal(t, len(run.Violations), 0, "%v", run.Violations)
 }
--- a/internal/simulation/links.go
+++ b/internal/simulation/links.go
@@ -34,18 +34,18 @@
 	Store  float64
 	Daemon func(daemon int) float64
 	// ConfigurationBytes and TargetBytes are the sizes of entries in the store's responses.
-	// GivenUpBytes are transferred of a response that exceeds the reader's limit before the reader
+	// AbortedBytes are transferred of a response that exceeds the reader's limit before the reader
 	// aborts it.
 	ConfigurationBytes int64
 	TargetBytes        int64
-	GivenUpBytes       int64
+	AbortedBytes       int64
 	// SnapshotBytes is the size of a snapshot sent between daemons. A daemon whose link has a
-	// backlog of at least BusyAfter serves no further peer.
+	// backlog of at least BusyBacklog serves no further peer.
 	SnapshotBytes int64
-	BusyAfter     time.Duration
+	BusyBacklog   time.Duration
 
-	// Given counts the snapshot bytes that each daemon sent to peers.
-	Given map[int]int64
+	// SentBytes counts the snapshot bytes that each daemon sent to peers.
+	SentBytes map[int]int64
 
 	store   link
 	daemons map[int]*link
@@ -62,9 +62,9 @@
 			}
 			return 2.5e6
 		},
-		ConfigurationBytes: 300 << 10, TargetBytes: 300, GivenUpBytes: 64 << 10,
-		SnapshotBytes: 64 << 10, BusyAfter: 100 * time.Millisecond,
-		Given: map[int]int64{}, daemons: map[int]*link{},
+		ConfigurationBytes: 300 << 10, TargetBytes: 300, AbortedBytes: 64 << 10,
+		SnapshotBytes: 64 << 10, BusyBacklog: 100 * time.Millisecond,
+		SentBytes: map[int]int64{}, daemons: map[int]*link{},
 	}
 }
 
@@ -97,7 +97,7 @@
 	bytes := l.answerBytes(answer)
 	if call.MaxBytes > 0 && bytes > call.MaxBytes {
 		*answer = followed.Answer{Number: answer.Number, Outcome: followed.OutcomeTooLarge, Bytes: bytes}
-		return l.store.transfer(now, l.GivenUpBytes)
+		return l.store.transfer(now, l.AbortedBytes)
 	}
 	answer.Bytes = bytes
 	return max(l.store.transfer(now, bytes), l.daemonLink(daemon).transfer(now, bytes))
@@ -105,7 +105,7 @@
 
 // isBusy reports whether a daemon's link is too busy to serve another peer.
 func (l *Links) isBusy(now time.Time, daemon int) bool {
-	return l.daemonLink(daemon).backlog(now) >= l.BusyAfter
+	return l.daemonLink(daemon).backlog(now) >= l.BusyBacklog
 }
 
 // transferDelta transfers a delta from a peer over both links and returns the time it takes. Only
@@ -114,6 +114,6 @@
 	if delta.Since > 0 || len(delta.Entries) == 0 {
 		return 0
 	}
-	l.Given[from] += l.SnapshotBytes
+	l.SentBytes[from] += l.SnapshotBytes
 	return max(l.daemonLink(from).transfer(now, l.SnapshotBytes), l.daemonLink(to).transfer(now, l.SnapshotBytes))
 }
--- a/internal/simulation/orders_test.go
+++ b/internal/simulation/orders_test.go
@@ -27,7 +27,7 @@
 	case !slices.Contains(r.Store.Evacuated(), zone):
 		r.Store.Evacuate(zone)
 	case r.random.IntN(3) > 0:
-		r.Store.Withdraw(zone)
+		r.Store.WithdrawEvacuation(zone)
 	default:
 		r.Store.Evacuate(zone) // rewrites the order
 	}
@@ -58,11 +58,11 @@
 		run.Store.Evacuate(testZones[0])
 		run.Store.Evacuate(testZones[1])
 		run.Clock.Advance(convergenceBound)
-		run.Store.State = StoreSilent
-		run.Store.Withdraw(testZones[0])
-		run.Store.Forget()
+		run.Store.State = StoreUnresponsive
+		run.Store.WithdrawEvacuation(testZones[0])
+		run.Store.Compact()
 		run.Clock.Advance(2 * time.Second)
-		run.Store.State = StoreWell
+		run.Store.State = StoreHealthy
 		run.Clock.Advance(2 * convergenceBound)
 		run.verifyConverged()
 		assert.Equal(t, len(run.Violations), 0, "seed %d: %v", seed, run.Violations)
@@ -78,9 +78,9 @@
 		run.Store.Evacuate(testZones[0])
 		run.Store.Evacuate(testZones[1])
 		run.Clock.Advance(convergenceBound)
-		run.Store.Withdraw(testZones[1])
+		run.Store.WithdrawEvacuation(testZones[1])
 		run.Clock.Advance(convergenceBound)
-		run.Store.State = StoreSilent
+		run.Store.State = StoreUnresponsive
 		killed := run.random.Perm(testDaemons)[:testDaemons/2]
 		for _, daemon := range killed {
 			run.restart(daemon, 500*time.Millisecond)
--- a/internal/simulation/overload.go
+++ b/internal/simulation/overload.go
@@ -12,10 +12,10 @@
 type OverloadConfig struct {
 	Daemons int
 	Targets int
-	// Bounds enables admission control in the daemons.
-	Bounds bool
-	// BelievedDaemons, if not 0, is the fleet size that each daemon assumes.
-	BelievedDaemons int
+	// AdmissionControl enables admission control in the daemons.
+	AdmissionControl bool
+	// AssumedDaemons, if not 0, is the fleet size that each daemon assumes.
+	AssumedDaemons int
 	// SlowShare of the targets take four times as long; DeadShare of them are known to be dead.
 	SlowShare, DeadShare float64
 	// Load is the offered load relative to the capacity of all targets at their usual speed during
@@ -27,18 +27,18 @@
 
 // OverloadResult holds the counts of a run.
 type OverloadResult struct {
-	// Asked and Served count requests by rank.
-	Asked, Served [2]int
-	// Arrivals counts requests that reached targets, TurnedAway those of them that the target
+	// Requested and Served count requests by rank.
+	Requested, Served [2]int
+	// Arrivals counts requests that reached targets, Rejected those of them that the target
 	// rejected, and Refused those that daemons refused.
-	Arrivals, TurnedAway, Refused int
-	// RefusedAfter counts those refused more than a second after the burst.
-	RefusedAfter int
+	Arrivals, Rejected, Refused int
+	// RefusedAfterBurst counts those refused more than a second after the burst.
+	RefusedAfterBurst int
 }
 
 // Share returns the share of a rank's requests that were served.
 func (r *OverloadResult) Share(rank overload.Rank) float64 {
-	return float64(r.Served[rank]) / float64(max(1, r.Asked[rank]))
+	return float64(r.Served[rank]) / float64(max(1, r.Requested[rank]))
 }
 
 // Behaviour of targets and callers.
@@ -113,7 +113,7 @@
 
 func (o *overloadRun) newDaemon() *overloadDaemon {
 	bounds := overload.DefaultConfig()
-	bounds.Enabled = o.config.Bounds
+	bounds.Enabled = o.config.AdmissionControl
 	daemon := &overloadDaemon{controller: overload.New(bounds), queue: overload.NewQueue[*overloadCall](512)}
 	now, slots := o.clock.Now(), 0
 	for index := range o.targets {
@@ -133,8 +133,8 @@
 }
 
 func (o *overloadRun) assumedDaemons() int {
-	if o.config.BelievedDaemons > 0 {
-		return o.config.BelievedDaemons
+	if o.config.AssumedDaemons > 0 {
+		return o.config.AssumedDaemons
 	}
 	return o.config.Daemons
 }
@@ -160,7 +160,7 @@
 		if o.random.Float64() < overloadPreferredShare {
 			call.rank = overload.Preferred
 		}
-		o.result.Asked[call.rank]++
+		o.result.Requested[call.rank]++
 		o.attempt(call, true)
 		o.scheduleArrivals()
 	})
@@ -195,7 +195,7 @@
 	default:
 		o.result.Refused++
 		if now.After(o.burstEnds().Add(time.Second)) {
-			o.result.RefusedAfter++
+			o.result.RefusedAfterBurst++
 		}
 		o.retry(call)
 	}
@@ -273,7 +273,7 @@
 		o.result.Served[call.rank]++
 		daemon.controller.RecordResponse(now, overloadRoute, overloadResponseBytes)
 	} else {
-		o.result.TurnedAway++
+		o.result.Rejected++
 		daemon.controller.RecordResponse(now, overloadRoute, overloadRejectionBytes)
 		signal.RecordOverdue(now, 8)
 	}
--- a/internal/simulation/overload_test.go
+++ b/internal/simulation/overload_test.go
@@ -12,14 +12,14 @@
 
 // newOverloadConfig returns a load on 120 targets with a burst of 4 s.
 func newOverloadConfig(daemons int, load, slow float64) OverloadConfig {
-	return OverloadConfig{Daemons: daemons, Targets: 120, Bounds: true, Load: load, SlowShare: slow, Burst: 4 * time.Second, Seed: 1}
+	return OverloadConfig{Daemons: daemons, Targets: 120, AdmissionControl: true, Load: load, SlowShare: slow, Burst: 4 * time.Second, Seed: 1}
 }
 
 // runBoth runs a load with and without admission control.
 func runBoth(t *testing.T, config OverloadConfig) (bounded, unbounded OverloadResult) {
 	t.Helper()
 	bounded = Overload(config)
-	config.Bounds = false
+	config.AdmissionControl = false
 	unbounded = Overload(config)
 	t.Log("bounded:", bounded.String())
 	t.Log("unbounded:", unbounded.String())
@@ -28,7 +28,7 @@
 
 func (r *OverloadResult) String() string {
 	return fmt.Sprintf("preferred %.3f ordinary %.3f served %d rejected %d of %d, refused %d, %d after the burst",
-		r.Share(overload.Preferred), r.Share(overload.Ordinary), r.total(), r.TurnedAway, r.Arrivals, r.Refused, r.RefusedAfter)
+		r.Share(overload.Preferred), r.Share(overload.Ordinary), r.total(), r.Rejected, r.Arrivals, r.Refused, r.RefusedAfterBurst)
 }
 
 func (r *OverloadResult) total() int {
@@ -48,10 +48,10 @@
 			bounded, unbounded := runBoth(t, newOverloadConfig(daemons, 1.2, 0.3))
 			assert.Assert(t, unbounded.Share(overload.Preferred) < 0.85)
 			assert.Assert(t, bounded.Share(overload.Preferred) > 0.96)
-			assert.Assert(t, bounded.TurnedAway*4 < unbounded.TurnedAway)
+			assert.Assert(t, bounded.Rejected*4 < unbounded.Rejected)
 			assert.Assert(t, float64(bounded.total()) > 0.95*float64(unbounded.total()), "targets are left idle")
 			assert.Assert(t, bounded.Share(overload.Ordinary) > 0.5, "ordinary requests are starved")
-			assert.Assert(t, bounded.RefusedAfter*100 < bounded.Refused, "retries sustain the overload")
+			assert.Assert(t, bounded.RefusedAfterBurst*100 < bounded.Refused, "retries sustain the overload")
 		})
 	}
 }
@@ -95,10 +95,10 @@
 	for _, believed := range []int{44, 176} {
 		t.Run(fmt.Sprint(believed, " of 88"), func(t *testing.T) {
 			config := newOverloadConfig(88, 1.2, 0.3)
-			config.BelievedDaemons = believed
+			config.AssumedDaemons = believed
 			bounded, unbounded := runBoth(t, config)
 			assert.Assert(t, bounded.Share(overload.Preferred) > unbounded.Share(overload.Preferred)+0.1)
-			assert.Assert(t, bounded.TurnedAway*2 < unbounded.TurnedAway)
+			assert.Assert(t, bounded.Rejected*2 < unbounded.Rejected)
 			assert.Assert(t, float64(bounded.total()) > 0.92*float64(unbounded.total()))
 		})
 	}
--- a/internal/simulation/readers_test.go
+++ b/internal/simulation/readers_test.go
@@ -82,7 +82,7 @@
 	}
 	required := r.Store.RevisionAt(now.Add(-updateBound))
 	for index, daemon := range r.Daemons {
-		isUp := daemon.Core != nil && now.Sub(daemon.TroubledAt) >= updateBound && !daemon.PausedUntil.After(now)
+		isUp := daemon.Core != nil && now.Sub(daemon.DisturbedAt) >= updateBound && !daemon.PausedUntil.After(now)
 		if isUp && daemon.Core.View().Revision() < required {
 			r.recordViolation("daemon %d is at revision %d, but revision %d was acknowledged %s ago", index, daemon.Core.View().Revision(), required, updateBound)
 		}
--- a/internal/simulation/recovery_test.go
+++ b/internal/simulation/recovery_test.go
@@ -48,7 +48,7 @@
 		fleet.Start(voters[0])
 		fleet.Start(voters[1])
 		fleet.Clock.Advance(15 * time.Second)
-		lowest, highest := fleet.RevisionsInForce()
+		lowest, highest := fleet.RevisionRange()
 		assert.Equal(t, lowest, highest, "seed %d: every daemon must follow the recovered group", seed)
 		assert.Assert(t, highest >= 2)
 		assert.Equal(t, len(fleet.voters()), 3, "seed %d", seed)
@@ -75,7 +75,7 @@
 			assert.Equal(t, result.Status, control.ProposalDecided, "seed %d, daemon %d", seed, index)
 		}
 		fleet.Clock.Advance(10 * time.Second)
-		lowest, highest := fleet.RevisionsInForce()
+		lowest, highest := fleet.RevisionRange()
 		assert.Equal(t, lowest, uint64(7), "seed %d", seed)
 		assert.Equal(t, highest, uint64(7), "seed %d", seed)
 		fleet.assertNoViolations(t)
@@ -135,7 +135,7 @@
 	assert.Assert(t, decided == 3 || decided == 4, "%d daemons had a change accepted, want those of exactly one side", decided)
 	fleet.Cut = nil
 	fleet.Clock.Advance(40 * time.Second)
-	lowest, highest := fleet.RevisionsInForce()
+	lowest, highest := fleet.RevisionRange()
 	assert.Equal(t, lowest, highest)
 	assert.Equal(t, int(highest), decided)
 	assert.Equal(t, fleet.countLeaders(), 1)
--- a/internal/simulation/speedload.go
+++ b/internal/simulation/speedload.go
@@ -15,10 +15,10 @@
 // occasional requests, and requests on a flow of their own.
 type SpeedLoadConfig struct {
 	Daemons, Targets int
-	// Speeds are assigned to the targets in turn. Fleet is the number of daemons in all zones,
+	// Speeds are assigned to the targets in turn. FleetDaemons is the number of daemons in all zones,
 	// which share the capacity of the targets.
-	Speeds []float64
-	Fleet  int
+	Speeds       []float64
+	FleetDaemons int
 	// Feeds is the number of long-lived flows, which last FeedLife on average. Their requests
 	// follow FeedPause after the last response and take FeedWork of a slot.
 	Feeds               int
@@ -31,15 +31,15 @@
 	LateShare float64
 	// Queue is the number of requests that a target queues before it rejects others.
 	Queue int
-	// Learns enables the learning and gossip of speeds. Liars is the number of daemons that report
+	// LearnSpeeds enables the learning and gossip of speeds. Liars is the number of daemons that report
 	// the targets to be four times as fast and four times as slow in turn.
-	Learns bool
-	Liars  int
+	LearnSpeeds bool
+	Liars       int
 	// SlowTargets, the first ones, work at a quarter of their speed from SlowFrom until SlowUntil.
-	// With IsCold they have just started then and are known to be in slow start.
+	// With IsSlowStart they have just started then and are known to be in slow start.
 	SlowTargets         int
 	SlowFrom, SlowUntil time.Duration
-	IsCold              bool
+	IsSlowStart         bool
 	// Measurements begin at From.
 	From, Span time.Duration
 	Seed       uint64
@@ -47,7 +47,7 @@
 
 // SpeedLoadResult holds the measurements from SpeedLoadConfig.From on.
 type SpeedLoadResult struct {
-	Arrivals, TurnedAway int
+	Arrivals, Rejected int
 	// BusiestToMean is the ratio of the maximum to the mean work of a target.
 	BusiestToMean float64
 	P50, P99      time.Duration
@@ -158,7 +158,7 @@
 	daemon.speeds.Tick(now)
 	for range zoneGossipFanout {
 		var speedMessage []byte
-		if s.config.Learns {
+		if s.config.LearnSpeeds {
 			speedMessage = daemon.speeds.Message(now)
 		}
 		message := append(daemon.loads.MessageWithin(now, loadshare.MaxMessageBytes-len(speedMessage)), speedMessage...)
@@ -175,19 +175,19 @@
 			open = totals[loadshare.MarkOf(zoneToken(index))]
 		}
 		signal.SetOpenFlows(open)
-		if estimate, isKnown := estimates[loadshare.MarkOf(zoneToken(index))]; isKnown && s.config.Learns {
+		if estimate, isKnown := estimates[loadshare.MarkOf(zoneToken(index))]; isKnown && s.config.LearnSpeeds {
 			signal.SetSpeed(now, estimate.Speed)
 		}
 	}
 	s.clock.After(zoneGossipInterval, func() { s.gossip(daemon) })
 }
 
-// scaleSpeeds scales the speed of the first targets. With IsCold, daemons also see them in slow
+// scaleSpeeds scales the speed of the first targets. With IsSlowStart, daemons also see them in slow
 // start.
 func (s *speedLoad) scaleSpeeds(factor float64) {
 	for index := range s.config.SlowTargets {
 		s.targets[index].speed *= factor
-		if !s.config.IsCold || factor > 1 {
+		if !s.config.IsSlowStart || factor > 1 {
 			continue
 		}
 		for _, daemon := range s.daemons {
@@ -200,7 +200,7 @@
 // later.
 func (s *speedLoad) pick(daemon *speedDaemon, then func(index int)) {
 	now := s.clock.Now()
-	request := balance.Request{Now: now, Zone: zoneName, LeaseHeld: true, PrefersZone: true, KnowsOpenFlows: true, Daemons: s.config.Fleet}
+	request := balance.Request{Now: now, Zone: zoneName, LeaseHeld: true, PrefersZone: true, KnowsOpenFlows: true, Daemons: s.config.FleetDaemons}
 	index := balance.Pick(&request, daemon.candidates, s.random)
 	if index < 0 {
 		s.clock.After(10*time.Millisecond, func() { s.pick(daemon, then) })
@@ -262,7 +262,7 @@
 	}
 	if target.busy >= slotsPerTarget && len(target.queue) >= s.config.Queue {
 		if isMeasured {
-			s.result.TurnedAway++
+			s.result.Rejected++
 		}
 		s.clock.After(speedRoundTrip, func() { done(false) })
 		return
--- a/internal/simulation/speedload_test.go
+++ b/internal/simulation/speedload_test.go
@@ -16,10 +16,10 @@
 // the usual load, and for 0.7 at five times that.
 func speedLoadAt(daemons int, load float64) SpeedLoadConfig {
 	return SpeedLoadConfig{
-		Daemons: daemons, Targets: 30, Speeds: unequalSpeeds, Fleet: 4 * daemons,
+		Daemons: daemons, Targets: 30, Speeds: unequalSpeeds, FleetDaemons: 4 * daemons,
 		Feeds: int(60 * load), FeedLife: 8 * time.Second, FeedPause: 220 * time.Millisecond, FeedWork: 30 * time.Millisecond,
 		FreshPerSecond: 62 * load, FreshWork: 39 * time.Millisecond,
-		LateShare: 0.02, Queue: 8, Learns: true, From: 10 * time.Second, Span: 25 * time.Second, Seed: 1,
+		LateShare: 0.02, Queue: 8, LearnSpeeds: true, From: 10 * time.Second, Span: 25 * time.Second, Seed: 1,
 	}
 }
 
@@ -29,10 +29,10 @@
 	const seeds = 2
 	var mean SpeedLoadResult
 	for seed := range uint64(seeds) {
-		config.Seed, config.Learns = seed, learns
+		config.Seed, config.LearnSpeeds = seed, learns
 		result := SpeedLoad(config)
 		mean.Arrivals += result.Arrivals
-		mean.TurnedAway += result.TurnedAway
+		mean.Rejected += result.Rejected
 		mean.BusiestToMean += result.BusiestToMean / seeds
 		mean.P50 += result.P50 / seeds
 		mean.P99 += result.P99 / seeds
@@ -45,7 +45,7 @@
 func logSpeedLoad(t *testing.T, without, with SpeedLoadResult) {
 	t.Helper()
 	t.Logf("rejected %d to %d of %d, busiest %.2f to %.2f, p50 %s to %s, p99 %s to %s, %.0f to %.0f B/s, estimates %.2f",
-		without.TurnedAway, with.TurnedAway, with.Arrivals, without.BusiestToMean, with.BusiestToMean,
+		without.Rejected, with.Rejected, with.Arrivals, without.BusiestToMean, with.BusiestToMean,
 		without.P50.Round(time.Millisecond), with.P50.Round(time.Millisecond),
 		without.P99.Round(time.Millisecond), with.P99.Round(time.Millisecond), without.MessageBytes, with.MessageBytes, with.Estimates)
 }
@@ -71,7 +71,7 @@
 			assert.Assert(t, without.BusiestToMean > 1.2)
 			assert.Assert(t, with.P99 < without.P99*8/10)
 			if daemons == 88 {
-				assert.Assert(t, without.TurnedAway > 400 && with.TurnedAway < without.TurnedAway/2)
+				assert.Assert(t, without.Rejected > 400 && with.Rejected < without.Rejected/2)
 			}
 		})
 	}
@@ -99,7 +99,7 @@
 			logSpeedLoad(t, without, with)
 			assert.Assert(t, with.P99 < without.P99*105/100)
 			assert.Assert(t, with.BusiestToMean < without.BusiestToMean*1.05)
-			assert.Assert(t, with.TurnedAway < without.TurnedAway*115/100+10)
+			assert.Assert(t, with.Rejected < without.Rejected*115/100+10)
 		})
 	}
 }
@@ -108,7 +108,7 @@
 // is slow for 20 s, or in slow start for 3 s.
 func firstEstimate(isSlowStart bool, duration time.Duration) float64 {
 	config := speedLoadAt(22, 3)
-	config.Speeds, config.IsCold, config.Span = []float64{1}, isSlowStart, duration
+	config.Speeds, config.IsSlowStart, config.Span = []float64{1}, isSlowStart, duration
 	config.SlowTargets, config.SlowFrom, config.SlowUntil = 1, 10*time.Second, 30*time.Second
 	if isSlowStart {
 		config.SlowUntil = 13 * time.Second
--- a/internal/simulation/state_loss_test.go
+++ b/internal/simulation/state_loss_test.go
@@ -27,7 +27,7 @@
 		services: map[netip.AddrPort]string{rosterRoute: "roster", ledgerRoute: "ledger", kioskRoute: "roster"},
 	}
 	run.Unlimited = true // packets held at concurrency limits are lost in this model
-	run.OutOfTouch = func(daemon int) bool { return run.Clock.Now().Before(run.isolatedUntil[daemon]) }
+	run.IsIsolated = func(daemon int) bool { return run.Clock.Now().Before(run.isolatedUntil[daemon]) }
 	run.writeRoutes()
 	run.Clock.Advance(2 * time.Second)
 	return run
@@ -85,9 +85,9 @@
 	case 5:
 		r.isolate(daemon, duration)
 	case 6:
-		r.Store.Forget()
+		r.Store.Compact()
 	case 7:
-		r.setStoreState([]StoreState{StoreSilent, StoreBroken, StoreRefusing}[r.random.IntN(3)], duration)
+		r.setStoreState([]StoreState{StoreUnresponsive, StoreResetting, StoreUnavailable}[r.random.IntN(3)], duration)
 	}
 }
 
@@ -97,9 +97,9 @@
 	r.Cut = func(from, to int) bool { return (from == daemon) != (to == daemon) }
 	r.Store.StateFor = func(caller int) StoreState {
 		if caller == daemon {
-			return StoreSilent
+			return StoreUnresponsive
 		}
-		return StoreWell
+		return StoreHealthy
 	}
 	r.Clock.After(duration/4, r.changeRoute)
 	r.Clock.After(duration/2, r.changeRoute)
@@ -112,12 +112,12 @@
 	caller := netip.MustParseAddrPort("100.127.0.1:9")
 	for _, targets := range r.activeTargets {
 		identifier := targets[r.random.IntN(len(targets))].Identifier
-		r.Stray(caller, rosterRoute, token.BoundTokenAt(ledgerRoute, identifier))
-		r.Stray(caller, ledgerRoute, token.BoundTokenAt(kioskRoute, identifier))
-		r.Stray(caller, kioskRoute, token.Of(identifier))
+		r.SendStray(caller, rosterRoute, token.BoundTokenAt(ledgerRoute, identifier))
+		r.SendStray(caller, ledgerRoute, token.BoundTokenAt(kioskRoute, identifier))
+		r.SendStray(caller, kioskRoute, token.Of(identifier))
 	}
-	r.Stray(caller, rosterRoute, 0)
-	r.Stray(caller, rosterRoute, r.random.Uint32())
+	r.SendStray(caller, rosterRoute, 0)
+	r.SendStray(caller, rosterRoute, r.random.Uint32())
 }
 
 func (r *stateLossRun) simulate() {
@@ -205,7 +205,7 @@
 	t.Parallel()
 	assert.Equal(t, removeKioskRoute(t, func(*stateLossRun) {}).Resets, 40)
 	off := func(run *stateLossRun) {
-		run.Spoil = func(_ *token.Packet, decision *token.Decision) {
+		run.Corrupt = func(_ *token.Packet, decision *token.Decision) {
 			if decision.Reason == token.ReasonUnconfirmedRoute {
 				decision.Reason = token.ReasonNoRoute
 			}
@@ -242,7 +242,7 @@
 		found := false
 		for seed := uint64(0); seed < 20 && !found; seed++ {
 			run := startStateLossRun(seed)
-			run.Spoil = corrupt
+			run.Corrupt = corrupt
 			run.simulate()
 			found = hasViolation(run.flowRun, check)
 		}
--- a/internal/simulation/store_outage_test.go
+++ b/internal/simulation/store_outage_test.go
@@ -21,9 +21,9 @@
 	}
 	run.Clock.Advance(8 * time.Second)
 	before := run.Store.Calls
-	run.Store.State = StoreRefusing
+	run.Store.State = StoreUnavailable
 	run.Clock.Advance(outageDuration)
-	run.Store.State = StoreWell
+	run.Store.State = StoreHealthy
 	run.configure()
 	acknowledged := run.Store.Revision()
 	run.Clock.Advance(convergenceBound)
--- a/internal/simulation/store_restore_test.go
+++ b/internal/simulation/store_restore_test.go
@@ -22,7 +22,7 @@
 func (r *followedRun) restoreStore(outage, backupAge time.Duration) {
 	backupAt := r.Clock.Now().Add(-backupAge)
 	r.restoredUntil = r.Clock.Now().Add(outage + r.rewriteAfter + expiryTime)
-	r.setStoreState(StoreBroken, outage)
+	r.setStoreState(StoreResetting, outage)
 	r.Clock.After(outage, func() {
 		r.disturbStoreUntil(r.Clock.Now().Add(expiryTime))
 		for _, lost := range r.Store.Restore(backupAt) {
@@ -30,7 +30,7 @@
 			if lost.IsRemoval() && !isNotTarget(lost) {
 				delay = expiryTime // a stopped target writes nothing; its entry expires
 			}
-			r.Clock.After(delay, func() { r.Store.WriteAgain(lost) })
+			r.Clock.After(delay, func() { r.Store.Rewrite(lost) })
 		}
 	})
 }
@@ -238,7 +238,7 @@
 // targets write lost entries again; entries of other targets expire.
 func (r *flowRun) restoreStoreDuringFlows(outage, backupAge time.Duration) {
 	backupAt := r.Clock.Now().Add(-backupAge)
-	r.setStoreState(StoreBroken, outage)
+	r.setStoreState(StoreResetting, outage)
 	r.Clock.After(outage, func() {
 		for _, lost := range r.Store.Restore(backupAt) {
 			isExpiring := lost.IsRemoval() || lost.Target != nil && !r.isAlive(lost.Key)
@@ -247,7 +247,7 @@
 				delay = expiryTime
 				lost = storeview.Entry{Key: lost.Key}
 			}
-			r.Clock.After(delay, func() { r.Store.WriteAgain(lost) })
+			r.Clock.After(delay, func() { r.Store.Rewrite(lost) })
 		}
 	})
 }
--- a/internal/simulation/strong_daemons_test.go
+++ b/internal/simulation/strong_daemons_test.go
@@ -97,7 +97,7 @@
 	case 3:
 		r.markFor(r.unreachable, daemon, duration, false)
 		r.markFor(r.partitioned, daemon, duration, true)
-		r.Daemons[daemon].TroubledAt = r.Clock.Now().Add(duration)
+		r.Daemons[daemon].DisturbedAt = r.Clock.Now().Add(duration)
 	}
 }
 
@@ -173,7 +173,7 @@
 func maxSentBytes(seed uint64, daemons int, config followed.FleetConfig) (bytes int64, ready time.Duration) {
 	run := newColdStart(seed, daemons, maxEarlyTargets, config)
 	run.Clock.Advance(3 * time.Second)
-	for _, sent := range run.Links.Given {
+	for _, sent := range run.Links.SentBytes {
 		bytes = max(bytes, sent)
 	}
 	return bytes, run.readyAfter(0.9)
--- a/internal/simulation/target_restarts_test.go
+++ b/internal/simulation/target_restarts_test.go
@@ -36,7 +36,7 @@
 			r.injectLivenessFault()
 		}
 		for range flowsPerSecond {
-			r.beginFlow().Pause = time.Second
+			r.beginFlow().MaxIdle = time.Second
 			r.Clock.Advance(time.Second / flowsPerSecond)
 		}
 	}
@@ -62,7 +62,7 @@
 	opened := func(omitIncarnations bool) (opened int, violations []string) {
 		for seed := range uint64(10) {
 			run := startFlowRun(seed)
-			run.RunsAlike = omitIncarnations
+			run.OmitIncarnations = omitIncarnations
 			run.simulateFor(5)
 			crashed := run.takeTarget("roster")
 			run.RestartTarget(crashed, 1500*time.Millisecond, crashed.Address, func(later *FlowTarget) { crashed = later })
@@ -84,7 +84,7 @@
 	t.Parallel()
 	run := startFlowRun(1)
 	restarted := map[uint64]bool{}
-	run.Spoil = func(_ *token.Packet, decision *token.Decision) {
+	run.Corrupt = func(_ *token.Packet, decision *token.Decision) {
 		if decision.Target != nil && restarted[decision.Target.Identifier] && decision.Reason == token.ReasonNone {
 			decision.Action, decision.Reason = token.Refuse, token.ReasonDeadTarget
 		}
--- a/internal/simulation/zoneload.go
+++ b/internal/simulation/zoneload.go
@@ -21,10 +21,10 @@
 	RequestsPerSecond float64
 	// Work is how long a request occupies one of a target's slots.
 	Work time.Duration
-	// Shares enables the gossip of open flows between daemons.
-	Shares bool
-	// LoseShare of the targets fail halfway through the run, when BurstShare more flows open.
-	LoseShare  float64
+	// GossipFlows enables the gossip of open flows between daemons.
+	GossipFlows bool
+	// FailShare of the targets fail halfway through the run, when BurstShare more flows open.
+	FailShare  float64
 	BurstShare float64
 	Span       time.Duration
 	Seed       uint64
@@ -96,7 +96,7 @@
 	for range z.targets {
 		daemon.candidates = append(daemon.candidates, balance.Candidate{Signal: &balance.Signal{}, Weight: slotsPerTarget, Slots: slotsPerTarget, Zone: zoneName})
 	}
-	if z.config.Shares {
+	if z.config.GossipFlows {
 		z.clock.After(time.Duration(z.random.Int64N(int64(zoneGossipInterval))), func() { z.gossip(daemon) })
 	}
 	return daemon
@@ -135,7 +135,7 @@
 func (z *zoneLoad) open() {
 	now := z.clock.Now()
 	daemon := z.daemons[z.random.IntN(len(z.daemons))]
-	request := balance.Request{Now: now, Zone: zoneName, LeaseHeld: true, PrefersZone: true, KnowsOpenFlows: z.config.Shares}
+	request := balance.Request{Now: now, Zone: zoneName, LeaseHeld: true, PrefersZone: true, KnowsOpenFlows: z.config.GossipFlows}
 	index := balance.Pick(&request, daemon.candidates, z.random)
 	daemon.candidates[index].Signal.RecordPick(now)
 	target := z.targets[index]
@@ -196,7 +196,7 @@
 
 // failTargets removes some targets, reopens their flows and opens additional ones.
 func (z *zoneLoad) failTargets(extraFlows int) {
-	for index := range int(z.config.LoseShare * float64(len(z.targets))) {
+	for index := range int(z.config.FailShare * float64(len(z.targets))) {
 		target := z.targets[index]
 		target.isRemoved = true
 		for _, daemon := range z.daemons {
--- a/internal/simulation/zoneload_test.go
+++ b/internal/simulation/zoneload_test.go
@@ -40,10 +40,10 @@
 						config.Span /= 2
 					}
 					if isDisturbed {
-						config.LoseShare, config.BurstShare = 0.33, 0.3
+						config.FailShare, config.BurstShare = 0.33, 0.3
 					}
 					without := meanZoneLoad(config)
-					config.Shares = true
+					config.GossipFlows = true
 					with := meanZoneLoad(config)
 					t.Logf("flows %.2f to %.2f, requests %.2f to %.2f, p99 of waits %s to %s, %.0f B/s", without.FlowsMaxToMean, with.FlowsMaxToMean,
 						without.RequestsMaxToMean, with.RequestsMaxToMean, without.WaitedP99, with.WaitedP99, with.MessageBytes)
