--- a/internal/lab/environment/fabric.go
+++ b/internal/lab/environment/fabric.go
@@ -16,8 +16,8 @@
 	"github.com/passtray/passtray/internal/encapsulation"
 )
 
-// Backend is one daemon behind the fabric.
-type Backend struct {
+// FabricDaemon is one daemon behind the fabric.
+type FabricDaemon struct {
 	// Fabric is the address that datagrams are sent to, Health the daemon's telemetry address.
 	Fabric netip.AddrPort
 	Health netip.AddrPort
@@ -46,15 +46,15 @@
 	ready     atomic.Pointer[[]netip.AddrPort]
 
 	mutex    sync.Mutex
-	backends map[Backend]*backendHealth
+	backends map[FabricDaemon]*backendHealth
 
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
-	// Sprayed counts datagrams to daemons.
-	Sprayed atomic.Uint64
-	// Returned counts datagrams to callers.
-	Returned atomic.Uint64
+	// SentToDaemons counts datagrams to daemons.
+	SentToDaemons atomic.Uint64
+	// SentToCallers counts datagrams to callers.
+	SentToCallers atomic.Uint64
 }
 
 type backendHealth struct {
@@ -72,7 +72,7 @@
 func StartFabric(config FabricConfig) (*Fabric, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	fabric := &Fabric{
-		config: config, services: map[netip.AddrPort]*net.UDPConn{}, backends: map[Backend]*backendHealth{},
+		config: config, services: map[netip.AddrPort]*net.UDPConn{}, backends: map[FabricDaemon]*backendHealth{},
 		toDaemons: newDelayLine(config.Delay), toCallers: newDelayLine(config.Delay), ctx: ctx, cancel: cancel,
 	}
 	fabric.ready.Store(&[]netip.AddrPort{})
@@ -115,8 +115,8 @@
 	}()
 }
 
-// SetBackends replaces the set of daemons. New ones get no datagrams until a probe succeeds.
-func (f *Fabric) SetBackends(backends []Backend) {
+// SetDaemons replaces the set of daemons. New ones get no datagrams until a probe succeeds.
+func (f *Fabric) SetDaemons(backends []FabricDaemon) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for backend := range f.backends {
@@ -162,7 +162,7 @@
 
 func (f *Fabric) probeAll(client *http.Client) {
 	f.mutex.Lock()
-	var probed []Backend
+	var probed []FabricDaemon
 	for backend := range f.backends {
 		probed = append(probed, backend)
 	}
@@ -194,7 +194,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-func (f *Fabric) recordProbe(backend Backend, succeeded bool) {
+func (f *Fabric) recordProbe(backend FabricDaemon, succeeded bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	health := f.backends[backend]
@@ -235,7 +235,7 @@
 	if len(ready) == 0 {
 		return
 	}
-	f.Sprayed.Add(1)
+	f.SentToDaemons.Add(1)
 	_, _ = f.egress.WriteToUDPAddrPort(datagram, ready[rand.IntN(len(ready))])
 }
 
@@ -262,7 +262,7 @@
 		payload := append([]byte(nil), buffer[offset:length]...)
 		caller := header.Caller
 		f.toCallers.schedule(func() {
-			f.Returned.Add(1)
+			f.SentToCallers.Add(1)
 			_, _ = socket.WriteToUDPAddrPort(payload, caller)
 		})
 	}
--- a/internal/lab/environment/history.go
+++ b/internal/lab/environment/history.go
@@ -39,8 +39,8 @@
 	return h.revision
 }
 
-// After returns the changes after a revision, in order.
-func (h *History) After(revision uint64) []storeview.Entry {
+// ChangesAfter returns the changes after a revision, in order.
+func (h *History) ChangesAfter(revision uint64) []storeview.Entry {
 	start := len(h.changes)
 	for start > 0 && h.changes[start-1].entry.Revision > revision {
 		start--
@@ -118,5 +118,5 @@
 
 // IsRewritten reports whether an entry was written or removed since the last restore.
 func (h *History) IsRewritten(key string) bool {
-	return slices.ContainsFunc(h.After(h.restoredAt), func(entry storeview.Entry) bool { return entry.Key == key })
+	return slices.ContainsFunc(h.ChangesAfter(h.restoredAt), func(entry storeview.Entry) bool { return entry.Key == key })
 }
--- a/internal/lab/environment/store_test.go
+++ b/internal/lab/environment/store_test.go
@@ -34,7 +34,7 @@
 	assert.Equal(t, watch.Epoch, uint64(1))
 	assert.Equal(t, store.Put(targetEntry("c", true)), uint64(3))
 	for _, entry := range lost {
-		store.WriteAgain(entry)
+		store.Rewrite(entry)
 	}
 	list := store.Do(t.Context(), &followed.Call{Kind: followed.CallList})
 	assert.Equal(t, list.Revision, uint64(5), "c was written since the restore and must not be written again")
--- a/internal/lab/history/check.go
+++ b/internal/lab/history/check.go
@@ -10,16 +10,16 @@
 
 // The invariants, in the order in which Check returns them.
 const (
-	FeedsStayConnected     = "feeds stay connected"
-	NoForeignPackets       = "no packet reaches another service"
-	AnswersAreWhole        = "responses are complete and match their requests"
-	NotRunIsTrue           = "requests reported as not run did not run"
-	AtMostOnce             = "requests run at most once"
-	LeavingGetsNoNewWork   = "a draining target gets no new connections"
-	PlannedStopCutsNothing = "a draining target finishes its requests"
-	ConfigurationIsInForce = "accepted configurations become active and never revert"
-	maxSettleTime          = 5 * time.Second
-	maxViolationsListed    = 20
+	FeedsStayConnected              = "feeds stay connected"
+	NoForeignPackets                = "no packet reaches another service"
+	ResponsesMatchRequests          = "responses are complete and match their requests"
+	NotRunIsAccurate                = "requests reported as not run did not run"
+	AtMostOnce                      = "requests run at most once"
+	DrainingTargetGetsNoConnections = "a draining target gets no new connections"
+	DrainingTargetFinishesRequests  = "a draining target finishes its requests"
+	ConfigurationBecomesActive      = "accepted configurations become active and never revert"
+	maxSettleTime                   = 5 * time.Second
+	maxViolationsListed             = 20
 )
 
 // Verdict is the result of checking one invariant.
@@ -83,7 +83,7 @@
 		switch event.Kind {
 		case ConnectionOpened:
 			verdict.Checked++
-		case PacketForeign:
+		case ForeignPacketReceived:
 			verdict.addViolation(event.At, "packet for %s reached target %s of another service", event.Service, event.Target)
 		}
 	}
@@ -91,7 +91,7 @@
 }
 
 func checkAnswers(events []Event) Verdict {
-	verdict := Verdict{Invariant: AnswersAreWhole}
+	verdict := Verdict{Invariant: ResponsesMatchRequests}
 	for _, event := range events {
 		if event.Kind != CallReturned {
 			continue
@@ -110,7 +110,7 @@
 // checkNotRun checks that attempts reported as not run did not run, neither before nor after. Events
 // carry the number of the attempt, so that a retry's run isn't attributed to an earlier attempt.
 func checkNotRun(events []Event) Verdict {
-	verdict := Verdict{Invariant: NotRunIsTrue}
+	verdict := Verdict{Invariant: NotRunIsAccurate}
 	ran := map[string]string{}
 	for _, event := range events {
 		if event.Kind == RequestRun {
@@ -152,7 +152,7 @@
 // checkLeaving checks that a target accepts no connections once maxSettleTime has passed since
 // its drain was accepted.
 func checkLeaving(events []Event) Verdict {
-	verdict := Verdict{Invariant: LeavingGetsNoNewWork}
+	verdict := Verdict{Invariant: DrainingTargetGetsNoConnections}
 	draining := map[string]int64{}
 	for _, event := range events {
 		switch event.Kind {
@@ -170,14 +170,14 @@
 
 // checkPlannedStop checks that a draining target can send the responses to all its requests.
 func checkPlannedStop(events []Event) Verdict {
-	verdict := Verdict{Invariant: PlannedStopCutsNothing}
+	verdict := Verdict{Invariant: DrainingTargetFinishesRequests}
 	draining := map[string]bool{}
 	for _, event := range events {
 		switch event.Kind {
 		case TargetDrained:
 			draining[event.Target] = true
 			verdict.Checked++
-		case RequestCut:
+		case ResponseFailed:
 			if draining[event.Target] {
 				verdict.addViolation(event.At, "draining target %s could not respond to request %s: %s", event.Target, event.Request, event.Detail)
 			}
@@ -190,7 +190,7 @@
 // maxSettleTime on all daemons that are running and reachable throughout, and that no daemon
 // goes back to an older revision.
 func checkConfiguration(events []Event) Verdict {
-	verdict := Verdict{Invariant: ConfigurationIsInForce}
+	verdict := Verdict{Invariant: ConfigurationBecomesActive}
 	daemons := map[string]*daemonHistory{}
 	end := int64(0)
 	for _, event := range events {
@@ -205,9 +205,9 @@
 			*daemon = daemonHistory{startedAt: event.At, reachableSince: event.At}
 		case DaemonStopped:
 			daemon.stoppedAt = event.At
-		case DaemonsCut:
+		case DaemonUnreachable:
 			daemon.isCut = true
-		case DaemonsJoined:
+		case DaemonReachable:
 			daemon.isCut = false
 			daemon.reachableSince = event.At
 		case ConfigurationApplied:
--- a/internal/lab/history/check_test.go
+++ b/internal/lab/history/check_test.go
@@ -34,14 +34,14 @@
 		assert.Assert(t, verdict.Checked > 0, "%s was not exercised", verdict.Invariant)
 	}
 	for invariant, violation := range map[string]Event{
-		FeedsStayConnected:     at(7, Event{Kind: FeedBroken, Request: "feed", Target: "roster-1"}),
-		NoForeignPackets:       at(7, Event{Kind: PacketForeign, Service: "ledger", Target: "roster-1"}),
-		AnswersAreWhole:        at(7, Event{Kind: CallReturned, Request: "mark", Outcome: OutcomeWrong}),
-		NotRunIsTrue:           at(7, Event{Kind: RequestRun, Request: "other", Target: "roster-1", Detail: "1"}),
-		AtMostOnce:             at(7, Event{Kind: RequestRun, Request: "mark", Target: "roster-2", Detail: "2"}),
-		LeavingGetsNoNewWork:   at(10.5, Event{Kind: ConnectionOpened, Target: "roster-1"}),
-		PlannedStopCutsNothing: at(7, Event{Kind: RequestCut, Request: "mark", Target: "roster-1"}),
-		ConfigurationIsInForce: at(7, Event{Kind: ConfigurationApplied, Daemon: "d1", Revision: 1}),
+		FeedsStayConnected:              at(7, Event{Kind: FeedBroken, Request: "feed", Target: "roster-1"}),
+		NoForeignPackets:                at(7, Event{Kind: ForeignPacketReceived, Service: "ledger", Target: "roster-1"}),
+		ResponsesMatchRequests:          at(7, Event{Kind: CallReturned, Request: "mark", Outcome: OutcomeWrong}),
+		NotRunIsAccurate:                at(7, Event{Kind: RequestRun, Request: "other", Target: "roster-1", Detail: "1"}),
+		AtMostOnce:                      at(7, Event{Kind: RequestRun, Request: "mark", Target: "roster-2", Detail: "2"}),
+		DrainingTargetGetsNoConnections: at(10.5, Event{Kind: ConnectionOpened, Target: "roster-1"}),
+		DrainingTargetFinishesRequests:  at(7, Event{Kind: ResponseFailed, Request: "mark", Target: "roster-1"}),
+		ConfigurationBecomesActive:      at(7, Event{Kind: ConfigurationApplied, Daemon: "d1", Revision: 1}),
 	} {
 		for _, verdict := range Check(append(good[:len(good):len(good)], violation)) {
 			assert.Equal(t, verdict.Holds(), verdict.Invariant != invariant, "verdict of %q when violating %q: %v", verdict.Invariant, invariant, verdict.Violations)
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -24,8 +24,8 @@
 	CallReturned
 	// RequestRun: a target started to process a request.
 	RequestRun
-	// RequestCut: a target could not send its response to a request.
-	RequestCut
+	// ResponseFailed: a target could not send its response to a request.
+	ResponseFailed
 	// FeedOpened, FeedBroken and FeedClosed: a feed's first event was received, the feed failed,
 	// or the run ended while it was open.
 	FeedOpened
@@ -33,8 +33,8 @@
 	FeedClosed
 	// ConnectionOpened: a target accepted a new connection.
 	ConnectionOpened
-	// PacketForeign: a datagram for another service reached a target.
-	PacketForeign
+	// ForeignPacketReceived: a datagram for another service reached a target.
+	ForeignPacketReceived
 	// ConfigurationAccepted: an operator's change was acknowledged with Revision.
 	ConfigurationAccepted
 	// ConfigurationApplied: Revision is active on a daemon.
@@ -45,9 +45,9 @@
 	TargetDrained
 	// TargetCrashed: a target stopped without draining.
 	TargetCrashed
-	// DaemonsCut and DaemonsJoined: a pause or network partition of a daemon began or ended.
-	DaemonsCut
-	DaemonsJoined
+	// DaemonUnreachable and DaemonReachable: a pause or network partition of a daemon began or ended.
+	DaemonUnreachable
+	DaemonReachable
 	RunEnded
 )
 
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -15,8 +15,8 @@
 
 // timingIndependent are the invariants whose verdict doesn't depend on the speed of the machine.
 var timingIndependent = map[string]bool{
-	history.NoForeignPackets: true, history.AnswersAreWhole: true, history.NotRunIsTrue: true,
-	history.AtMostOnce: true, history.PlannedStopCutsNothing: true, history.FeedsStayConnected: true,
+	history.NoForeignPackets: true, history.ResponsesMatchRequests: true, history.NotRunIsAccurate: true,
+	history.AtMostOnce: true, history.DrainingTargetFinishesRequests: true, history.FeedsStayConnected: true,
 }
 
 func smallScenario(t *testing.T, mode node.SteeringMode) *Scenario {
--- a/internal/lab/labctl/soak.go
+++ b/internal/lab/labctl/soak.go
@@ -64,7 +64,7 @@
 	})
 	_, _ = fmt.Fprintf(c.program.stdout, "%d schedules held, %d did not\n", passed, failed)
 	if failed > 0 {
-		c.program.exitCode = ExitBroken
+		c.program.exitCode = ExitViolated
 	}
 	return nil
 }
@@ -95,6 +95,6 @@
 			_, _ = fmt.Fprintf(c.program.stdout, "  %s: %s\n", r.Verdicts[index].Invariant, violation)
 		}
 	}
-	_, _ = fmt.Fprintf(c.program.stdout, "  minimized schedule that still fails: %v\n", result.Shortest)
+	_, _ = fmt.Fprintf(c.program.stdout, "  minimized schedule that still fails: %v\n", result.Minimized)
 	return false
 }
--- a/internal/lab/labctl/soak_test.go
+++ b/internal/lab/labctl/soak_test.go
@@ -14,6 +14,6 @@
 	assert.DeepEqual(t, (&soakCommand{First: &first, Seeds: 3}).storeSeeds(), []uint64{502, 503, 504})
 	assert.DeepEqual(t, (&soakCommand{Seed: &first, Seeds: 3}).storeSeeds(), []uint64{502})
 	seeds := (&soakCommand{Seeds: 3}).storeSeeds()
-	assert.Equal(t, len(seeds), len(storelab.KeptSeeds)+3)
-	assert.Equal(t, seeds[0], storelab.KeptSeeds[0].Seed)
+	assert.Equal(t, len(seeds), len(storelab.RegressionSeeds)+3)
+	assert.Equal(t, seeds[0], storelab.RegressionSeeds[0].Seed)
 }
--- a/internal/lab/labctl/soakstore.go
+++ b/internal/lab/labctl/soakstore.go
@@ -43,7 +43,7 @@
 	}
 	_, _ = fmt.Fprintf(c.program.stdout, "%d schedules held, %d did not\n", passed, failed)
 	if failed > 0 {
-		c.program.exitCode = ExitBroken
+		c.program.exitCode = ExitViolated
 	}
 	return nil
 }
@@ -87,7 +87,7 @@
 		config, err = storelab.LargeConfig()
 	}
 	config.Binary, config.Directory, config.Seed = c.Binary, c.Directory, seed
-	for _, regression := range storelab.KeptSeeds {
+	for _, regression := range storelab.RegressionSeeds {
 		if regression.Seed == seed {
 			config.Series = regression.Series
 		}
@@ -105,7 +105,7 @@
 		return seedsFrom(*c.First, c.Seeds)
 	}
 	var seeds []uint64
-	for _, regression := range storelab.KeptSeeds {
+	for _, regression := range storelab.RegressionSeeds {
 		seeds = append(seeds, regression.Seed)
 	}
 	for range c.Seeds {
--- a/internal/lab/report/collector.go
+++ b/internal/lab/report/collector.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// Latency records one duration in a class's latency histogram.
-func (c *Collector) Latency(service, class string, duration time.Duration) {
+// AddLatency records one duration in a class's latency histogram.
+func (c *Collector) AddLatency(service, class string, duration time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	key := latencyKey{service, class}
@@ -76,8 +76,8 @@
 	_ = histogram.RecordValue(min(duration.Microseconds(), maxLatency))
 }
 
-// Load records the loads of one service's targets.
-func (c *Collector) Load(at time.Duration, service string, loads []TargetLoad) {
+// AddLoads records the loads of one service's targets.
+func (c *Collector) AddLoads(at time.Duration, service string, loads []TargetLoad) {
 	connections := make([]float64, 0, len(loads))
 	busy := make([]float64, 0, len(loads))
 	for _, load := range loads {
@@ -111,8 +111,8 @@
 // minStall is the timer delay below which a stall isn't recorded.
 const minStall = 20 * time.Millisecond
 
-// Stall records the delay of one of the lab's timers.
-func (c *Collector) Stall(delay time.Duration) {
+// AddStall records the delay of one of the lab's timers.
+func (c *Collector) AddStall(delay time.Duration) {
 	if delay < minStall {
 		return
 	}
@@ -122,15 +122,15 @@
 	c.totalStall += delay
 }
 
-// Cost records the resource usage of one daemon.
-func (c *Collector) Cost(cost DaemonCost) {
+// AddCost records the resource usage of one daemon.
+func (c *Collector) AddCost(cost DaemonCost) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.costs = append(c.costs, cost)
 }
 
-// Daemon adds one daemon's packet counters to the totals.
-func (c *Collector) Daemon(actions, drops map[string]uint64) {
+// AddCounters adds one daemon's packet counters to the totals.
+func (c *Collector) AddCounters(actions, drops map[string]uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for name, count := range actions {
@@ -143,8 +143,8 @@
 
 // Totals are measurements of the whole run.
 type Totals struct {
-	Span        time.Duration
-	Processor   time.Duration
+	Duration    time.Duration
+	CPUTime     time.Duration
 	Dials       uint64
 	FailedDials uint64
 	// Attempts is the number of handshakes begun at targets.
@@ -156,9 +156,9 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	r := &Report{
-		Mode: c.mode, Seed: c.seed, Seconds: totals.Span.Seconds(),
+		Mode: c.mode, Seed: c.seed, Seconds: totals.Duration.Seconds(),
 		Dials: totals.Dials, FailedDials: totals.FailedDials, Attempts: totals.Attempts,
-		ProcessCPUSeconds: totals.Processor.Seconds(),
+		ProcessCPUSeconds: totals.CPUTime.Seconds(),
 		LongestStall:      c.longestStall.Seconds(), StalledSeconds: c.totalStall.Seconds(),
 		Actions: c.actions, Drops: c.drops,
 		Verdicts: history.Check(events), samples: c.samples, lastLoads: c.latestLoads,
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -108,7 +108,7 @@
 			r.FeedsOpened++
 		case history.FeedBroken:
 			r.FeedsBroken++
-		case history.PacketForeign:
+		case history.ForeignPacketReceived:
 			r.ForeignPackets++
 		case history.ConnectionOpened:
 			r.AcceptedByTargets++
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -119,10 +119,10 @@
 		callers := workload.NewCallers(workload.CallerConfig{
 			Service: service.Name, Address: r.serviceAddress(index),
 			OncePerSecond: service.OncePerSecond, Feeds: service.Feeds, UploadsPerSecond: service.UploadsPerSecond,
-			UploadBytes: service.UploadBytes, AnswerBytes: service.AnswerBytes,
+			UploadBytes: service.UploadBytes, ResponseBytes: service.ResponseBytes,
 			Deadline: service.Deadline, FeedStall: service.FeedStall,
 			History: r.history, Record: func(class workload.Class, duration time.Duration) {
-				r.collector.Latency(service.Name, string(class), duration)
+				r.collector.AddLatency(service.Name, string(class), duration)
 			},
 		}, r.scenario.Seed+uint64(index))
 		r.callers = append(r.callers, callers)
@@ -175,7 +175,7 @@
 			})
 		}
 		for service, targets := range loads {
-			r.collector.Load(at, service, targets)
+			r.collector.AddLoads(at, service, targets)
 		}
 		if time.Since(lastProgress) >= progressInterval {
 			lastProgress = time.Now()
@@ -197,7 +197,7 @@
 			return
 		}
 		now := time.Now()
-		r.collector.Stall(now.Sub(last) - stallProbeInterval)
+		r.collector.AddStall(now.Sub(last) - stallProbeInterval)
 		last = now
 	}
 }
@@ -206,9 +206,9 @@
 	answered, refused, unknown, feeds := uint64(0), uint64(0), uint64(0), int64(0)
 	for _, callers := range r.callers {
 		answered += callers.Answered.Load()
-		refused += callers.Refused.Load()
+		refused += callers.NotRun.Load()
 		unknown += callers.Unknown.Load()
-		feeds += callers.OpenFeed.Load()
+		feeds += callers.OpenFeeds.Load()
 	}
 	r.printProgress("%6.1fs answered %d, not run %d, unknown %d, feeds open %d, daemons ready %d",
 		at.Seconds(), answered, refused, unknown, feeds, r.fabric.ReadyCount())
@@ -230,13 +230,13 @@
 	span := time.Since(r.startedAt)
 	for name, stats := range r.daemonStats() {
 		if statsBefore, ranBefore := r.statsBefore[name]; ranBefore && stats.ControlBytes >= statsBefore.ControlBytes {
-			r.collector.Cost(report.DaemonCost{
+			r.collector.AddCost(report.DaemonCost{
 				ControlBytesPerSecond: float64(stats.ControlBytes-statsBefore.ControlBytes) / span.Seconds(),
 				CoreShare:             (stats.CPUSeconds - statsBefore.CPUSeconds) / span.Seconds(),
 				ResidentBytes:         stats.ResidentBytes,
 			})
 		}
-		r.collector.Daemon(stats.Actions, stats.Drops)
+		r.collector.AddCounters(stats.Actions, stats.Drops)
 	}
 	r.history.Add(history.Event{Kind: history.RunEnded})
 	events := r.history.Events()
@@ -252,10 +252,10 @@
 	dials, failed := uint64(0), uint64(0)
 	for _, callers := range r.callers {
 		dials += callers.Dials.Load()
-		failed += callers.Failed.Load()
+		failed += callers.DialErrors.Load()
 	}
 	result := r.collector.Finish(report.Totals{
-		Span: span, Processor: resource.ProcessorTime() - r.processorBefore, Dials: dials, FailedDials: failed, Attempts: attempts,
+		Duration: span, CPUTime: resource.ProcessorTime() - r.processorBefore, Dials: dials, FailedDials: failed, Attempts: attempts,
 	}, events)
 	if r.options.FailedHistoryPath != "" && !result.Holds() {
 		return result, history.Save(r.options.FailedHistoryPath, events)
--- a/internal/lab/storelab/caller.go
+++ b/internal/lab/storelab/caller.go
@@ -72,7 +72,7 @@
 		name := Flow{Caller: packet.Destination, Route: packet.Source}
 		isFromDaemon := c.isDaemon(from)
 		if packet.IsReset && isFromDaemon {
-			c.recorder.Note(Event{Kind: FlowReset, Flow: name})
+			c.recorder.Record(Event{Kind: FlowReset, Flow: name})
 		}
 		c.mutex.Lock()
 		inbox := c.flows[name]
@@ -152,7 +152,7 @@
 func (c *caller) request(ctx context.Context, flow *callerFlow, pattern trafficPattern, random *rand.Rand) bool {
 	number := c.lastRequest.Add(1)
 	message := requestMessage{number: number, work: byte(5 + random.IntN(20))}.encode()
-	c.recorder.Note(Event{Kind: RequestSent, Flow: flow.name, Request: number, MayRepeat: pattern.isIdempotent})
+	c.recorder.Record(Event{Kind: RequestSent, Flow: flow.name, Request: number, IsIdempotent: pattern.isIdempotent})
 	packet := token.Packet{Token: flow.token, Sequence: flow.nextSend, Acknowledgement: flow.nextReceive}
 	answer, isAnswered := c.exchange(ctx, flow, packet, message, dataRetransmits, requestTimeout, func(answer *received) bool { return len(answer.payload) > 0 })
 	decoded, isRead := decodeAnswer(answer.payload)
@@ -160,10 +160,10 @@
 	case ctx.Err() != nil:
 		return false
 	case !isAnswered || !isRead:
-		c.recorder.Note(Event{Kind: RequestFailed, Flow: flow.name, Request: number, MayRepeat: pattern.isIdempotent})
+		c.recorder.Record(Event{Kind: RequestFailed, Flow: flow.name, Request: number, IsIdempotent: pattern.isIdempotent})
 		return false
 	}
-	c.recorder.Note(Event{Kind: RequestAnswered, Flow: flow.name, Request: decoded.number, Target: decoded.target})
+	c.recorder.Record(Event{Kind: RequestAnswered, Flow: flow.name, Request: decoded.number, Target: decoded.target})
 	flow.token = answer.packet.Token
 	flow.nextSend += uint32(len(message))
 	flow.nextReceive = answer.packet.Sequence + uint32(len(answer.payload))
--- a/internal/lab/storelab/check.go
+++ b/internal/lab/storelab/check.go
@@ -11,11 +11,11 @@
 type Bounds struct {
 	// The maximum times until a new configuration is active, and for which a draining target
 	// may get new flows.
-	Converge, Leave time.Duration
+	Converge, Drain time.Duration
 	// Settle is the time after a fault during which the bounds above aren't checked.
 	Settle time.Duration
-	// Answer is the time after a fault until requests on open flows must be answered again.
-	Answer time.Duration
+	// Response is the time after a fault until requests on open flows must be answered again.
+	Response time.Duration
 	// Recover is the maximum time from the last fault until callers are served again.
 	Recover time.Duration
 }
@@ -37,15 +37,15 @@
 
 // The invariants.
 const (
-	ForeignService  = "flows open only at services that a configuration allowed"
-	OldVersion      = "a new configuration is active within its bound"
-	LeavingTarget   = "a draining target gets no new flows"
-	LivingFlow      = "no open flow of a live target is reset"
-	LivingAnswer    = "requests on open flows of live targets are answered"
-	WholeAnswer     = "callers receive only responses to their own requests"
-	AtMostOnce      = "non-idempotent requests run at most once, and no request runs that was not sent"
-	ServedAfterward = "callers are served again after the last fault"
-	LivingDaemon    = "no daemon exits unexpectedly"
+	AllowedServices           = "flows open only at services that a configuration allowed"
+	ConfigurationActiveInTime = "a new configuration is active within its bound"
+	DrainingTargetGetsNoFlows = "a draining target gets no new flows"
+	OpenFlowsAreNotReset      = "no open flow of a live target is reset"
+	OpenFlowsAreAnswered      = "requests on open flows of live targets are answered"
+	ResponsesMatchRequests    = "callers receive only responses to their own requests"
+	AtMostOnce                = "non-idempotent requests run at most once, and no request runs that was not sent"
+	RecoversAfterFaults       = "callers are served again after the last fault"
+	NoUnexpectedExits         = "no daemon exits unexpectedly"
 )
 
 // routeService is a route and one of its services.
@@ -80,7 +80,7 @@
 		removedAt: map[routeService]time.Duration{}, drainingSince: map[uint64]time.Duration{}, endedAt: map[uint64]time.Duration{},
 		routedSince: map[netip.AddrPort]time.Duration{}, openFlows: map[Flow]Event{}, sent: map[uint64]Event{}, ranAt: map[uint64][]uint64{},
 	}
-	names := []string{ForeignService, OldVersion, LeavingTarget, LivingFlow, LivingAnswer, WholeAnswer, AtMostOnce, ServedAfterward, LivingDaemon}
+	names := []string{AllowedServices, ConfigurationActiveInTime, DrainingTargetGetsNoFlows, OpenFlowsAreNotReset, OpenFlowsAreAnswered, ResponsesMatchRequests, AtMostOnce, RecoversAfterFaults, NoUnexpectedExits}
 	for _, name := range names {
 		c.verdicts[name] = &Verdict{Invariant: name}
 	}
@@ -104,18 +104,18 @@
 		c.removedAt[routeService{event.Flow.Route, event.Service}] = -1
 	case RouteForbidden:
 		c.removedAt[routeService{event.Flow.Route, event.Service}] = event.At
-		c.countIfSettled(OldVersion, event)
+		c.countIfSettled(ConfigurationActiveInTime, event)
 		if !c.hasService(event.Flow.Route) {
 			delete(c.routedSince, event.Flow.Route)
 		}
-	case TargetLeaving:
+	case TargetDraining:
 		c.drainingSince[event.Target] = event.At
-		c.countIfSettled(LeavingTarget, event)
+		c.countIfSettled(DrainingTargetGetsNoFlows, event)
 	case TargetEnded:
 		c.endedAt[event.Target] = event.At
-	case Disturbed:
-		c.faultsOverAt = max(c.faultsOverAt, event.At+event.Span)
-	case OpeningTaken:
+	case FaultStarted:
+		c.faultsOverAt = max(c.faultsOverAt, event.At+event.Duration)
+	case OpeningAccepted:
 		c.checkOpening(event)
 	case FlowOpened:
 		c.openFlows[event.Flow] = *event
@@ -130,10 +130,10 @@
 	case RequestFailed:
 		c.checkFailure(event)
 	case DaemonSignalled:
-		c.verdicts[LivingDaemon].Checked++
-	case DaemonEnded:
-		c.verdicts[LivingDaemon].Checked++
-		c.verdicts[LivingDaemon].addViolation(event, "%s", event.Detail)
+		c.verdicts[NoUnexpectedExits].Checked++
+	case DaemonExited:
+		c.verdicts[NoUnexpectedExits].Checked++
+		c.verdicts[NoUnexpectedExits].addViolation(event, "%s", event.Detail)
 	case TargetStarted:
 	}
 }
@@ -149,7 +149,7 @@
 }
 
 func (c *checker) checkOpening(event *Event) {
-	foreign, old, leaving := c.verdicts[ForeignService], c.verdicts[OldVersion], c.verdicts[LeavingTarget]
+	foreign, old, leaving := c.verdicts[AllowedServices], c.verdicts[ConfigurationActiveInTime], c.verdicts[DrainingTargetGetsNoFlows]
 	foreign.Checked++
 	removedAt, wasAllowed := c.removedAt[routeService{event.Flow.Route, event.Service}]
 	if !wasAllowed {
@@ -157,12 +157,12 @@
 		return
 	}
 	if removedAt >= 0 && c.isSettled(event) {
-		if delay := event.At - event.Span - removedAt; delay > c.bounds.Converge {
+		if delay := event.At - event.Duration - removedAt; delay > c.bounds.Converge {
 			old.addViolation(event, "%s got a flow to %s %s after its removal from the route", event.Service, event.Flow.Route, delay)
 		}
 	}
 	if drainingSince, isDraining := c.drainingSince[event.Target]; isDraining && c.isSettled(event) {
-		if delay := event.At - drainingSince; delay > c.bounds.Leave {
+		if delay := event.At - drainingSince; delay > c.bounds.Drain {
 			leaving.addViolation(event, "target %x got a flow %s after it began to drain", event.Target, delay)
 		}
 	}
@@ -175,7 +175,7 @@
 	if !isOpen {
 		return
 	}
-	verdict := c.verdicts[LivingFlow]
+	verdict := c.verdicts[OpenFlowsAreNotReset]
 	verdict.Checked++
 	if c.isLive(&opened) {
 		verdict.addViolation(event, "flow %s to %s, open at target %x since %.3f s, was reset", event.Flow.Caller, event.Flow.Route, opened.Target, opened.At.Seconds())
@@ -206,7 +206,7 @@
 	switch {
 	case !wasSent:
 		verdict.addViolation(event, "request %d ran at target %x but was not sent", event.Request, event.Target)
-	case !sent.MayRepeat && len(c.ranAt[event.Request]) > 0:
+	case !sent.IsIdempotent && len(c.ranAt[event.Request]) > 0:
 		verdict.addViolation(event, "request %d ran at target %x after it had run at %x", event.Request, event.Target, c.ranAt[event.Request])
 	}
 	c.ranAt[event.Request] = append(c.ranAt[event.Request], event.Target)
@@ -219,15 +219,15 @@
 	if !isOpen || !c.isLive(&opened) {
 		return
 	}
-	verdict := c.verdicts[LivingAnswer]
+	verdict := c.verdicts[OpenFlowsAreAnswered]
 	verdict.Checked++
-	if sentAt := c.sent[event.Request].At; sentAt >= c.faultsOverAt+c.bounds.Answer {
+	if sentAt := c.sent[event.Request].At; sentAt >= c.faultsOverAt+c.bounds.Response {
 		verdict.addViolation(event, "request %d on flow %s to %s, open at target %x, was not answered", event.Request, event.Flow.Caller, event.Flow.Route, opened.Target)
 	}
 }
 
 func (c *checker) checkAnswer(event *Event) {
-	verdict := c.verdicts[WholeAnswer]
+	verdict := c.verdicts[ResponsesMatchRequests]
 	verdict.Checked++
 	if sent := c.sent[event.Request]; sent.Flow != event.Flow {
 		verdict.addViolation(event, "request %d was answered on a flow of %s instead of %s", event.Request, event.Flow.Caller, sent.Flow.Caller)
@@ -235,13 +235,13 @@
 	if !slices.Contains(c.ranAt[event.Request], event.Target) {
 		verdict.addViolation(event, "request %d was answered by target %x, where it did not run", event.Request, event.Target)
 	}
-	c.verdicts[LivingAnswer].Checked++
+	c.verdicts[OpenFlowsAreAnswered].Checked++
 }
 
 // checkServed checks the fraction of answered requests among those that completed at least
 // Recover after the last fault.
 func (c *checker) checkServed(events []Event) {
-	verdict := c.verdicts[ServedAfterward]
+	verdict := c.verdicts[RecoversAfterFaults]
 	served := 0
 	from := c.faultsOverAt + c.bounds.Recover
 	for index := range events {
--- a/internal/lab/storelab/check_test.go
+++ b/internal/lab/storelab/check_test.go
@@ -10,7 +10,7 @@
 )
 
 var (
-	testBounds = Bounds{Converge: 5 * time.Second, Leave: 5 * time.Second, Settle: 5 * time.Second, Answer: 2 * time.Second, Recover: 5 * time.Second}
+	testBounds = Bounds{Converge: 5 * time.Second, Drain: 5 * time.Second, Settle: 5 * time.Second, Response: 2 * time.Second, Recover: 5 * time.Second}
 	testRoute  = netip.MustParseAddrPort("198.18.0.1:443")
 	testFlow   = Flow{Caller: netip.MustParseAddrPort("127.0.3.1:4000"), Route: testRoute}
 )
@@ -21,8 +21,8 @@
 	other := Flow{Caller: netip.MustParseAddrPort("127.0.3.2:4000"), Route: testRoute}
 	return []Event{
 		{At: 0, Kind: RouteAllowed, Flow: Flow{Route: testRoute}, Service: "a"},
-		{At: 1 * time.Second, Kind: Disturbed, Span: time.Second, Detail: "a daemon was killed"},
-		{At: 10 * time.Second, Kind: OpeningTaken, Flow: testFlow, Target: 1, Service: "a"},
+		{At: 1 * time.Second, Kind: FaultStarted, Duration: time.Second, Detail: "a daemon was killed"},
+		{At: 10 * time.Second, Kind: OpeningAccepted, Flow: testFlow, Target: 1, Service: "a"},
 		{At: 11 * time.Second, Kind: FlowOpened, Flow: testFlow, Target: 1, Service: "a"},
 		{At: 12 * time.Second, Kind: RequestSent, Flow: testFlow, Request: 7},
 		{At: 13 * time.Second, Kind: RequestRan, Request: 7, Target: 1},
@@ -31,9 +31,9 @@
 		{At: 21 * time.Second, Kind: FlowReset, Flow: testFlow},
 		{At: 30 * time.Second, Kind: RouteForbidden, Flow: Flow{Route: testRoute}, Service: "a"},
 		{At: 30 * time.Second, Kind: RouteAllowed, Flow: Flow{Route: testRoute}, Service: "b"},
-		{At: 34 * time.Second, Kind: OpeningTaken, Flow: other, Target: 3, Service: "a"},
-		{At: 40 * time.Second, Kind: TargetLeaving, Target: 2},
-		{At: 44 * time.Second, Kind: OpeningTaken, Flow: other, Target: 2, Service: "b"},
+		{At: 34 * time.Second, Kind: OpeningAccepted, Flow: other, Target: 3, Service: "a"},
+		{At: 40 * time.Second, Kind: TargetDraining, Target: 2},
+		{At: 44 * time.Second, Kind: OpeningAccepted, Flow: other, Target: 2, Service: "b"},
 		{At: 45 * time.Second, Kind: DaemonSignalled, Detail: "daemon-1"},
 	}
 }
@@ -63,15 +63,15 @@
 		added     Event
 		invariant string
 	}{
-		"flow at a service not allowed": {Event{At: at(50), Kind: OpeningTaken, Flow: testFlow, Target: 9, Service: "c"}, ForeignService},
-		"flow by an old configuration":  {Event{At: at(50), Kind: OpeningTaken, Flow: testFlow, Target: 3, Service: "a"}, OldVersion},
-		"flow at a draining target":     {Event{At: at(50), Kind: OpeningTaken, Flow: testFlow, Target: 2, Service: "b"}, LeavingTarget},
-		"response on another flow":      {Event{At: at(50), Kind: RequestAnswered, Flow: Flow{Route: testRoute}, Request: 7, Target: 1}, WholeAnswer},
-		"response of another target":    {Event{At: at(50), Kind: RequestAnswered, Flow: testFlow, Request: 7, Target: 2}, WholeAnswer},
+		"flow at a service not allowed": {Event{At: at(50), Kind: OpeningAccepted, Flow: testFlow, Target: 9, Service: "c"}, AllowedServices},
+		"flow by an old configuration":  {Event{At: at(50), Kind: OpeningAccepted, Flow: testFlow, Target: 3, Service: "a"}, ConfigurationActiveInTime},
+		"flow at a draining target":     {Event{At: at(50), Kind: OpeningAccepted, Flow: testFlow, Target: 2, Service: "b"}, DrainingTargetGetsNoFlows},
+		"response on another flow":      {Event{At: at(50), Kind: RequestAnswered, Flow: Flow{Route: testRoute}, Request: 7, Target: 1}, ResponsesMatchRequests},
+		"response of another target":    {Event{At: at(50), Kind: RequestAnswered, Flow: testFlow, Request: 7, Target: 2}, ResponsesMatchRequests},
 		"request ran twice":             {Event{At: at(50), Kind: RequestRan, Request: 7, Target: 2}, AtMostOnce},
 		"request was not sent":          {Event{At: at(50), Kind: RequestRan, Request: 8, Target: 2}, AtMostOnce},
-		"unexpected daemon exit":        {Event{At: at(50), Kind: DaemonEnded, Detail: "daemon-1 exited unexpectedly: signal: hangup"}, LivingDaemon},
-		"request failed after recovery": {Event{At: at(50), Kind: RequestFailed, Request: 7}, ServedAfterward},
+		"unexpected daemon exit":        {Event{At: at(50), Kind: DaemonExited, Detail: "daemon-1 exited unexpectedly: signal: hangup"}, NoUnexpectedExits},
+		"request failed after recovery": {Event{At: at(50), Kind: RequestFailed, Request: 7}, RecoversAfterFaults},
 	} {
 		t.Run(name, func(t *testing.T) {
 			assert.DeepEqual(t, violatedInvariants(t, append(goodRun(), testCase.added)), []string{testCase.invariant})
@@ -81,13 +81,13 @@
 		events := goodRun()
 		failed := Event{At: events[7].At - 1, Kind: RequestFailed, Flow: testFlow, Request: 7}
 		events = slices.Insert(events, 7, failed)
-		assert.DeepEqual(t, violatedInvariants(t, events), []string{LivingAnswer, ServedAfterward})
+		assert.DeepEqual(t, violatedInvariants(t, events), []string{OpenFlowsAreAnswered, RecoversAfterFaults})
 	})
 	t.Run("open flow of a live target is reset", func(t *testing.T) {
 		events := goodRun()
 		events[8].At, events[8].Kind = events[7].At, FlowReset
 		events[7], events[8] = events[8], events[7]
-		assert.DeepEqual(t, violatedInvariants(t, events), []string{LivingFlow})
+		assert.DeepEqual(t, violatedInvariants(t, events), []string{OpenFlowsAreNotReset})
 	})
 }
 
@@ -108,14 +108,14 @@
 		Event{At: 55 * time.Second, Kind: FlowOpened, Flow: testFlow, Target: 4, Service: "b"},
 		Event{At: 56 * time.Second, Kind: FlowReset, Flow: testFlow},
 	)
-	assert.DeepEqual(t, violatedInvariants(t, events), []string{LivingFlow})
+	assert.DeepEqual(t, violatedInvariants(t, events), []string{OpenFlowsAreNotReset})
 }
 
 func TestTimeBoundsApplyOnlyAfterSettling(t *testing.T) {
 	events := append(
 		goodRun(),
-		Event{At: 46 * time.Second, Kind: Disturbed, Span: time.Second},
-		Event{At: 51 * time.Second, Kind: OpeningTaken, Flow: testFlow, Target: 2, Service: "b"},
+		Event{At: 46 * time.Second, Kind: FaultStarted, Duration: time.Second},
+		Event{At: 51 * time.Second, Kind: OpeningAccepted, Flow: testFlow, Target: 2, Service: "b"},
 	)
 	assert.Equal(t, len(violatedInvariants(t, events)), 0)
 }
--- a/internal/lab/storelab/daemon.go
+++ b/internal/lab/storelab/daemon.go
@@ -53,7 +53,7 @@
 		"telemetry": p.telemetry.String(), "ready_path": readyPath,
 		"data":   map[string]any{"listen": p.data.String()},
 		"store":  map[string]any{"address": p.store.String()},
-		"bounds": map[string]any{"converge": p.bounds.Converge.String(), "leave": p.bounds.Leave.String()},
+		"bounds": map[string]any{"converge": p.bounds.Converge.String(), "leave": p.bounds.Drain.String()},
 	})
 }
 
--- a/internal/lab/storelab/events.go
+++ b/internal/lab/storelab/events.go
@@ -15,13 +15,13 @@
 	RouteAllowed Kind = iota + 1
 	RouteForbidden
 	TargetStarted
-	// TargetLeaving: the target's entry in the store was marked as draining or removed.
-	TargetLeaving
+	// TargetDraining: the target's entry in the store was marked as draining or removed.
+	TargetDraining
 	TargetEnded
-	// Disturbed: a fault began.
-	Disturbed
-	// OpeningTaken: a target accepted the first packet of a flow.
-	OpeningTaken
+	// FaultStarted: a fault began.
+	FaultStarted
+	// OpeningAccepted: a target accepted the first packet of a flow.
+	OpeningAccepted
 	// FlowOpened: the handshake of a flow is complete at its target.
 	FlowOpened
 	// FlowReset: a flow's caller received a reset from a daemon.
@@ -31,8 +31,8 @@
 	RequestAnswered
 	// RequestFailed: the caller abandoned a request.
 	RequestFailed
-	// DaemonEnded: a daemon's process exited unexpectedly.
-	DaemonEnded
+	// DaemonExited: a daemon's process exited unexpectedly.
+	DaemonExited
 	// DaemonSignalled: a daemon's process was sent a signal that it has to handle.
 	DaemonSignalled
 )
@@ -49,11 +49,11 @@
 	Target  uint64
 	Service string
 	Request uint64
-	// MayRepeat says that the request is idempotent and may run more than once.
-	MayRepeat bool
-	// Span is the duration of a fault, or the age of the first packet of a flow if known.
-	Span   time.Duration
-	Detail string
+	// IsIdempotent says that the request is idempotent and may run more than once.
+	IsIdempotent bool
+	// Duration is the duration of a fault, or the age of the first packet of a flow if known.
+	Duration time.Duration
+	Detail   string
 }
 
 // Recorder collects events. It is safe for concurrent use.
@@ -66,8 +66,8 @@
 // NewRecorder creates a recorder. Times of events are relative to this call.
 func NewRecorder() *Recorder { return &Recorder{began: time.Now()} }
 
-// Note records an event with the current time.
-func (r *Recorder) Note(event Event) {
+// Record records an event with the current time.
+func (r *Recorder) Record(event Event) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	event.At = time.Since(r.began)
--- a/internal/lab/storelab/fault.go
+++ b/internal/lab/storelab/fault.go
@@ -26,14 +26,14 @@
 
 // Fault is one fault of a schedule.
 type Fault struct {
-	At time.Duration
-	Do string
-	// Draw seeds the random choices of the fault, such as its victims.
-	Draw uint64
+	At     time.Duration
+	Action string
+	// Seed seeds the random choices of the fault, such as its victims.
+	Seed uint64
 }
 
 func (f Fault) String() string {
-	return fmt.Sprintf("%s at %.1f s (%x)", f.Do, f.At.Seconds(), f.Draw)
+	return fmt.Sprintf("%s at %.1f s (%x)", f.Action, f.At.Seconds(), f.Seed)
 }
 
 // actions are the faults by name.
@@ -68,7 +68,7 @@
 func Faults(seed uint64, count int, duration time.Duration) []Fault {
 	faults := drawSchedule(rand.New(rand.NewPCG(seed, 11)), actions, count, duration)
 	if seed%2 == 0 {
-		faults = append(faults, Fault{At: minFaultTime + duration, Do: "all"})
+		faults = append(faults, Fault{At: minFaultTime + duration, Action: "all"})
 	}
 	slices.SortStableFunc(faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 	return faults
@@ -80,13 +80,13 @@
 	var drawn []Fault
 	for range count {
 		at := minFaultTime + time.Duration(random.Int64N(int64(duration)))
-		drawn = append(drawn, Fault{At: at.Round(100 * time.Millisecond), Do: names[random.IntN(len(names))], Draw: random.Uint64()})
+		drawn = append(drawn, Fault{At: at.Round(100 * time.Millisecond), Action: names[random.IntN(len(names))], Seed: random.Uint64()})
 	}
 	return drawn
 }
 
 func (s *site) noteFault(duration time.Duration, format string, args ...any) {
-	s.recorder.Note(Event{Kind: Disturbed, Span: duration, Detail: fmt.Sprintf(format, args...)})
+	s.recorder.Record(Event{Kind: FaultStarted, Duration: duration, Detail: fmt.Sprintf(format, args...)})
 }
 
 func (s *site) randomDaemons(random *rand.Rand, count int) []*daemon {
@@ -118,7 +118,7 @@
 
 // restartGracefully isn't recorded as a fault, since no flow may be lost by it.
 func (s *site) restartGracefully(d *daemon) {
-	s.recorder.Note(Event{Kind: DaemonSignalled, Detail: d.name})
+	s.recorder.Record(Event{Kind: DaemonSignalled, Detail: d.name})
 	<-d.terminate(syscall.SIGTERM)
 	s.startDaemon(d)
 }
--- a/internal/lab/storelab/fault_test.go
+++ b/internal/lab/storelab/fault_test.go
@@ -13,13 +13,13 @@
 // Regression seeds are of use only as long as they draw the same schedules.
 func TestSeedDrawsSameSchedule(t *testing.T) {
 	config := DefaultConfig()
-	drawn := append(Faults(201, config.Faults, config.Span), Series(201, config.Series, config.Span)...)
+	drawn := append(Faults(201, config.Faults, config.FaultPeriod), Series(201, config.Series, config.FaultPeriod)...)
 	slices.SortStableFunc(drawn, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 	var schedule []string
 	for _, fault := range drawn {
 		schedule = append(schedule, fmt.Sprint(fault))
 	}
-	assert.Equal(t, config.Span, 14*time.Second)
+	assert.Equal(t, config.FaultPeriod, 14*time.Second)
 	assert.DeepEqual(t, schedule, []string{
 		"store-one-way at 4.6 s (41feaf445c9a7bef)",
 		"all at 5.0 s (c6d8749cc1f39be4)",
--- a/internal/lab/storelab/run.go
+++ b/internal/lab/storelab/run.go
@@ -25,10 +25,10 @@
 	Callers int
 	// Faults is the number of faults to draw.
 	Faults int
-	// Span is the period over which faults and series are distributed.
-	Span time.Duration
-	// Calm is how long callers continue after the faults and the planned maintenance.
-	Calm time.Duration
+	// FaultPeriod is the period over which faults and series are distributed.
+	FaultPeriod time.Duration
+	// Cooldown is how long callers continue after the faults and the planned maintenance.
+	Cooldown time.Duration
 	// Series is the number of series of signals, restarts and changes to draw in addition to the
 	// faults.
 	Series int
@@ -39,8 +39,8 @@
 func DefaultConfig() Config {
 	return Config{
 		Daemons: 6, Zones: 3, Targets: 5, Callers: 12, Faults: 8,
-		Span: 14 * time.Second, Calm: 7 * time.Second, Series: 4,
-		Bounds: Bounds{Converge: 5 * time.Second, Leave: 5 * time.Second, Settle: 5 * time.Second, Answer: 2500 * time.Millisecond, Recover: 6 * time.Second},
+		FaultPeriod: 14 * time.Second, Cooldown: 7 * time.Second, Series: 4,
+		Bounds: Bounds{Converge: 5 * time.Second, Drain: 5 * time.Second, Settle: 5 * time.Second, Response: 2500 * time.Millisecond, Recover: 6 * time.Second},
 	}
 }
 
@@ -93,12 +93,12 @@
 	sleep(ctx, callerDelay)
 	var wg sync.WaitGroup
 	s.startCallers(callerCtx, &wg)
-	faults := append(Faults(config.Seed, config.Faults, config.Span), Series(config.Seed, config.Series, config.Span)...)
+	faults := append(Faults(config.Seed, config.Faults, config.FaultPeriod), Series(config.Seed, config.Series, config.FaultPeriod)...)
 	slices.SortStableFunc(faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 	s.inject(ctx, faults)
 	sleep(ctx, config.Bounds.Recover)
 	s.performMaintenance(ctx)
-	sleep(ctx, config.Calm)
+	sleep(ctx, config.Cooldown)
 	stop()
 	wg.Wait()
 	events := s.recorder.Events()
@@ -147,11 +147,11 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			action := actions[fault.Do]
+			action := actions[fault.Action]
 			if action == nil {
-				action = seriesActions[fault.Do]
+				action = seriesActions[fault.Action]
 			}
-			action(s, rand.New(rand.NewPCG(fault.Draw, 1)))
+			action(s, rand.New(rand.NewPCG(fault.Seed, 1)))
 		}()
 	}
 	wg.Wait()
--- a/internal/lab/storelab/seeds.go
+++ b/internal/lab/storelab/seeds.go
@@ -1,13 +1,13 @@
 package storelab
 
-// KeptSeed is a schedule that once exposed a fault.
-type KeptSeed struct {
+// RegressionSeed is a schedule that once exposed a fault.
+type RegressionSeed struct {
 	Seed uint64
 	// Series is the value of Config.Series in that run.
 	Series int
 }
 
-// KeptSeeds are run first by every soak. Each run has the same faults; their timing varies slightly.
+// RegressionSeeds are run first by every soak. Each run has the same faults; their timing varies slightly.
 //
 //   - 6 and 20: daemons restarted after a route had moved dropped all packets of its open flows, as
 //     they didn't know the previous service.
@@ -16,4 +16,4 @@
 //     other daemons had opened from retransmissions.
 //   - 817815575: entries of targets had no start time. A restored store contained an ended target at
 //     the address of a newer one, whose open flows were then reset.
-var KeptSeeds = []KeptSeed{{Seed: 6}, {Seed: 20}, {Seed: 101, Series: 4}, {Seed: 201, Series: 4}, {Seed: 817815575, Series: 4}}
+var RegressionSeeds = []RegressionSeed{{Seed: 6}, {Seed: 20}, {Seed: 101, Series: 4}, {Seed: 201, Series: 4}, {Seed: 817815575, Series: 4}}
--- a/internal/lab/storelab/series.go
+++ b/internal/lab/storelab/series.go
@@ -93,7 +93,7 @@
 func (s *site) rewrite(entry storeview.Entry) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.store.WriteAgain(entry)
+	s.store.Rewrite(entry)
 }
 
 // toggleRoute removes and re-adds a route several times.
@@ -127,7 +127,7 @@
 }
 
 func (s *site) sendSignal(d *daemon, signal syscall.Signal) {
-	s.recorder.Note(Event{Kind: DaemonSignalled, Detail: d.name})
+	s.recorder.Record(Event{Kind: DaemonSignalled, Detail: d.name})
 	d.signal(signal)
 }
 
--- a/internal/lab/storelab/site.go
+++ b/internal/lab/storelab/site.go
@@ -173,7 +173,7 @@
 // handleUnexpectedExit records an unexpected exit of a daemon and restarts it, as a service manager
 // does.
 func (s *site) handleUnexpectedExit(d *daemon, state string) {
-	s.recorder.Note(Event{Kind: DaemonEnded, Detail: fmt.Sprintf("%s exited unexpectedly: %s", d.name, state)})
+	s.recorder.Record(Event{Kind: DaemonExited, Detail: fmt.Sprintf("%s exited unexpectedly: %s", d.name, state)})
 	time.AfterFunc(restartDelay, func() { s.startDaemon(d) })
 }
 
@@ -250,7 +250,7 @@
 			Backends: []storeview.Backend{{Service: routes[address], Weight: 1000}},
 		})
 		if s.routes[address] != routes[address] {
-			s.recorder.Note(Event{Kind: RouteAllowed, Flow: Flow{Route: address}, Service: routes[address]})
+			s.recorder.Record(Event{Kind: RouteAllowed, Flow: Flow{Route: address}, Service: routes[address]})
 		}
 	}
 	for _, service := range []string{serviceFeeds, serviceForms, serviceOther} {
@@ -259,7 +259,7 @@
 	s.store.Put(storeview.Entry{Key: platform.ConfigurationKey, Configuration: configuration})
 	for address, service := range s.routes {
 		if routes[address] != service {
-			s.recorder.Note(Event{Kind: RouteForbidden, Flow: Flow{Route: address}, Service: service})
+			s.recorder.Record(Event{Kind: RouteForbidden, Flow: Flow{Route: address}, Service: service})
 		}
 	}
 	s.routes = routes
@@ -282,8 +282,8 @@
 	s.mutex.Lock()
 	s.putTarget(leaving, true)
 	s.mutex.Unlock()
-	s.recorder.Note(Event{Kind: TargetLeaving, Target: leaving.identifier})
-	time.AfterFunc(s.config.Bounds.Leave+drainMargin, func() { s.end(leaving) })
+	s.recorder.Record(Event{Kind: TargetDraining, Target: leaving.identifier})
+	time.AfterFunc(s.config.Bounds.Drain+drainMargin, func() { s.end(leaving) })
 }
 
 // crash ends a target at once; its entry expires after entryLifetime.
@@ -302,7 +302,7 @@
 	defer s.mutex.Unlock()
 	delete(s.targets, removed.identifier)
 	s.store.Put(storeview.Entry{Key: platform.TargetKey(removed.identifier)})
-	s.recorder.Note(Event{Kind: TargetLeaving, Target: removed.identifier})
+	s.recorder.Record(Event{Kind: TargetDraining, Target: removed.identifier})
 }
 
 func (s *site) close() {
--- a/internal/lab/storelab/target.go
+++ b/internal/lab/storelab/target.go
@@ -55,7 +55,7 @@
 		identifier: identifier, service: service, address: address, callerPort: callerPort, startedAt: time.Now(), recorder: recorder,
 		socket: socket, listener: listener, flows: map[Flow]*targetFlow{},
 	}
-	recorder.Note(Event{Kind: TargetStarted, Target: identifier, Service: service})
+	recorder.Record(Event{Kind: TargetStarted, Target: identifier, Service: service})
 	go receive(socket, func(_ netip.AddrPort, datagram []byte) { t.handlePacket(datagram) })
 	go t.accept()
 	return t, nil
@@ -74,7 +74,7 @@
 
 // end stops the target without notice.
 func (t *target) end() {
-	t.recorder.Note(Event{Kind: TargetEnded, Target: t.identifier})
+	t.recorder.Record(Event{Kind: TargetEnded, Target: t.identifier})
 	_ = t.socket.Close()
 	_ = t.listener.Close()
 }
@@ -106,7 +106,7 @@
 	if flow == nil {
 		flow = &targetFlow{received: packet.Sequence + 1, sent: firstSequence + 1}
 		t.flows[name] = flow
-		t.recorder.Note(Event{Kind: OpeningTaken, Flow: name, Target: t.identifier, Service: t.service})
+		t.recorder.Record(Event{Kind: OpeningAccepted, Flow: name, Target: t.identifier, Service: t.service})
 	}
 	flow.token = packet.Token
 	t.send(name, token.Packet{IsOpening: true, IsOpeningReply: true, Token: flow.token, Sequence: firstSequence, Acknowledgement: flow.received}, nil)
@@ -119,7 +119,7 @@
 			return // it acknowledges another target's handshake
 		}
 		flow.isOpen = true
-		t.recorder.Note(Event{Kind: FlowOpened, Flow: name, Target: t.identifier, Service: t.service})
+		t.recorder.Record(Event{Kind: FlowOpened, Flow: name, Target: t.identifier, Service: t.service})
 	}
 	if packet.PayloadLength == 0 {
 		return
@@ -130,7 +130,7 @@
 		flow.received += uint32(len(payload))
 		flow.sent = packet.Acknowledgement
 		flow.answer = nil
-		t.recorder.Note(Event{Kind: RequestRan, Flow: name, Target: t.identifier, Request: request.number})
+		t.recorder.Record(Event{Kind: RequestRan, Flow: name, Target: t.identifier, Request: request.number})
 		time.AfterFunc(time.Duration(request.work)*time.Millisecond, func() { t.finish(name, flow, request) })
 	}
 	t.send(name, token.Packet{Token: flow.token, Sequence: flow.sent, Acknowledgement: flow.received}, flow.answer)
--- a/internal/lab/workload/caller.go
+++ b/internal/lab/workload/caller.go
@@ -26,7 +26,7 @@
 	Feeds            int
 	UploadsPerSecond float64
 	UploadBytes      int
-	AnswerBytes      int
+	ResponseBytes    int
 	// Deadline is the timeout of one attempt.
 	Deadline time.Duration
 	// FeedStall is the time without an event after which a feed counts as broken.
@@ -51,14 +51,14 @@
 	number atomic.Uint64
 	// Dials counts connection attempts.
 	Dials atomic.Uint64
-	// Failed counts connection attempts that failed.
-	Failed atomic.Uint64
+	// DialErrors counts connection attempts that failed.
+	DialErrors atomic.Uint64
 	// The number of attempts at requests by outcome.
 	Answered atomic.Uint64
-	Refused  atomic.Uint64
+	NotRun   atomic.Uint64
 	Unknown  atomic.Uint64
-	// OpenFeed is the current number of open feeds.
-	OpenFeed atomic.Int64
+	// OpenFeeds is the current number of open feeds.
+	OpenFeeds atomic.Int64
 }
 
 const (
@@ -115,7 +115,7 @@
 		NextProtos: []string{applicationProtocol(c.config.Service)},
 	}, &quic.Config{KeepAlivePeriod: keepAliveInterval, MaxIdleTimeout: idleTimeout, HandshakeIdleTimeout: handshakeTimeout})
 	if err != nil {
-		c.Failed.Add(1)
+		c.DialErrors.Add(1)
 		return nil, err
 	}
 	c.config.Record(ClassHandshake, time.Since(start))
@@ -134,7 +134,7 @@
 			c.config.Record(class, time.Since(start))
 			return
 		case history.OutcomeNotRun:
-			c.Refused.Add(1)
+			c.NotRun.Add(1)
 			time.Sleep(retryAfter + time.Duration(rand.Int64N(int64(retryDelay))))
 		default:
 			c.Unknown.Add(1)
@@ -169,7 +169,7 @@
 		return history.OutcomeNotRun, 0, ""
 	}
 	req := request{
-		Kind: requestKind, ID: id, Attempt: attempt, AnswerSize: uint32(c.config.AnswerBytes),
+		Kind: requestKind, ID: id, Attempt: attempt, ResponseSize: uint32(c.config.ResponseBytes),
 		DeadlineMilliseconds: uint32(c.config.Deadline.Milliseconds() / 2),
 	}
 	if requestKind == kindUpload {
@@ -191,7 +191,7 @@
 	if resp.NotRun {
 		return history.OutcomeNotRun, time.Duration(resp.RetryAfterMilliseconds) * time.Millisecond, ""
 	}
-	if len(resp.Payload) != c.config.AnswerBytes || resp.Checksum != checksumOf(id, resp.Payload) {
+	if len(resp.Payload) != c.config.ResponseBytes || resp.Checksum != checksumOf(id, resp.Payload) {
 		return history.OutcomeWrong, 0, "response has the wrong length or checksum"
 	}
 	return history.OutcomeAnswered, 0, ""
@@ -225,8 +225,8 @@
 	}
 	stop := context.AfterFunc(ctx, func() { stream.CancelRead(0) })
 	defer stop()
-	c.OpenFeed.Add(1)
-	defer c.OpenFeed.Add(-1)
+	c.OpenFeeds.Add(1)
+	defer c.OpenFeeds.Add(-1)
 	target, last, err := c.readFeed(stream, id)
 	kind := history.FeedClosed
 	detail := ""
--- a/internal/lab/workload/protocol.go
+++ b/internal/lab/workload/protocol.go
@@ -36,8 +36,8 @@
 	// DeadlineMilliseconds is how long the request may be queued; a target that can't
 	// start it in time responds with NotRun.
 	DeadlineMilliseconds uint32 `cbor:"5,keyasint,omitempty"`
-	// AnswerSize is the size of the response's payload in bytes.
-	AnswerSize uint32 `cbor:"6,keyasint,omitempty"`
+	// ResponseSize is the size of the response's payload in bytes.
+	ResponseSize uint32 `cbor:"6,keyasint,omitempty"`
 }
 
 // response is the reply to a request. The checksum covers the request's ID too, which
--- a/internal/lab/workload/target.go
+++ b/internal/lab/workload/target.go
@@ -107,7 +107,7 @@
 
 func (t *Target) trace(service netip.AddrPort, _ bool) {
 	if service != t.config.ServiceAddr {
-		t.config.History.Add(history.Event{Kind: history.PacketForeign, Service: service.String(), Target: t.FullName()})
+		t.config.History.Add(history.Event{Kind: history.ForeignPacketReceived, Service: service.String(), Target: t.FullName()})
 	}
 }
 
@@ -161,7 +161,7 @@
 		Kind: history.RequestRun, Request: req.ID, Detail: req.Attempt, Service: t.config.Service, Target: t.FullName(),
 	})
 	time.Sleep(t.workTime())
-	payload := make([]byte, req.AnswerSize)
+	payload := make([]byte, req.ResponseSize)
 	for index := range payload {
 		payload[index] = byte(rand.Uint32())
 	}
@@ -189,7 +189,7 @@
 func (t *Target) reply(stream *quic.Stream, req *request, resp *response) {
 	if err := cbor.NewEncoder(stream).Encode(resp); err != nil && !t.crashed.Load() {
 		t.config.History.Add(history.Event{
-			Kind: history.RequestCut, Request: req.ID, Detail: err.Error(), Target: t.FullName(),
+			Kind: history.ResponseFailed, Request: req.ID, Detail: err.Error(), Target: t.FullName(),
 		})
 	}
 }
