--- a/internal/balance/slowstart_test.go
+++ b/internal/balance/slowstart_test.go
@@ -8,7 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// pickFor picks every 10 ms for the given time and returns when the first candidate was picked.
+// pickFor picks every 10 ms for the given time and returns the times at which the first candidate was
+// picked.
 func pickFor(duration time.Duration, targets []Candidate) []time.Duration {
 	random := rand.New(rand.NewPCG(1, 2))
 	var times []time.Duration
@@ -54,7 +55,7 @@
 	assert.Assert(t, len(pickFor(5*time.Second, slowStartCandidates(time.Second))) > 100)
 }
 
-// If all targets are at their limit, the caller must be queued, not rejected.
+// If all targets are at their limit, the flow must wait, not be refused.
 func TestAtLimitIfAllSlowStartSharesAreUsed(t *testing.T) {
 	targets := slowStartCandidates(time.Minute)[:1]
 	request := requestAt(testNow)
--- a/internal/liveness/detector_test.go
+++ b/internal/liveness/detector_test.go
@@ -236,7 +236,7 @@
 	assert.Equal(t, len(group.verdicts), 0)
 }
 
-// Two daemons cannot reach a target that a third one sees activity of.
+// Two daemons cannot reach a target, but a third one sees its activity.
 func TestActivityRefutesSuspicion(t *testing.T) {
 	group := newGroup(5)
 	for range 20 {
@@ -339,7 +339,7 @@
 	}
 	group.advance(700 * time.Millisecond)
 	assert.Equal(t, len(group.zones), 5)
-	assert.Equal(t, len(group.verdicts), 3, "daemons with a caller at a target decide locally")
+	assert.Equal(t, len(group.verdicts), 3, "want a local decision at each daemon with a caller at a target")
 }
 
 // In an unresponsive zone, a target is declared dead only if a probe of it fails.
@@ -404,7 +404,7 @@
 	assert.Equal(t, len(group.verdicts), 50)
 	// The verdict on the target is sent twice, one more report to each daemon.
 	assert.Assert(t, group.sent < 2*5*len(group.detectors)/2+len(group.detectors), "%d reports for one target and its zone to %d daemons", group.sent, len(group.detectors))
-	assert.Equal(t, group.suspicions, 2*(len(group.detectors)-1), "one suspicion of the target and one of its zone to each daemon")
+	assert.Equal(t, group.suspicions, 2*(len(group.detectors)-1), "want one suspicion of the target and one of its zone to each daemon")
 }
 
 // A lost verdict datagram must not leave a daemon without the verdict.
@@ -446,18 +446,18 @@
 }
 
 // A judge that was paused while refutations arrived discards them, and must not count the pause
-// as time in which nobody refuted.
+// as time without refutations.
 func TestPausedJudgeRestartsSuspicion(t *testing.T) {
-	const judge, objector = 4, 2
+	const judge, refuter = 4, 2
 	group := newGroup(5)
 	group.stopResponding()
-	group.directories[objector].lastActivity = group.now
+	group.directories[refuter].lastActivity = group.now
 	for group.suspicions == 0 {
 		group.advance(10 * time.Millisecond)
 	}
 	group.pauseDaemon(judge, time.Second)
 	for range 20 {
-		group.directories[objector].lastActivity = group.now
+		group.directories[refuter].lastActivity = group.now
 		group.advance(100 * time.Millisecond)
 	}
 	assert.Equal(t, len(group.verdicts), 0, "%v", group.verdicts)
--- a/internal/liveness/early_test.go
+++ b/internal/liveness/early_test.go
@@ -7,7 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// One daemon's caller and failed probes of others suffice without a second daemon's callers.
+// One daemon's caller and failed probes of other daemons suffice, since no single lost path explains
+// both.
 func TestEarlyVerdictFromOneReporter(t *testing.T) {
 	group := newGroup(5)
 	group.retransmit(0, 1)
@@ -31,7 +32,7 @@
 	}
 }
 
-// Any two daemons without a path must be outvoted by a judge whose probe succeeds.
+// Whichever two daemons have no path, a judge whose probe succeeds must prevent the verdict.
 func TestNoVerdictFromTwoCutOffDaemons(t *testing.T) {
 	for reporter := range 5 {
 		for other := range 5 {
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -10,9 +10,9 @@
 var start = time.Unix(1_800_000_000, 0)
 
 const (
-	route      = 1
-	answerSize = 1100
-	rejectSize = 150
+	route        = 1
+	responseSize = 1100
+	rejectSize   = 150
 )
 
 // newLearnedController returns a controller with learned response lengths, at one of ten daemons that
@@ -22,7 +22,7 @@
 	controller := New(DefaultConfig())
 	controller.SetShare(20, 10)
 	for range initialResponses + 2*currentWindow {
-		assert.Assert(t, !controller.NoteAnswer(start, route, answerSize))
+		assert.Assert(t, !controller.NoteAnswer(start, route, responseSize))
 	}
 	return controller
 }
@@ -37,7 +37,7 @@
 	controller := newLearnedController(t)
 	for index := range count {
 		if index < responsesBelowThreshold {
-			assert.Assert(t, !controller.NoteAnswer(start, route, rejectSize), "a few short responses are not rejections")
+			assert.Assert(t, !controller.NoteAnswer(start, route, rejectSize), "a few short responses must not count as rejections")
 			continue
 		}
 		assert.Assert(t, controller.NoteAnswer(start, route, rejectSize))
@@ -69,7 +69,7 @@
 	assert.Equal(t, countAdmitted(controller, start, Ordinary), 4)
 	assert.Assert(t, !controller.Admit(start, Ordinary))
 	controller.End(Ordinary)
-	assert.Assert(t, controller.Admit(start, Ordinary), "a request is admitted once another has ended")
+	assert.Assert(t, controller.Admit(start, Ordinary), "a request must be admitted once another has ended")
 }
 
 func TestPreferredRequestsAreAdmittedBeyondOrdinaryLimit(t *testing.T) {
@@ -93,7 +93,7 @@
 		}
 		controller.rejectedAt = start.Add(time.Duration(tick) * 100 * time.Millisecond)
 	}
-	assert.Equal(t, count, 10, "one per starvationInterval")
+	assert.Equal(t, count, 10, "want one per starvationInterval")
 }
 
 func TestLimitGrowsOnlyWhileEffective(t *testing.T) {
@@ -101,7 +101,7 @@
 	before, _ := controller.Bound(start)
 	countAdmitted(controller, start, Ordinary)
 	for range 100 {
-		controller.NoteAnswer(start, route, answerSize)
+		controller.NoteAnswer(start, route, responseSize)
 	}
 	after, _ := controller.Bound(start)
 	assert.Assert(t, after > 2*before, "%v after %v", after, before)
@@ -109,7 +109,7 @@
 		controller := newOverloadedController(t, 100)
 		before, _ := controller.Bound(start)
 		for range 100 {
-			controller.NoteAnswer(start, route, answerSize)
+			controller.NoteAnswer(start, route, responseSize)
 		}
 		after, _ := controller.Bound(start)
 		assert.Equal(t, after, before)
@@ -139,6 +139,7 @@
 	})
 }
 
+// In a large fleet a daemon's fair share may be less than one request.
 func TestLimitIsAtLeastOneRequest(t *testing.T) {
 	controller := newOverloadedController(t, 100)
 	controller.SetShare(40, 350)
@@ -147,12 +148,13 @@
 	assert.Equal(t, countAdmitted(controller, start, Ordinary), 1)
 }
 
+// Under overload most responses are rejections.
 func TestRejectionsDoNotBecomeBaseline(t *testing.T) {
 	controller := newOverloadedController(t, responsesBelowThreshold)
 	for range 1000 {
 		assert.Assert(t, controller.NoteAnswer(start, route, rejectSize))
 	}
-	assert.Assert(t, !controller.NoteAnswer(start, route, answerSize))
+	assert.Assert(t, !controller.NoteAnswer(start, route, responseSize))
 }
 
 func TestNewFlowCountsUntilEstablished(t *testing.T) {
@@ -163,11 +165,11 @@
 	controller.Begin(Ordinary)
 	assert.Equal(t, controller.InProgress(start, Ordinary), 1.0)
 	controller.Opened(start, Preferred)
-	assert.Assert(t, controller.InProgress(start.Add(10*openingDecay), Preferred) < 0.01, "an abandoned flow")
+	assert.Assert(t, controller.InProgress(start.Add(10*openingDecay), Preferred) < 0.01, "an abandoned flow still counts")
 }
 
-// flowlessPacket returns a packet queued at start for a service.
-func flowlessPacket(controller *Controller, rank Rank, isOpening bool, name string) Waiting[string] {
+// waitingPacket returns a packet queued at start for a service.
+func waitingPacket(controller *Controller, rank Rank, isOpening bool, name string) Waiting[string] {
 	return Waiting[string]{Load: controller, Rank: rank, IsOpening: isOpening, At: start, Until: start.Add(flowWaitLimit), Packet: name}
 }
 
@@ -176,31 +178,31 @@
 	countAdmitted(controller, start, Ordinary)
 	queue := NewQueue[string](10)
 	for _, waiting := range []Waiting[string]{
-		flowlessPacket(controller, Ordinary, true, "one"), flowlessPacket(controller, Ordinary, false, "two"), flowlessPacket(controller, Preferred, true, "three"),
+		waitingPacket(controller, Ordinary, true, "one"), waitingPacket(controller, Ordinary, false, "two"), waitingPacket(controller, Preferred, true, "three"),
 	} {
 		assert.Assert(t, queue.Put(start, waiting))
 	}
 	first, _ := queue.Take(start)
 	assert.Equal(t, first.Packet, "three")
 	_, found := queue.Take(start)
-	assert.Assert(t, !found, "the limit is reached for ordinary requests")
+	assert.Assert(t, !found, "ordinary packet left the queue although the limit is reached")
 	controller.End(Ordinary)
 	second, _ := queue.Take(start)
 	assert.Equal(t, second.Packet, "one")
 	controller.Begin(Ordinary)
 	third, found := queue.Take(start.Add(flowWaitLimit))
 	assert.Assert(t, found)
-	assert.Equal(t, third.Packet, "two", "it has reached its deadline")
+	assert.Equal(t, third.Packet, "two", "a packet must leave the queue at its deadline")
 }
 
 func TestFlowBeyondExpectedCapacityIsNotQueued(t *testing.T) {
 	controller := newOverloadedController(t, 100)
 	queue := NewQueue[string](10)
 	for range 4 {
-		assert.Assert(t, queue.Put(start, flowlessPacket(controller, Ordinary, true, "flow")))
+		assert.Assert(t, queue.Put(start, waitingPacket(controller, Ordinary, true, "flow")))
 	}
-	assert.Assert(t, !queue.Put(start, flowlessPacket(controller, Ordinary, true, "flow")))
-	assert.Assert(t, queue.Put(start, flowlessPacket(controller, Ordinary, false, "request")))
+	assert.Assert(t, !queue.Put(start, waitingPacket(controller, Ordinary, true, "flow")))
+	assert.Assert(t, queue.Put(start, waitingPacket(controller, Ordinary, false, "request")))
 	assert.Equal(t, queue.Len(), 5)
 }
 
@@ -210,7 +212,7 @@
 	before, _ := controller.Bound(start)
 	controller.SetShare(20, 1)
 	during, _ := controller.Bound(start)
-	assert.Assert(t, during > before, "the limit is at least the fair share")
+	assert.Assert(t, during > before, "the limit must be at least the fair share")
 	controller.NoteAnswer(start, route, rejectSize)
 	controller.SetShare(20, 10)
 	after, _ := controller.Bound(start)
@@ -225,11 +227,11 @@
 	assert.Assert(t, !isLimited)
 }
 
-func TestDisabledControllerIgnoresAnswers(t *testing.T) {
+func TestDisabledControllerIgnoresResponses(t *testing.T) {
 	controller := New(Config{})
 	controller.SetShare(20, 10)
 	for range 1000 {
-		assert.Assert(t, !controller.NoteAnswer(start, route, answerSize))
+		assert.Assert(t, !controller.NoteAnswer(start, route, responseSize))
 	}
 	for range 100 {
 		assert.Assert(t, !controller.NoteAnswer(start, route, rejectSize))
@@ -246,5 +248,5 @@
 	assert.Assert(t, !controller.Admit(start, Ordinary))
 	controller.SetShare(0, 0)
 	queue := NewQueue[string](10)
-	assert.Assert(t, queue.Put(start, flowlessPacket(controller, Ordinary, true, "flow")))
+	assert.Assert(t, queue.Put(start, waitingPacket(controller, Ordinary, true, "flow")))
 }
--- a/internal/overload/queue_test.go
+++ b/internal/overload/queue_test.go
@@ -18,7 +18,7 @@
 			controller := New(DefaultConfig())
 			controller.SetShare(20, 10)
 			for range 64 {
-				controller.NoteAnswer(start, route, answerSize)
+				controller.NoteAnswer(start, route, responseSize)
 			}
 			for range 100 {
 				controller.NoteAnswer(start, route, rejectSize)
@@ -40,7 +40,7 @@
 
 // flowPacket returns a packet of an open flow queued at start.
 func flowPacket(controller *Controller, name string) Waiting[string] {
-	waiting := flowlessPacket(controller, Ordinary, false, name)
+	waiting := waitingPacket(controller, Ordinary, false, name)
 	waiting.Flow = Flow{Source: caller}
 	return waiting
 }
@@ -67,7 +67,7 @@
 func TestTakeFlow(t *testing.T) {
 	controller := newOverloadedController(t, 100)
 	queue := NewQueue[string](8)
-	assert.Assert(t, queue.Put(start, flowlessPacket(controller, Ordinary, false, "other")))
+	assert.Assert(t, queue.Put(start, waitingPacket(controller, Ordinary, false, "other")))
 	assert.Assert(t, queue.Put(start, flowPacket(controller, "one")))
 	assert.Equal(t, queue.Of(Flow{Source: caller}).Packet, "one")
 	taken, found := queue.TakeFlow(Flow{Source: caller})
@@ -81,8 +81,8 @@
 func TestRequeuedPacketKeepsPosition(t *testing.T) {
 	controller := newOverloadedController(t, 100)
 	queue := NewQueue[string](8)
-	assert.Assert(t, queue.Put(start, flowlessPacket(controller, Ordinary, true, "first")))
-	second := flowlessPacket(controller, Ordinary, true, "second")
+	assert.Assert(t, queue.Put(start, waitingPacket(controller, Ordinary, true, "first")))
+	second := waitingPacket(controller, Ordinary, true, "second")
 	second.At, second.Until = start.Add(time.Millisecond), second.Until.Add(time.Millisecond)
 	assert.Assert(t, queue.Put(second.At, second))
 	taken, _ := queue.Take(start.Add(flowWaitLimit))
@@ -97,10 +97,10 @@
 	controller := newOverloadedController(t, 100)
 	countAdmitted(controller, start, Ordinary)
 	queue := NewQueue[string](8)
-	data := flowlessPacket(controller, Ordinary, false, "data")
+	data := waitingPacket(controller, Ordinary, false, "data")
 	data.Until = start.Add(dataWaitLimit)
 	assert.Assert(t, queue.Put(start, data))
-	assert.Assert(t, queue.Put(start, flowlessPacket(controller, Ordinary, true, "flow")))
+	assert.Assert(t, queue.Put(start, waitingPacket(controller, Ordinary, true, "flow")))
 	taken, found := queue.Take(start.Add(flowWaitLimit))
 	assert.Assert(t, found)
 	assert.Equal(t, taken.Packet, "flow")
--- a/internal/overload/responselengths_test.go
+++ b/internal/overload/responselengths_test.go
@@ -47,7 +47,7 @@
 			if since >= m.overloadFrom && since < m.overloadUntil {
 				share = rejected
 			}
-			length := uint32(answerSize)
+			length := uint32(responseSize)
 			if random.Float64() < share {
 				length = rejectSize
 			}
@@ -71,7 +71,7 @@
 const maxChanceRejections = 30
 
 // Many routes have responses of two lengths, which must not activate the limit.
-func TestRegularShortAnswersDoNotActivateLimit(t *testing.T) {
+func TestRegularShortResponsesDoNotActivateLimit(t *testing.T) {
 	for _, oneIn := range []int{3, 4, 5, 6, 8, 20, 50} {
 		t.Run(fmt.Sprint("one in ", oneIn), func(t *testing.T) {
 			for seed := range uint64(10) {
@@ -84,7 +84,7 @@
 }
 
 // The limit must end after a minute of rejections, also on routes with regular short responses.
-func TestLimitEndsAfterOverloadDespiteShortAnswers(t *testing.T) {
+func TestLimitEndsAfterOverloadDespiteShortResponses(t *testing.T) {
 	for _, oneIn := range []int{3, 5, 8, 20} {
 		t.Run(fmt.Sprint("one in ", oneIn), func(t *testing.T) {
 			for seed := range uint64(10) {
@@ -99,15 +99,15 @@
 
 // The short error responses of one failing target in a hundred must not activate the limit.
 func TestOneFailingTargetDoesNotActivateLimit(t *testing.T) {
-	const answers, pause = 300000, 2 * time.Millisecond
+	const responses, pause = 300000, 2 * time.Millisecond
 	for seed := range uint64(5) {
 		random := rand.New(rand.NewPCG(seed, 2))
 		controller := New(DefaultConfig())
 		controller.SetShare(200, 3)
 		limited := 0
-		for index := range answers {
+		for index := range responses {
 			now := start.Add(time.Duration(index) * pause)
-			length := uint32(answerSize)
+			length := uint32(responseSize)
 			if index > 1000 && random.IntN(100) == 0 {
 				length = rejectSize
 			}
@@ -116,7 +116,7 @@
 				limited++
 			}
 		}
-		assert.Assert(t, limited < answers/20, "limit active for %d of %d responses, seed %d", limited, answers, seed)
+		assert.Assert(t, limited < responses/20, "limit active for %d of %d responses, seed %d", limited, responses, seed)
 	}
 }
 
@@ -129,7 +129,7 @@
 		controller.SetShare(240, 88)
 		seen := 0
 		for index := range 6000 {
-			length := uint32(answerSize)
+			length := uint32(responseSize)
 			if index == 0 || random.IntN(100) < 64 {
 				length = rejectSize
 			}
@@ -142,14 +142,15 @@
 }
 
 // A moderate increase of short responses is no overload and becomes the baseline, without the limit
-// being activated again and again.
-func TestModerateIncreaseOfShortAnswersRarelyActivatesLimit(t *testing.T) {
+// being activated again and again. The rate is that of a daemon in a large fleet: a dozen responses
+// per second, of which a fifth are short.
+func TestModerateIncreaseOfShortResponsesRarelyActivatesLimit(t *testing.T) {
 	activations := 0
 	for seed := range uint64(20) {
 		random, c, now := rand.New(rand.NewPCG(seed, 3)), newLearnedController(t), start
 		for range 12 * 300 {
 			now = now.Add(time.Duration(random.ExpFloat64() * float64(time.Second) / 12))
-			length := uint32(answerSize)
+			length := uint32(responseSize)
 			if random.IntN(5) == 0 {
 				length = rejectSize
 			}
--- a/internal/simulation/balance.go
+++ b/internal/simulation/balance.go
@@ -10,7 +10,7 @@
 	"github.com/passtray/passtray/internal/statistics"
 )
 
-// BalancePolicy is a way to choose a target.
+// BalancePolicy is a way to choose a target: that of daemons, a part of it, or a baseline.
 type BalancePolicy string
 
 const (
--- a/internal/simulation/coldstart_test.go
+++ b/internal/simulation/coldstart_test.go
@@ -105,8 +105,8 @@
 	targetsBound = 200 * time.Millisecond
 )
 
-// countLateTargets counts the daemons that ran for targetsBound without a configuration, and those
-// of them that lacked the targets.
+// countLateTargets checks the daemons that have run for targetsBound and have no configuration yet.
+// It returns how many of them lacked the targets, and how many were checked.
 func countLateTargets(seed uint64, configurationBytes, earlyBytes int64) (late, checked int) {
 	config := followed.DefaultFleetConfig()
 	config.Follower.EarlyBytes = earlyBytes
@@ -129,7 +129,7 @@
 	return late, checked
 }
 
-// callAfterStart calls look some time after a daemon starts.
+// callAfterStart calls check some time after a daemon starts.
 func callAfterStart(run *coldStart, daemon *FollowedDaemon, after time.Duration, check func()) {
 	if daemon.Core == nil {
 		run.Clock.After(time.Millisecond, func() { callAfterStart(run, daemon, after, check) })
@@ -187,8 +187,9 @@
 // have timed out.
 func TestLargeFleetStartWithLargePages(t *testing.T) { testPagedStart(t, 542) }
 
-// TestDaemonSyncedFromPeerDefersToReader checks that daemons that got a snapshot from a peer don't
-// ask the store whether it is the latest.
+// TestDaemonSyncedFromPeerDefersToReader checks that daemons that got a snapshot from a peer wait
+// for a reader instead of asking the store whether it is the latest. In a large fleet most get one
+// before any daemon has asked.
 func TestDaemonSyncedFromPeerDefersToReader(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
--- a/internal/simulation/followed_scale_test.go
+++ b/internal/simulation/followed_scale_test.go
@@ -124,10 +124,11 @@
 	}
 	daemons := *fleetSize
 	const (
-		// detectionBound is the detection bound. Gossip spreads most failures within 15 s; failures
-		// that exceed what its messages carry spread by anti-entropy, once a minute.
+		// detectionBound is the time within which all running daemons must detect all failures. Gossip
+		// spreads most of them; failures that exceed what its messages carry spread by anti-entropy,
+		// once a minute.
 		detectionBound = 75 * time.Second
-		// maxBytesPerSecond is the maximum rate at which a daemon sends, in bytes per second.
+		// maxBytesPerSecond is the bandwidth that users allow a daemon for control messages.
 		maxBytesPerSecond = 4 << 10
 	)
 	for _, killed := range []float64{0.08, 0.55} {
--- a/internal/simulation/links.go
+++ b/internal/simulation/links.go
@@ -27,15 +27,15 @@
 // backlog returns the time until all queued transfers are complete.
 func (l *link) backlog(now time.Time) time.Duration { return max(0, l.freeAt.Sub(now)) }
 
-// Links models the network links of the store and of the daemons, and the sizes of responses.
+// Links models the network links of the store and of the daemons, and the sizes of answers.
 type Links struct {
 	// Store is the rate of the store's link in bytes per second; Daemon returns that of a daemon's
 	// link.
 	Store  float64
 	Daemon func(daemon int) float64
-	// ConfigurationBytes and TargetBytes are the sizes of entries in the store's responses.
-	// GivenUpBytes are transferred of a response that exceeds the reader's limit before the reader
-	// aborts it.
+	// ConfigurationBytes and TargetBytes are the sizes of entries in the store's answers.
+	// GivenUpBytes is the part of an answer over the reader's limit that is transferred before the
+	// reader aborts it.
 	ConfigurationBytes int64
 	TargetBytes        int64
 	GivenUpBytes       int64
@@ -77,7 +77,7 @@
 	return existing
 }
 
-// answerBytes returns the size of a response of the store.
+// answerBytes returns the size of an answer of the store.
 func (l *Links) answerBytes(answer *followed.Answer) int64 {
 	var bytes int64
 	for index := range answer.Entries {
@@ -90,8 +90,8 @@
 	return bytes
 }
 
-// transferAnswer transfers a response of the store over both links and returns the time it takes. A
-// response larger than the call's limit is aborted.
+// transferAnswer transfers an answer of the store over both links and returns the time it takes. An
+// answer larger than the call's limit is aborted.
 func (l *Links) transferAnswer(now time.Time, daemon int, call *followed.Call, answer *followed.Answer) time.Duration {
 	l.store.bytesPerSecond = l.Store
 	bytes := l.answerBytes(answer)
--- a/internal/simulation/orders_test.go
+++ b/internal/simulation/orders_test.go
@@ -147,7 +147,7 @@
 		{"105 daemons", 105, 5, failNone, time.Second},
 		{"350 daemons", 350, 1, failNone, time.Second},
 		{"105 daemons, reader killed", 105, 5, (*followedRun).killReaders, convergenceBound},
-		{"105 daemons, reader refused", 105, 5, (*followedRun).throttleReaders, convergenceBound},
+		{"105 daemons, reader throttled", 105, 5, (*followedRun).throttleReaders, convergenceBound},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var longest time.Duration
--- a/internal/simulation/readers_test.go
+++ b/internal/simulation/readers_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// disturbDaemon pauses one daemon, often the reader, or takes the store away from it.
+// disturbDaemon pauses one daemon, often the reader, or has the store throttle it or cut it off.
 func (r *readersRun) disturbDaemon() {
 	daemon := r.random.IntN(len(r.Daemons))
 	for index, other := range r.Daemons {
--- a/internal/simulation/recovery_test.go
+++ b/internal/simulation/recovery_test.go
@@ -93,7 +93,7 @@
 	fleet.Clock.Advance(10 * time.Second)
 	assert.Assert(t, fleet.Daemons[isolated].Core.HoldsLease(fleet.Clock.Now()))
 	fleet.Clock.Advance(10 * time.Second)
-	assert.Assert(t, !fleet.Daemons[isolated].Core.HoldsLease(fleet.Clock.Now()), "the lease expires without a renewal for 15 s")
+	assert.Assert(t, !fleet.Daemons[isolated].Core.HoldsLease(fleet.Clock.Now()), "the lease did not expire after 15 s without a renewal")
 	assert.Equal(t, fleet.submitAndWait(1, "while away", 1).Status, control.ProposalDecided)
 	assert.Equal(t, fleet.Daemons[isolated].Core.State().Revision, uint64(0))
 	fleet.Cut = nil
--- a/internal/simulation/speedload.go
+++ b/internal/simulation/speedload.go
@@ -196,8 +196,8 @@
 	}
 }
 
-// pick has a daemon choose a target and calls then. If all targets are at their limit, it retries
-// later.
+// pick has a daemon choose a target and passes its index to then. If all targets are at their
+// limit, it retries later.
 func (s *speedLoad) pick(daemon *speedDaemon, then func(index int)) {
 	now := s.clock.Now()
 	request := balance.Request{Now: now, Zone: zoneName, LeaseHeld: true, PrefersZone: true, KnowsOpen: true, Daemons: s.config.Fleet}
@@ -253,7 +253,7 @@
 	})
 }
 
-// request sends a request to a target and calls over when it is complete.
+// request sends a request to a target and calls done when it is served or rejected.
 func (s *speedLoad) request(daemon *speedDaemon, index, kind int, mean time.Duration, done func(isServed bool)) {
 	startedAt, target, signal := s.clock.Now(), s.targets[index], daemon.candidates[index].Signal
 	isMeasured := startedAt.Sub(s.startedAt) >= s.config.From
--- a/internal/simulation/store_restore_test.go
+++ b/internal/simulation/store_restore_test.go
@@ -55,7 +55,7 @@
 	return keys
 }
 
-// outdated returns the daemons that don't have the latest version, or take a draining target for
+// outdated returns the daemons that don't have the latest version, or still have a leaving target as
 // open.
 func (r *followedRun) outdated(leaving []string) []int {
 	var outdated []int
@@ -89,7 +89,7 @@
 			run.Clock.Advance(9 * time.Second)
 			leaving := run.configureAndDrain(2)
 			run.Clock.Advance(convergenceBound)
-			assert.Equal(t, len(run.outdated(leaving)), 0, "seed %d: daemons %v do not have version %d, or take draining targets for open",
+			assert.Equal(t, len(run.outdated(leaving)), 0, "seed %d: daemons %v do not have version %d, or still have leaving targets as open",
 				seed, run.outdated(leaving), run.version)
 		}
 		run.verifyConverged()
--- a/internal/simulation/strong_daemons_test.go
+++ b/internal/simulation/strong_daemons_test.go
@@ -12,7 +12,7 @@
 
 const (
 	mixedDaemons = 60
-	// strongInterval is the interval of machines that have the capacity for roles.
+	// One in strongInterval machines has the capacity for roles.
 	strongInterval = 10
 	// maxCallsPerSecond limits the calls of all daemons to a healthy store while strong daemons
 	// fail.
@@ -40,8 +40,8 @@
 	return run
 }
 
-// maxUpdateLatency returns the longest time in which one of several separate updates reached every
-// daemon.
+// maxUpdateLatency writes several updates, one after another, and returns the longest time that one
+// took to reach all daemons.
 func (r *readersRun) maxUpdateLatency() time.Duration {
 	longest := time.Duration(0)
 	for range 10 {
@@ -80,8 +80,8 @@
 	assert.Assert(t, without > within, "%s", without)
 }
 
-// disturbStrongDaemon kills or pauses a strong daemon, or takes the store and its peers away from
-// it.
+// disturbStrongDaemon restarts or pauses a strong daemon, or cuts it off from the store, or from the
+// store and its peers.
 func (r *readersRun) disturbStrongDaemon() {
 	daemon := r.random.IntN(mixedDaemons/strongInterval) * strongInterval
 	duration := 500*time.Millisecond + time.Duration(r.random.Int64N(int64(6*time.Second)))
--- a/internal/simulation/zoneload_test.go
+++ b/internal/simulation/zoneload_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// TestGossipedFlowCountsSpreadLoad checks that gossip of open flows reduces the imbalance at each
-// size and load, also during a burst while a third of the targets fails, without longer waits.
+// TestGossipedFlowCountsSpreadLoad checks that gossip of open flows makes neither the imbalance nor
+// the waits worse at any size and load, also during a burst while a third of the targets fails.
 func TestGossipedFlowCountsSpreadLoad(t *testing.T) {
 	t.Parallel()
 	for _, size := range zoneSizes {
--- a/internal/steering/token/dead_test.go
+++ b/internal/steering/token/dead_test.go
@@ -27,7 +27,7 @@
 	assert.Assert(t, site.open(rosterAddress, 1).Target != target, "retransmitted first packet sent to a dead target")
 
 	site.now = site.now.Add(time.Second)
-	assert.Equal(t, site.follow(rosterAddress, 1, target.Token).Action, Forward, "after the dead state has expired")
+	assert.Equal(t, site.follow(rosterAddress, 1, target.Token).Action, Forward, "flow not forwarded after the dead state expired")
 }
 
 func TestSetAliveRevertsSetDead(t *testing.T) {
@@ -121,7 +121,7 @@
 	sentAt := flow.now
 	flow.now = flow.now.Add(minRetransmitDelay - time.Millisecond)
 	flow.send(1, 500, 100)
-	assert.Equal(t, len(flow.requests.TakeUnacknowledged()), 0, "duplicate made by the network")
+	assert.Equal(t, len(flow.requests.TakeUnacknowledged()), 0, "duplicate made by the network taken for a retransmission")
 	first := flow.now
 	flow.now = flow.now.Add(200 * time.Millisecond)
 	flow.send(1, 500, 100)
@@ -161,7 +161,7 @@
 		flow := newExchange(t)
 		flow.send(1, 500, 1200)
 		flow.send(1201, 500, 1200)
-		assert.Assert(t, lastActivity(flow).IsZero(), "initial window needs no acknowledgement")
+		assert.Assert(t, lastActivity(flow).IsZero(), "data of the initial window, which needs no acknowledgement, counted as activity")
 		flow.now = flow.now.Add(minRetransmitDelay)
 		flow.send(2401, 500, 1200)
 		assert.Assert(t, lastActivity(flow).Equal(flow.now))
--- a/internal/steering/token/limit_test.go
+++ b/internal/steering/token/limit_test.go
@@ -96,7 +96,7 @@
 		requests.Note(site.now, &decision, data)
 	}
 	later := site.now.Add(time.Minute)
-	assert.Equal(t, decision.Target.Signal.InProgress(later) > 0.5, true, "only one request is tracked")
+	assert.Equal(t, decision.Target.Signal.InProgress(later) > 0.5, true, "tracked request not counted")
 	requests.Overdue(later)
 	assert.Assert(t, decision.Target.Signal.InProgress(later) < 0.5, "%v", decision.Target.Signal.InProgress(later))
 	assert.Equal(t, decision.Action, Forward)
--- a/internal/storeview/invalid_test.go
+++ b/internal/storeview/invalid_test.go
@@ -20,7 +20,7 @@
 	change := view.Merge(testStart, []Entry{faultEntry("a", 4)})
 	assert.Assert(t, change.Targets)
 	present, known := stateOf(view, "a")
-	assert.Assert(t, !present && known, "its open flows are still routed")
+	assert.Assert(t, !present && known, "the target must be gone but stay known for its open flows")
 	assert.Assert(t, view.Targets()[0].Refused)
 	present, _ = stateOf(view, "b")
 	assert.Assert(t, present)
@@ -44,9 +44,9 @@
 		change := view.MergeAll(testStart, content, 5)
 		assert.Assert(t, change.IsEmpty() && len(change.Refused) == 0)
 	}
-	assert.Equal(t, len(view.Merge(testStart, []Entry{faultEntry("b", 9)}).Refused), 1, "a new revision is reported again")
+	assert.Equal(t, len(view.Merge(testStart, []Entry{faultEntry("b", 9)}).Refused), 1, "a new revision must be reported again")
 	view.MergeAll(testStart, content[:1], 12)
-	assert.Equal(t, len(view.Refused()), 0, "no longer listed")
+	assert.Equal(t, len(view.Refused()), 0, "entries that are no longer listed must be dropped")
 }
 
 func TestInvalidEntriesAreBounded(t *testing.T) {
--- a/internal/storeview/restoregrace_test.go
+++ b/internal/storeview/restoregrace_test.go
@@ -109,7 +109,7 @@
 	early, late := newRestoredView(), New(time.Minute)
 	late.MergeAll(testStart, []Entry{stateEntry("e", 5, false, 5)}, 15)
 	late.MergeAll(testStart, nil, RevisionIn(1, 11))
-	assert.Equal(t, late.Target("e").State(), StateOpen, "it may have started after the backup was made")
+	assert.Equal(t, late.Target("e").State(), StateOpen, "must stay open, as it may have started after the backup was made")
 	early.MergeAll(testStart, late.EntriesSince(testStart, 0, Held{}), late.Revision())
 	assert.Equal(t, early.Target("e").State(), StateGone)
 }
@@ -141,7 +141,7 @@
 	assert.Assert(t, view.Target("b") == nil)
 	started := New(time.Second)
 	started.MergeAll(now, view.EntriesSince(now, 0, Held{}), view.Revision())
-	assert.Assert(t, started.Target("b") == nil, "a newly started daemon learns of the removal")
+	assert.Assert(t, started.Target("b") == nil, "a newly started daemon must learn of the removal")
 	t.Run("a stale list after its removal from the restored store resurrects nothing", func(t *testing.T) {
 		listed := New(time.Second)
 		listed.MergeAll(testStart, []Entry{stateEntry("e", 5, false, 5)}, 15)
@@ -157,7 +157,7 @@
 		assert.Assert(t, started.Target("b") == nil)
 	})
 	finishRestore(view, now.Add(DefaultConfig().RestoredFor))
-	assert.Equal(t, view.Target("b").State(), StateOpen, "the store's content wins")
+	assert.Equal(t, view.Target("b").State(), StateOpen, "the store's content must win")
 }
 
 // A target that counted as removed at the end of a grace period must not come back with a later
@@ -181,7 +181,7 @@
 	assert.Equal(t, view.Orders()[0].Key, "given")
 	finishRestore(view, testStart.Add(DefaultConfig().RestoredFor))
 	assert.Equal(t, len(view.Orders()), 1)
-	assert.Equal(t, view.Orders()[0].Key, "withdrawn", "the store's content wins")
+	assert.Equal(t, view.Orders()[0].Key, "withdrawn", "the store's content must win")
 }
 
 // A daemon that listed only the backup, one that learned from a peer, and one that did both in
--- a/internal/storeview/tombstones_test.go
+++ b/internal/storeview/tombstones_test.go
@@ -20,5 +20,5 @@
 	present, _ := stateOf(peer, "a")
 	assert.Assert(t, !present)
 	assert.Equal(t, len(started.EntriesSince(testStart, 6, Held{Revision: 5})), 0)
-	assert.Equal(t, len(started.EntriesSince(testStart, 0, Held{})), 1, "a full list implies removals")
+	assert.Equal(t, len(started.EntriesSince(testStart, 0, Held{})), 1, "a full list implies removals and must not contain any")
 }
