--- a/internal/liveness/detector_test.go
+++ b/internal/liveness/detector_test.go
@@ -68,8 +68,8 @@
 	// answersProbeOf, if set, overrides both: it returns whether probes of a daemon are answered.
 	answersProbeOf func(daemon int) bool
 	probes         int
-	// sent counts reports times recipients, suspicions those that are suspicions. lost reports
-	// whether a datagram to a daemon is lost.
+	// sent counts reports, once for each recipient, and suspicions the suspicions among them. lost
+	// reports whether a datagram to a daemon is lost.
 	sent, suspicions int
 	lost             func(to int, report *Report) bool
 	// paused is the paused daemon, resumesAt when it resumes.
--- a/internal/simulation/broken_rules_test.go
+++ b/internal/simulation/broken_rules_test.go
@@ -73,8 +73,8 @@
 	return ""
 }
 
-// crashOften restarts random daemons, including the leader, at short intervals, alternating at
-// random with partitions.
+// crashOften partitions the fleet or kills up to two random daemons, which may include the leader, at
+// short intervals. Killed daemons start again at the next interval.
 func crashOften(fleet *Fleet, duration time.Duration) {
 	end := fleet.Clock.Now().Add(duration)
 	var next func()
--- a/internal/simulation/flows_targets.go
+++ b/internal/simulation/flows_targets.go
@@ -70,8 +70,8 @@
 	m.Clock.After(drainBound+500*time.Millisecond, func() { m.stopTarget(target) })
 }
 
-// LapseTarget removes a target's entry as on expiry. The target registers again later if it is
-// alive and not leaving.
+// LapseTarget removes a target's entry as if it expired during a store outage. The target registers
+// again after renewAfter if it is alive and not leaving.
 func (m *FlowModel) LapseTarget(target *FlowTarget, renewAfter time.Duration) {
 	if !target.LeavingAt.IsZero() {
 		return
--- a/internal/simulation/overload.go
+++ b/internal/simulation/overload.go
@@ -50,11 +50,11 @@
 	overloadPreferredShare = 0.22 // share of all requests
 	overloadMaxAttempts    = 3
 	overloadRetryDelay     = 150 * time.Millisecond // mean delay before a retry
-	overloadRoundTrip      = 6 * time.Millisecond   // round-trip time
-	overloadIdleFlows      = 8                      // idle flows kept per daemon in a fleet of 88
+	overloadRoundTrip      = 6 * time.Millisecond
+	overloadIdleFlows      = 8 // idle flows kept per daemon in a fleet of 88
 	overloadObjective      = 600 * time.Millisecond
 	overloadLeadTime       = 2 * time.Second
-	overloadResponseBytes  = 1000 // bytes
+	overloadResponseBytes  = 1000
 	overloadRejectionBytes = 100
 	overloadRoute          = 1
 )
--- a/internal/simulation/readers_test.go
+++ b/internal/simulation/readers_test.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// TestUpdatesArriveAfterMassRestarts restarts many or all daemons at once, so that daemon age
-// doesn't distinguish a reader.
+// TestUpdatesArriveAfterMassRestarts restarts many or all daemons at once, so that none
+// is trusted more than the others for its age.
 func TestUpdatesArriveAfterMassRestarts(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, seed uint64) {
--- a/internal/simulation/state_loss_test.go
+++ b/internal/simulation/state_loss_test.go
@@ -155,9 +155,9 @@
 	r.Clock.After(5700*time.Millisecond, func() { r.add(r.otherService(service), target.Address) })
 }
 
-// TestFlowsSurviveLossOfDaemonState checks that daemons that were restarted or isolated still
-// forward the flows of routes that changed, reset only the flows of removed routes, and forward no
-// invalid token.
+// TestFlowsSurviveLossOfDaemonState checks that daemons that were isolated, or restarted alone or all
+// at once, still forward the flows of routes that changed, reset only the flows of removed routes,
+// and forward no packet with an invalid token.
 func TestFlowsSurviveLossOfDaemonState(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, seed uint64) {
--- a/internal/steering/token/dead_test.go
+++ b/internal/steering/token/dead_test.go
@@ -38,6 +38,7 @@
 	assert.Equal(t, site.follow(rosterAddress, 1, opened.Target.Token).Action, Forward)
 }
 
+// A caller that sends a reset has ended its flow.
 func TestCallersResetIsNotAnswered(t *testing.T) {
 	site := newSite(t)
 	opened := site.open(rosterAddress, 1)
@@ -199,7 +200,7 @@
 	assert.DeepEqual(t, site.table.TargetsToProbe(zone, 2), []uint64{104, 101})
 }
 
-// BenchmarkZoneLastActivity reports on one zone among 15,000 targets in 23 zones.
+// BenchmarkZoneLastActivity looks up the last activity of one of 23 zones with 15,000 targets in all.
 func BenchmarkZoneLastActivity(b *testing.B) {
 	table := &Table{index: newIndex(0)}
 	for number := range 15_000 {
--- a/internal/steering/token/overload_test.go
+++ b/internal/steering/token/overload_test.go
@@ -14,8 +14,8 @@
 // preferredAddress and ordinaryAddress are routes to roster with the highest and a lower priority.
 var preferredAddress, ordinaryAddress = ledgerAddress, rosterAddress
 
-// newOverloadedSite has a roster service that rejects requests, of whose limit this daemon's share
-// is one request.
+// newOverloadedSite has a roster service that rejects requests. This daemon's share of its limit is
+// one request.
 func newOverloadedSite(t *testing.T) *site {
 	t.Helper()
 	site := newSite(t)
@@ -124,7 +124,8 @@
 }
 
 // TestDelayedAcknowledgementWithHeldRequestIsNoSample covers a response acknowledged only with the
-// caller's next request: its target may have died in between.
+// caller's next request. Its target may have died in between, so it is activity of when the request
+// was sent.
 func TestDelayedAcknowledgementWithHeldRequestIsNoSample(t *testing.T) {
 	site, requests := newOverloadedSite(t), NewRequests(16)
 	opened := site.open(ordinaryAddress, 1)
--- a/internal/steering/token/slowstart_test.go
+++ b/internal/steering/token/slowstart_test.go
@@ -10,8 +10,8 @@
 	"github.com/passtray/passtray/internal/storeview"
 )
 
-// newSlowStartSite has a service with limited rates of new flows in slow start, which half of its
-// targets are in.
+// newSlowStartSite has a service whose targets get a limited rate of new flows in slow start. Half of
+// them are in slow start.
 func newSlowStartSite(t *testing.T) *site {
 	t.Helper()
 	s := newSite(t)
--- a/internal/storeview/invalid_test.go
+++ b/internal/storeview/invalid_test.go
@@ -59,8 +59,8 @@
 	assert.Equal(t, view.Present(), 0)
 }
 
-// A daemon that reads the store and one that learns from it, in any order, agree on which targets
-// are present.
+// A daemon that reads the store and a peer that learns from that daemon, in any order, agree on which
+// targets are present.
 func TestDaemonsAgreeOnInvalidEntries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reader, peer := New(time.Minute), New(time.Minute)
