--- a/internal/simulation/readers_test.go
+++ b/internal/simulation/readers_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// disturbDaemon pauses one daemon, often the reader, or takes the store away from it.
+// disturbDaemon pauses one daemon, often the reader, or has the store throttle it or cut it off.
 func (r *readersRun) disturbDaemon() {
 	daemon := r.random.IntN(len(r.Daemons))
 	for index, other := range r.Daemons {
@@ -113,8 +113,8 @@
 	}
 }
 
-// TestUpdatesArriveAfterMassRestarts restarts many or all daemons at once, so that daemon age
-// doesn't distinguish a reader.
+// TestUpdatesArriveAfterMassRestarts restarts many or all daemons at once, so that none
+// is trusted more than the others for its age.
 func TestUpdatesArriveAfterMassRestarts(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, seed uint64) {
