--- a/internal/storeview/invalid_test.go
+++ b/internal/storeview/invalid_test.go
@@ -20,7 +20,7 @@
 	change := view.Merge(testStart, []Entry{faultEntry("a", 4)})
 	assert.Assert(t, change.Targets)
 	present, known := stateOf(view, "a")
-	assert.Assert(t, !present && known, "its open flows are still routed")
+	assert.Assert(t, !present && known, "the target must be gone but stay known for its open flows")
 	assert.Assert(t, view.Targets()[0].IsInvalid)
 	present, _ = stateOf(view, "b")
 	assert.Assert(t, present)
@@ -44,9 +44,9 @@
 		change := view.MergeSnapshot(testStart, content, 5)
 		assert.Assert(t, change.IsEmpty() && len(change.InvalidEntries) == 0)
 	}
-	assert.Equal(t, len(view.Merge(testStart, []Entry{faultEntry("b", 9)}).InvalidEntries), 1, "a new revision is reported again")
+	assert.Equal(t, len(view.Merge(testStart, []Entry{faultEntry("b", 9)}).InvalidEntries), 1, "a new revision must be reported again")
 	view.MergeSnapshot(testStart, content[:1], 12)
-	assert.Equal(t, len(view.InvalidEntries()), 0, "no longer listed")
+	assert.Equal(t, len(view.InvalidEntries()), 0, "entries that are no longer listed must be dropped")
 }
 
 func TestInvalidEntriesAreBounded(t *testing.T) {
@@ -59,8 +59,8 @@
 	assert.Equal(t, view.PresentTargetCount(), 0)
 }
 
-// A daemon that reads the store and one that learns from it, in any order, agree on which targets
-// are present.
+// A daemon that reads the store and a peer that learns from that daemon, in any order, agree on which
+// targets are present.
 func TestDaemonsAgreeOnInvalidEntries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reader, peer := New(time.Minute), New(time.Minute)
