--- a/internal/followed/listparts_test.go
+++ b/internal/followed/listparts_test.go
@@ -9,7 +9,7 @@
 )
 
 // Of two stale answers the second may be the older one, and changes between them would be lost.
-func TestOnlyTheFirstPageOfAListMayBeStale(t *testing.T) {
+func TestOnlyFirstListPageMayBeStale(t *testing.T) {
 	t.Run("in two parts", func(t *testing.T) {
 		follower := newSlowFollower(DefaultConfig())
 		first := follower.Tick(testStart).Call
--- a/internal/lab/storelab/check_test.go
+++ b/internal/lab/storelab/check_test.go
@@ -93,7 +93,7 @@
 
 // Flows that were open when their route was dropped may be reset, and so may flows that a daemon
 // with an old configuration opened since. A flow that opens after the route is back may not.
-func TestFlowsOfADroppedRouteMayBeReset(t *testing.T) {
+func TestFlowsOfDroppedRouteMayBeReset(t *testing.T) {
 	events := append(
 		goodRun(),
 		Event{At: 50 * time.Second, Kind: RouteForbidden, Flow: Flow{Route: testRoute}, Service: "b"},
--- a/internal/signals/signals_test.go
+++ b/internal/signals/signals_test.go
@@ -10,7 +10,7 @@
 )
 
 // Any number of pending SIGHUPs must not displace a SIGTERM, as in a channel shared by both.
-func TestHangupsDoNotDisplaceStop(t *testing.T) {
+func TestHangupDoesNotDisplaceStop(t *testing.T) {
 	for range 20 {
 		assert.NilError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
 		time.Sleep(time.Millisecond) // the kernel coalesces pending signals of the same kind
--- a/internal/simulation/overload_test.go
+++ b/internal/simulation/overload_test.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// TestWithinCapacityNothingIsRefused covers the usual load, a load with a third of the targets
+// TestNoFlowIsRefusedWithinCapacity covers the usual load, a load with a third of the targets
 // dead, and one near the capacity.
-func TestWithinCapacityNothingIsRefused(t *testing.T) {
+func TestNoFlowIsRefusedWithinCapacity(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
 		t.Skip("takes minutes under the race detector")
--- a/internal/steering/token/builder_test.go
+++ b/internal/steering/token/builder_test.go
@@ -57,9 +57,9 @@
 	return lines
 }
 
-// TestAnUpdatedTableIsThatOfAFullBuild checks that incremental updates give the same table as a
+// TestIncrementalUpdateMatchesFullBuild checks that incremental updates give the same table as a
 // full build, for any sequence of changes.
-func TestAnUpdatedTableIsThatOfAFullBuild(t *testing.T) {
+func TestIncrementalUpdateMatchesFullBuild(t *testing.T) {
 	configurations := []*storeview.Configuration{
 		{Services: []storeview.Service{{Name: "roster"}, {Name: "ledger", ColdRate: 5}}},
 		{Services: []storeview.Service{{Name: "roster", MaximumFlows: 9}}},
--- a/internal/steering/token/limit_test.go
+++ b/internal/steering/token/limit_test.go
@@ -31,7 +31,7 @@
 	return 100
 }
 
-func TestATargetGetsNoMoreThanItCanTake(t *testing.T) {
+func TestFlowsPerTargetAreLimitedBySlots(t *testing.T) {
 	t.Run("one daemon sends one flow per slot", func(t *testing.T) {
 		site := newShrunkenSite(t)
 		site.opener.SetDaemons(1)
@@ -66,8 +66,8 @@
 	assert.Equal(t, site.open(rosterAddress, 3).Action, Forward)
 }
 
-// TestALimitMovesNoShares checks that flows of a backend at its limit don't spill over to others.
-func TestALimitMovesNoShares(t *testing.T) {
+// TestBackendAtLimitDoesNotSpillOver checks that flows of a backend at its limit don't spill over to others.
+func TestBackendAtLimitDoesNotSpillOver(t *testing.T) {
 	site := newSite(t)
 	site.opener.SetDaemons(50)
 	counts := map[string]int{}
--- a/internal/steering/token/openflows_test.go
+++ b/internal/steering/token/openflows_test.go
@@ -100,8 +100,8 @@
 	assert.Equal(t, flows.timestampOf(before.Add(time.Second)).since(flows.timestampOf(before)), time.Second)
 }
 
-// BenchmarkKeepingOpenFlows measures the cost per packet and the memory per flow.
-func BenchmarkKeepingOpenFlows(b *testing.B) {
+// BenchmarkNoteOpenFlow measures the cost per packet and the memory per flow.
+func BenchmarkNoteOpenFlow(b *testing.B) {
 	const kept = 36_000 // 50 million among 1,400 daemons
 	flows, target := newOpenFlows(), &Target{Token: 7}
 	packet := &Packet{Source: caller(1), Destination: rosterAddress, PayloadLength: 1}
--- a/internal/webserver/webserver_test.go
+++ b/internal/webserver/webserver_test.go
@@ -70,7 +70,7 @@
 	assert.NilError(t, <-slow.clientErr)
 }
 
-func TestShutdownCancelsRequestsAfterTheTimeout(t *testing.T) {
+func TestShutdownCancelsRequestsAfterTimeout(t *testing.T) {
 	slow := newSlowServer(t)
 	defer close(slow.release)
 	slow.Shutdown(time.Millisecond)
