--- a/internal/control/voters.go
+++ b/internal/control/voters.go
@@ -99,11 +99,11 @@
 // zonesAreUnbalanced reports whether two zones differ by two or more live voters.
 func (c *Core) zonesAreUnbalanced(alive []identity.Identity, live []membership.Member) bool {
 	counts := countZones(alive, zonesOf(live))
-	least, most := len(alive), 0
+	lowest, highest := len(alive), 0
 	for _, count := range counts {
-		least, most = min(least, count), max(most, count)
+		lowest, highest = min(lowest, count), max(highest, count)
 	}
-	return most-least >= 2
+	return highest-lowest >= 2
 }
 
 // bestVoterCandidate returns the longest-running alive non-voter in the zone with the fewest voters.
--- a/internal/followed/contacts.go
+++ b/internal/followed/contacts.go
@@ -29,7 +29,7 @@
 	if c.byPeer == nil {
 		c.byPeer = map[netip.AddrPort]contact{}
 	}
-	held, isKnown := c.byPeer[peer]
+	entry, isKnown := c.byPeer[peer]
 	if !isKnown && len(c.byPeer) >= maxContacts {
 		c.prune(now)
 		if len(c.byPeer) >= maxContacts {
@@ -37,21 +37,21 @@
 		}
 	}
 	if !isKnown {
-		held.rank = rankOfAddress(peer)
+		entry.rank = rankOfAddress(peer)
 	}
-	held.lastHeardAt = now
-	c.byPeer[peer] = held
+	entry.lastHeardAt = now
+	c.byPeer[peer] = entry
 }
 
 func (c *contacts) prune(now time.Time) {
-	maps.DeleteFunc(c.byPeer, func(_ netip.AddrPort, held contact) bool { return now.Sub(held.lastHeardAt) >= contactLifetime })
+	maps.DeleteFunc(c.byPeer, func(_ netip.AddrPort, entry contact) bool { return now.Sub(entry.lastHeardAt) >= contactLifetime })
 }
 
 // countAbove returns the number of contacts, and how many of them rank above rank.
 func (c *contacts) countAbove(now time.Time, rank uint64) (total, above int) {
 	c.prune(now)
-	for _, held := range c.byPeer {
-		if held.rank > rank {
+	for _, entry := range c.byPeer {
+		if entry.rank > rank {
 			above++
 		}
 	}
--- a/internal/followed/hedge.go
+++ b/internal/followed/hedge.go
@@ -50,7 +50,7 @@
 	if f.inFlight == call {
 		f.inFlight = f.hedged[len(f.hedged)-1]
 	}
-	f.hedged = slices.DeleteFunc(f.hedged, func(held *Call) bool { return held == call || held == f.inFlight })
+	f.hedged = slices.DeleteFunc(f.hedged, func(other *Call) bool { return other == call || other == f.inFlight })
 	return true
 }
 
--- a/internal/followed/listparts_test.go
+++ b/internal/followed/listparts_test.go
@@ -32,8 +32,8 @@
 	fleet := newTestFleet(DefaultFleetConfig())
 	fleet.follower.view.Merge(testStart, []storeview.Entry{configurationEntry(30, 1), targetEntry("a", 3)})
 	assert.Assert(t, fleet.lacksSnapshot())
-	asker := newTestFollower()
-	asker.Tick(testStart)
-	asker.Learn(testStart, &Delta{Entries: []storeview.Entry{configurationEntry(30, 1), targetEntry("a", 3)}})
-	assert.Equal(t, asker.phase, phaseListing)
+	receiver := newTestFollower()
+	receiver.Tick(testStart)
+	receiver.Learn(testStart, &Delta{Entries: []storeview.Entry{configurationEntry(30, 1), targetEntry("a", 3)}})
+	assert.Equal(t, receiver.phase, phaseListing)
 }
--- a/internal/followed/recentpeers.go
+++ b/internal/followed/recentpeers.go
@@ -15,7 +15,7 @@
 
 // add records a peer as the most recent.
 func (p *recentPeers) add(address netip.AddrPort) {
-	p.addresses = slices.DeleteFunc(p.addresses, func(held netip.AddrPort) bool { return held == address })
+	p.addresses = slices.DeleteFunc(p.addresses, func(known netip.AddrPort) bool { return known == address })
 	if len(p.addresses) >= maxRecentPeers {
 		p.addresses = slices.Delete(p.addresses, 0, 1)
 	}
--- a/internal/followed/serve.go
+++ b/internal/followed/serve.go
@@ -85,16 +85,18 @@
 
 // pickInformed selects a daemon to redirect to: preferably a strong one in the requester's
 // zone, then any strong one, then any.
-func (f *Fleet) pickInformed(asker membership.Member) (netip.AddrPort, bool) {
+func (f *Fleet) pickInformed(requester membership.Member) (netip.AddrPort, bool) {
 	capacity := measureCapacity(f.group.Live())
 	for _, isWanted := range []func(member *membership.Member) bool{
-		func(member *membership.Member) bool { return member.Zone == asker.Zone && capacity.isStrong(member) },
+		func(member *membership.Member) bool {
+			return member.Zone == requester.Zone && capacity.isStrong(member)
+		},
 		func(member *membership.Member) bool { return capacity.isStrong(member) },
 		func(*membership.Member) bool { return true },
 	} {
 		other, found := f.informedPeers.pick(f.random, func(address netip.AddrPort) bool {
 			member, isLive := f.group.LiveAt(address)
-			return isLive && address != asker.Identity.Address && isWanted(&member)
+			return isLive && address != requester.Identity.Address && isWanted(&member)
 		})
 		if found {
 			return other, true
--- a/internal/loadshare/head.go
+++ b/internal/loadshare/head.go
@@ -71,7 +71,7 @@
 		if len(queue) == limit && next.compare(&queue[limit-1]) >= 0 {
 			continue
 		}
-		position, _ := slices.BinarySearchFunc(queue, next, func(held, wanted queuedReport) int { return held.compare(&wanted) })
+		position, _ := slices.BinarySearchFunc(queue, next, func(element, target queuedReport) int { return element.compare(&target) })
 		queue = slices.Insert(queue, position, next)
 		queue = queue[:min(limit, len(queue))]
 	}
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -80,7 +80,7 @@
 		return
 	}
 	e.nextReportAt = now.Add(ReportInterval)
-	maps.DeleteFunc(e.reports, func(_ netip.AddrPort, held *report) bool { return now.Sub(held.madeAt) >= lifetime })
+	maps.DeleteFunc(e.reports, func(_ netip.AddrPort, known *report) bool { return now.Sub(known.madeAt) >= lifetime })
 	e.number++
 	own := &report{number: e.number, madeAt: now}
 	if counts := count(); len(counts) > maxTargets {
@@ -105,14 +105,14 @@
 // daemon's flows, and a daemon's own counts, which are high in this case, are the better measure.
 func (e *Exchange) Totals(now time.Time) (totals map[Mark]int, areComplete bool) {
 	totals = map[Mark]int{}
-	for _, held := range e.reports {
-		if now.Sub(held.madeAt) >= lifetime {
+	for _, known := range e.reports {
+		if now.Sub(known.madeAt) >= lifetime {
 			continue
 		}
-		if held.isPartial {
+		if known.isPartial {
 			return nil, false
 		}
-		for _, flows := range held.flows {
+		for _, flows := range known.flows {
 			totals[flows.Mark] += int(flows.Count)
 		}
 	}
@@ -135,12 +135,12 @@
 	addresses := InTurn(e.reports, MostHeads, func(r *report) Turn { return Turn{Sent: r.timesSent, At: r.madeAt} })
 	var message []byte
 	for _, address := range addresses {
-		held := e.reports[address]
-		if len(message)+reportHeaderBytes+targetBytes*len(held.flows) > limit {
+		known := e.reports[address]
+		if len(message)+reportHeaderBytes+targetBytes*len(known.flows) > limit {
 			break
 		}
-		held.timesSent++
-		message = held.append(now, message, address)
+		known.timesSent++
+		message = known.append(now, message, address)
 	}
 	return message
 }
--- a/internal/ownership/pins.go
+++ b/internal/ownership/pins.go
@@ -75,16 +75,16 @@
 // Update calls decide with the pin of a flow and stores the pin it returns if its second result is
 // true. It holds the shard's lock meanwhile, so that concurrent packets of a flow get the same
 // decision.
-func (t *Table) Update(now time.Time, key FlowKey, decide func(held Pin, found bool) (Pin, bool)) (Pin, bool) {
+func (t *Table) Update(now time.Time, key FlowKey, decide func(existing Pin, found bool) (Pin, bool)) (Pin, bool) {
 	shard := t.shardOf(key.Service, key.Caller)
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
 	shard.expire(now)
-	held, found := shard.pins[key]
-	if found && !now.Before(held.Expires) {
-		held, found = Pin{}, false
+	existing, found := shard.pins[key]
+	if found && !now.Before(existing.Expires) {
+		existing, found = Pin{}, false
 	}
-	pin, store := decide(held, found)
+	pin, store := decide(existing, found)
 	if !store {
 		return pin, false
 	}
--- a/internal/storeview/invalid.go
+++ b/internal/storeview/invalid.go
@@ -26,11 +26,11 @@
 
 // add remembers an invalid entry; it reports false if it, or a later one, is already known.
 func (r invalidEntries) add(entry *Entry, at time.Time) bool {
-	held, isHeld := r[entry.Key]
-	if isHeld && entry.Revision <= held.Revision {
+	existing, found := r[entry.Key]
+	if found && entry.Revision <= existing.Revision {
 		return false
 	}
-	if isHeld || len(r) < maxInvalidEntries {
+	if found || len(r) < maxInvalidEntries {
 		r[entry.Key] = Refusal{Key: entry.Key, Revision: entry.Revision, Reason: entry.Fault, LearnedAt: at}
 	}
 	return true
@@ -38,15 +38,15 @@
 
 // dropOlder forgets an invalid entry once its key has a later one or a removal.
 func (r invalidEntries) dropOlder(key string, revision uint64) {
-	if held, isHeld := r[key]; isHeld && revision > held.Revision {
+	if existing, found := r[key]; found && revision > existing.Revision {
 		delete(r, key)
 	}
 }
 
 // dropUnlisted forgets invalid entries that a full list as of a revision lacks.
 func (r invalidEntries) dropUnlisted(listed listedKeys, revision uint64) {
-	for key, held := range r {
-		if !listed.isListedIn(EpochOf(revision), key) && held.Revision <= revision {
+	for key, refusal := range r {
+		if !listed.isListedIn(EpochOf(revision), key) && refusal.Revision <= revision {
 			delete(r, key)
 		}
 	}
@@ -54,8 +54,8 @@
 
 func (r invalidEntries) sorted() []Refusal {
 	all := make([]Refusal, 0, len(r))
-	for _, held := range r {
-		all = append(all, held)
+	for _, refusal := range r {
+		all = append(all, refusal)
 	}
 	slices.SortFunc(all, func(a, b Refusal) int { return cmp.Compare(a.Key, b.Key) })
 	return all
@@ -64,10 +64,10 @@
 // since returns the invalid entries with a higher revision, unordered.
 func (r invalidEntries) since(now time.Time, revision uint64) []Entry {
 	var entries []Entry
-	for _, held := range r {
-		if held.Revision > revision {
+	for _, refusal := range r {
+		if refusal.Revision > revision {
 			entries = append(entries, Entry{
-				Key: held.Key, Revision: held.Revision, Fault: held.Reason, Age: max(0, now.Sub(held.LearnedAt)),
+				Key: refusal.Key, Revision: refusal.Revision, Fault: refusal.Reason, Age: max(0, now.Sub(refusal.LearnedAt)),
 			})
 		}
 	}
--- a/internal/storeview/lwwmap.go
+++ b/internal/storeview/lwwmap.go
@@ -76,8 +76,8 @@
 // sorted returns all entries by key, including removed ones.
 func (r *lwwMap[K]) sorted() []K {
 	all := make([]K, 0, len(r.byKey))
-	for _, held := range r.byKey {
-		all = append(all, held)
+	for _, entry := range r.byKey {
+		all = append(all, entry)
 	}
 	slices.SortFunc(all, func(a, b K) int { return cmp.Compare(a.record().Key, b.record().Key) })
 	return all
@@ -90,17 +90,17 @@
 	if record.Revision <= r.removed.revisionOf(record.Key) {
 		return
 	}
-	held, isHeld := r.byKey[record.Key]
+	existing, found := r.byKey[record.Key]
 	switch {
-	case !isHeld && r.grace.isNewerThanBackup(r.removed.revisionOf(record.Key), record.Revision):
+	case !found && r.grace.isNewerThanBackup(r.removed.revisionOf(record.Key), record.Revision):
 		r.deferInitial(learned, upTo)
 		return
-	case isHeld && record.Revision <= held.record().Revision:
-		if !r.supersedesRestored(learned, held) {
+	case found && record.Revision <= existing.record().Revision:
+		if !r.supersedesRestored(learned, existing) {
 			return
 		}
-		r.deferEntry(held)
-	case isHeld && r.supersedesRestored(held, learned):
+		r.deferEntry(existing)
+	case found && r.supersedesRestored(existing, learned):
 		r.deferInitial(learned, upTo)
 		return
 	default:
@@ -117,18 +117,18 @@
 // wasAbsent reports whether the complete state known up to revision upTo lacks the entry's key in
 // the entry's epoch.
 func (r *lwwMap[K]) wasAbsent(learned *Record, upTo uint64) bool {
-	held, isHeld := r.byKey[learned.Key]
-	if !isHeld {
+	existing, found := r.byKey[learned.Key]
+	if !found {
 		return !r.grace.isEarlierEpoch(learned.Revision)
 	}
 	epoch := EpochOf(learned.Revision)
-	return EpochOf(held.record().Revision) < epoch && epoch == EpochOf(upTo)
+	return EpochOf(existing.record().Revision) < epoch && epoch == EpochOf(upTo)
 }
 
 // put stores an entry under its key, replacing the previous one.
 func (r *lwwMap[K]) put(learned K, change *Change) {
 	record := learned.record()
-	held, isHeld := r.byKey[record.Key]
+	existing, found := r.byKey[record.Key]
 	r.byKey[record.Key] = learned
 	delete(r.gone, record.Key)
 	if record.Gone {
@@ -136,38 +136,38 @@
 	}
 	r.removed.remove(record.Key)
 	r.addToIndex(learned)
-	if isHeld && held.identity() != learned.identity() {
-		held.addTo(change, false)
+	if found && existing.identity() != learned.identity() {
+		existing.addTo(change, false)
 	}
-	learned.addTo(change, !isHeld || held.state() != learned.state())
+	learned.addTo(change, !found || existing.state() != learned.state())
 }
 
 // remove handles a removal and reports whether the key is held here.
 func (r *lwwMap[K]) remove(key string, revision uint64, at time.Time, change *Change) bool {
 	r.dropDeferred(key, revision)
-	held, isHeld := r.byKey[key]
+	existing, found := r.byKey[key]
 	switch {
-	case !isHeld:
-	case revision > held.record().Revision:
-		r.markGone(held, revision, at, change)
+	case !found:
+	case revision > existing.record().Revision:
+		r.markGone(existing, revision, at, change)
 	default:
-		r.removeRestored(held, revision, at, change)
+		r.removeRestored(existing, revision, at, change)
 	}
-	return isHeld
+	return found
 }
 
 // markInvalid handles an invalid entry under a key.
 func (r *lwwMap[K]) markInvalid(key string, revision uint64, at time.Time, change *Change) {
-	held, isHeld := r.byKey[key]
-	if !isHeld {
+	existing, found := r.byKey[key]
+	if !found {
 		return
 	}
 	r.dropDeferred(key, revision)
-	isNews := held.record().Gone && !held.record().Refused
-	refused := held.clone()
+	isNewlyInvalid := existing.record().Gone && !existing.record().Refused
+	refused := existing.clone()
 	refused.record().Refused = true
 	ended := r.markGone(refused, revision, at, change)
-	if isNews {
+	if isNewlyInvalid {
 		ended.addTo(change, false)
 	}
 }
@@ -176,24 +176,24 @@
 // removal at that very revision does not count: a peer that rejected the invalid entry written at
 // that revision reports it as a removal.
 func (r *lwwMap[K]) hasNewer(key string, revision uint64) bool {
-	held, isHeld := r.byKey[key]
-	return isHeld && (held.record().Revision > revision || held.record().Written >= revision)
+	existing, found := r.byKey[key]
+	return found && (existing.record().Revision > revision || existing.record().Written >= revision)
 }
 
 // dropUnlisted removes entries that a full list as of a revision lacks. The removals get the list's
 // revision, so that a later write counts as newer.
 func (r *lwwMap[K]) dropUnlisted(listed listedKeys, revision uint64, at time.Time, change *Change) {
 	missing := r.takeExpiredDeferred(listed, revision)
-	for key, held := range r.byKey {
-		isMissing := !listed.isListedIn(EpochOf(revision), key) && held.record().Revision <= revision
-		if isMissing && !r.grace.isEarlierEpoch(held.record().Revision) {
+	for key, existing := range r.byKey {
+		isMissing := !listed.isListedIn(EpochOf(revision), key) && existing.record().Revision <= revision
+		if isMissing && !r.grace.isEarlierEpoch(existing.record().Revision) {
 			missing = append(missing, key)
 		}
 	}
 	slices.Sort(missing) // deterministic order for seeded runs
 	for _, key := range missing {
-		if held, isHeld := r.byKey[key]; isHeld {
-			r.markGone(held, revision, at, change)
+		if existing, found := r.byKey[key]; found {
+			r.markGone(existing, revision, at, change)
 		} else {
 			r.removed.add(key, revision, at)
 		}
@@ -201,8 +201,8 @@
 }
 
 // markGone marks an entry as removed and returns the copy that is now held.
-func (r *lwwMap[K]) markGone(held K, revision uint64, at time.Time, change *Change) K {
-	ended := held.clone()
+func (r *lwwMap[K]) markGone(existing K, revision uint64, at time.Time, change *Change) K {
+	ended := existing.clone()
 	record := ended.record()
 	wasGone := record.Gone
 	record.Revision = max(record.Revision, revision)
@@ -231,8 +231,8 @@
 // revision among them.
 func (r *lwwMap[K]) expire(now time.Time, retention time.Duration, change *Change) (compacted uint64) {
 	for _, key := range slices.Sorted(maps.Keys(r.gone)) {
-		held := r.byKey[key]
-		record := held.record()
+		existing := r.byKey[key]
+		record := existing.record()
 		if now.Sub(record.LearnedAt) < retention {
 			continue
 		}
@@ -240,7 +240,7 @@
 		delete(r.gone, key)
 		r.removed.add(key, record.Revision, now)
 		compacted = max(compacted, record.Revision)
-		held.addTo(change, false)
+		existing.addTo(change, false)
 	}
 	return compacted
 }
@@ -255,12 +255,12 @@
 func (r *lwwMap[K]) toEntries(now time.Time, items []indexItem[K]) []Entry {
 	var entries []Entry
 	for _, item := range items {
-		held := item.entry
-		record := held.record()
-		if record.Revision != item.revision || r.byKey[record.Key] != held {
+		known := item.entry
+		record := known.record()
+		if record.Revision != item.revision || r.byKey[record.Key] != known {
 			continue // stale: a later item holds the current state
 		}
-		entry := entryOf(now, held)
+		entry := entryOf(now, known)
 		if record.Gone {
 			removal := Entry{Key: entry.Key, Revision: entry.Revision, Age: entry.Age}
 			entry.Revision = record.Written
@@ -273,9 +273,9 @@
 }
 
 // entryOf returns a known entry as sent to peers.
-func entryOf[K mergeable[K]](now time.Time, held K) Entry {
-	record := held.record()
-	entry := held.toEntry(now)
+func entryOf[K mergeable[K]](now time.Time, known K) Entry {
+	record := known.record()
+	entry := known.toEntry(now)
 	entry.Key, entry.Revision, entry.Age = record.Key, record.Revision, max(0, now.Sub(record.LearnedAt))
 	return entry
 }
--- a/internal/storeview/restoregrace.go
+++ b/internal/storeview/restoregrace.go
@@ -54,7 +54,7 @@
 // deferEntry defers an entry of the restored store that conflicts with newer earlier state.
 func (r *lwwMap[K]) deferEntry(restored K) {
 	key := restored.record().Key
-	if held, isHeld := r.deferred[key]; !isHeld || held.record().Revision < restored.record().Revision {
+	if existing, found := r.deferred[key]; !found || existing.record().Revision < restored.record().Revision {
 		r.deferred[key] = restored
 	}
 }
@@ -70,7 +70,7 @@
 
 // dropDeferred drops the deferred entry of a key if it is not newer than revision.
 func (r *lwwMap[K]) dropDeferred(key string, revision uint64) {
-	if held, isDeferred := r.deferred[key]; isDeferred && held.record().Revision <= revision {
+	if existing, isDeferred := r.deferred[key]; isDeferred && existing.record().Revision <= revision {
 		delete(r.deferred, key)
 	}
 }
@@ -126,12 +126,12 @@
 // written again.
 func (r *lwwMap[K]) dropMissing(now time.Time, change *Change) {
 	for _, key := range slices.Sorted(maps.Keys(r.byKey)) {
-		held := r.byKey[key]
+		existing := r.byKey[key]
 		_, isDeferred := r.deferred[key]
-		if !isDeferred && EpochOf(held.record().Revision) < r.grace.epoch && !held.record().Gone {
+		if !isDeferred && EpochOf(existing.record().Revision) < r.grace.epoch && !existing.record().Gone {
 			// The removal gets the epoch's first revision, so that a later backup with the entry is
 			// older.
-			r.markGone(held, r.grace.startRevision, now, change)
+			r.markGone(existing, r.grace.startRevision, now, change)
 		}
 	}
 }
--- a/internal/storeview/revisionindex.go
+++ b/internal/storeview/revisionindex.go
@@ -30,12 +30,14 @@
 const minRebuildSize = 64
 
 // needsRebuild reports whether more than half of the items, beyond minRebuildSize, are stale.
-func (r *revisionIndex[K]) needsRebuild(held int) bool { return len(r.indexed) > 2*held+minRebuildSize }
+func (r *revisionIndex[K]) needsRebuild(entryCount int) bool {
+	return len(r.indexed) > 2*entryCount+minRebuildSize
+}
 
 // rebuild replaces the index by one of the held entries.
-func (r *revisionIndex[K]) rebuild(held map[string]K) {
-	r.indexed = make([]indexItem[K], 0, len(held)+len(held)/2)
-	for _, entry := range held {
+func (r *revisionIndex[K]) rebuild(entries map[string]K) {
+	r.indexed = make([]indexItem[K], 0, len(entries)+len(entries)/2)
+	for _, entry := range entries {
 		r.indexed = append(r.indexed, indexItem[K]{entry.record().Revision, entry})
 	}
 	r.isUnsorted = true
