--- a/backend/backend.go
+++ b/backend/backend.go
@@ -178,12 +178,12 @@
 	packets *PacketConn
 }
 
-// GenerateConnectionID fails until a datagram has supplied the numbers of this target, as every first
-// flight does.
+// GenerateConnectionID fails until a datagram has supplied the identifiers of this target, as every
+// first flight does.
 func (g *connectionIDGenerator) GenerateConnectionID() (quic.ConnectionID, error) {
 	route, known := g.packets.route()
 	if !known {
-		return quic.ConnectionID{}, eris.New("the numbers of this target are not known yet")
+		return quic.ConnectionID{}, eris.New("target identifiers not known yet: no forwarded datagram received")
 	}
 	id, err := g.packets.newConnectionID(route)
 	if err != nil {
--- a/backend/packetconn.go
+++ b/backend/packetconn.go
@@ -28,7 +28,7 @@
 	// drain this target in that revision.
 	revision          uint64
 	drainedByOperator bool
-	// routes are the numbers of this target, the newest last. There are several only after the
+	// routes are the identifiers of this target, the newest last. There are several only after the
 	// fleet was recreated.
 	routes []connectionid.Route
 
--- a/internal/lab/history/check.go
+++ b/internal/lab/history/check.go
@@ -212,7 +212,7 @@
 			daemon.reachableSince = event.At
 		case ConfigurationApplied:
 			if event.Revision < daemon.lastRevision() {
-				verdict.addViolation(event.At, "%s went back from revision %d to %d", event.Daemon, daemon.lastRevision(), event.Revision)
+				verdict.addViolation(event.At, "%s reverted from revision %d to %d", event.Daemon, daemon.lastRevision(), event.Revision)
 			}
 			daemon.applied = append(daemon.applied, event)
 		}
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -84,7 +84,7 @@
 		"kill":         "must be KIND:TIME",
 		"kill:soon:1":  `time "soon"`,
 		"kill:1s:one":  `daemon "one" must be a number`,
-		"explode:1s:1": `kind "explode" is unknown`,
+		"explode:1s:1": `unknown kind "explode"`,
 	} {
 		_, err := ParseFault(text)
 		assert.ErrorContains(t, err, message)
--- a/internal/lab/labctl/soak.go
+++ b/internal/lab/labctl/soak.go
@@ -62,7 +62,7 @@
 			failed++
 		}
 	})
-	_, _ = fmt.Fprintf(c.program.stdout, "%d schedules held, %d did not\n", passed, failed)
+	_, _ = fmt.Fprintf(c.program.stdout, "%d schedules passed, %d failed\n", passed, failed)
 	if failed > 0 {
 		c.program.exitCode = ExitBroken
 	}
@@ -85,7 +85,7 @@
 		return false
 	}
 	r := result.Report
-	_, _ = fmt.Fprintf(c.program.stdout, "seed %d: %v: dials %d, failed %d, feeds broken %d, unknown %d, not run %d; late timers %.2f s\n",
+	_, _ = fmt.Fprintf(c.program.stdout, "seed %d: %v: dials %d, failed %d, feeds broken %d, unknown %d, not run %d; timer delay %.2f s\n",
 		result.Seed, result.Faults, r.Dials, r.FailedDials, r.FeedsBroken, r.Runs.Unknown, r.Runs.NotRun, r.StalledSeconds)
 	if r.Holds() {
 		return true
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -217,7 +217,7 @@
 		r.Runs.Answered, r.Runs.NotRun, r.Runs.Unknown, r.Runs.UnknownRan, r.Runs.Wrong, r.Runs.RanOnce, r.Runs.RanMore)
 	line("control traffic per daemon in bytes/s: mean %.0f, max %.0f; processor time of the lab %.1f s",
 		r.ControlBytesPerSecond, r.ControlBytesPerSecondMax, r.ProcessCPUSeconds)
-	line("lab timers were late by %.2f s in total, by %.2f s at most", r.StalledSeconds, r.LongestStall)
+	line("timer delay of the lab: total %.2f s, max %.2f s", r.StalledSeconds, r.LongestStall)
 	if r.CoreShareMax > 0 {
 		line("max per daemon process: %.1f %% of a core, %.0f MiB resident", 100*r.CoreShareMax, r.ResidentBytesMax/(1<<20))
 	}
--- a/internal/lab/storelab/check.go
+++ b/internal/lab/storelab/check.go
@@ -255,6 +255,6 @@
 		}
 	}
 	if verdict.Checked > 0 && float64(served) < minServedShare*float64(verdict.Checked) {
-		verdict.addViolation(&Event{At: from}, "only %d of %d requests were answered since then", served, verdict.Checked)
+		verdict.addViolation(&Event{At: from}, "only %d of %d later requests were answered", served, verdict.Checked)
 	}
 }
--- a/internal/lab/storelab/fault.go
+++ b/internal/lab/storelab/fault.go
@@ -112,7 +112,7 @@
 
 func (s *site) startDaemon(d *daemon) {
 	if err := d.start(); err != nil {
-		s.noteFault(0, "start of %s failed: %s", d.name, err)
+		s.noteFault(0, "failed to start %s: %s", d.name, err)
 	}
 }
 
@@ -234,6 +234,6 @@
 
 func (s *site) noteStartError(_ *target, err error) {
 	if err != nil {
-		s.noteFault(0, "start of a target failed: %s", err)
+		s.noteFault(0, "failed to start a target: %s", err)
 	}
 }
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -46,7 +46,7 @@
 func Serve(address netip.AddrPort, store *pki.Store, fleet Fleet) (*Server, error) {
 	listener, err := net.Listen("tcp", address.String())
 	if err != nil {
-		return nil, eris.Wrapf(err, "operator %s", address)
+		return nil, eris.Wrapf(err, "listen on operator address %s", address)
 	}
 	server := grpc.NewServer(
 		grpc.Creds(credentials.NewTLS(store.Server([]string{"h2"}, pki.RoleOperator))),
