--- a/internal/followed/epoch_test.go
+++ b/internal/followed/epoch_test.go
@@ -44,7 +44,7 @@
 }
 
 // The daemon learned from a peer of the new epoch while its watch in the old epoch was in
-// flight. The answer must not be taken for a continuation of the new epoch, or revisions 5 to 9
+// flight. The answer must not be mistaken for a continuation of the new epoch, or revisions 5 to 9
 // would be lost.
 func TestWatchFromEarlierEpochIsNoContinuation(t *testing.T) {
 	follower := newTestFollower()
--- a/internal/lab/storelab/caller.go
+++ b/internal/lab/storelab/caller.go
@@ -31,7 +31,7 @@
 // trafficPattern describes the traffic that a caller sends to one route.
 type trafficPattern struct {
 	route netip.AddrPort
-	// isIdempotent says that requests may run more than once.
+	// isIdempotent means that requests may run more than once.
 	isIdempotent    bool
 	requestsPerFlow int
 	// maxPause bounds the time between two requests on a flow.
@@ -43,7 +43,7 @@
 	socket   *net.UDPConn
 	address  netip.Addr
 	recorder *Recorder
-	// isDaemon tells daemons from targets, forward hands a packet to the router.
+	// isDaemon distinguishes daemons from targets, forward passes a packet to the router.
 	isDaemon    func(from netip.AddrPort) bool
 	forward     func(flow Flow, datagram []byte)
 	lastRequest *atomic.Uint64
--- a/internal/lab/storelab/daemon.go
+++ b/internal/lab/storelab/daemon.go
@@ -88,7 +88,7 @@
 	d.command, d.exited, d.isStopping = command, exited, false
 	d.processNumber++
 	go func() {
-		_ = command.Wait() // ProcessState tells how it exited
+		_ = command.Wait() // ProcessState holds the exit status
 		close(exited)
 		if d.onUnexpectedExit != nil && !d.wasStopped(command) {
 			d.onUnexpectedExit(d, command.ProcessState.String())
--- a/internal/lab/storelab/events.go
+++ b/internal/lab/storelab/events.go
@@ -49,7 +49,7 @@
 	Target  uint64
 	Service string
 	Request uint64
-	// MayRepeat says that the request is idempotent and may run more than once.
+	// MayRepeat means that the request is idempotent and may run more than once.
 	MayRepeat bool
 	// Span is the duration of a fault, or the age of the first packet of a flow if known.
 	Span   time.Duration
--- a/internal/lab/workload/caller.go
+++ b/internal/lab/workload/caller.go
@@ -155,7 +155,7 @@
 }
 
 // exchange dials, sends the request and reads the response. If dialing fails, the request
-// wasn't sent and hence not run.
+// wasn't sent and did not run.
 func (c *Callers) exchange(requestKind kind, id, attempt string) (history.Outcome, time.Duration, string) {
 	ctx, cancel := context.WithTimeout(context.Background(), c.config.Deadline)
 	defer cancel()
--- a/internal/liveness/judge.go
+++ b/internal/liveness/judge.go
@@ -29,7 +29,7 @@
 }
 
 // evaluate broadcasts a suspicion once there is enough evidence, and declares the subject dead if
-// nobody refutes it in time.
+// no daemon refutes it in time.
 func (d *Detector) evaluate(now time.Time, directory Directory, subject Subject, suspected *suspect, output *Output) {
 	flows, retransmissions, since := suspected.sumEvidence()
 	if d.pause.MayBeOld(now) { // incoming reports are discarded now, refutations included
--- a/internal/overload/responselengths.go
+++ b/internal/overload/responselengths.go
@@ -38,8 +38,8 @@
 	baselineMargin = 0.05
 )
 
-// responseLengths tells a route's rejections from its other responses: rejections are short, and there
-// are more short responses than in the baseline.
+// responseLengths detects a route's rejections among its responses: rejections are short, and there are
+// more short responses than in the baseline.
 type responseLengths struct {
 	// initial holds the response lengths from which the usual length is initialized.
 	initial []uint32
--- a/internal/simulation/coldstart_test.go
+++ b/internal/simulation/coldstart_test.go
@@ -188,8 +188,8 @@
 func TestLargeFleetStartWithLargePages(t *testing.T) { testPagedStart(t, 542) }
 
 // TestDaemonSyncedFromPeerDefersToReader checks that daemons that got a snapshot from a peer wait
-// for a reader instead of asking the store whether it is the latest. In a large fleet most get one
-// before any daemon has asked.
+// for a reader instead of calling the store to check whether it is the latest. In a large fleet most
+// get one before any daemon has called the store.
 func TestDaemonSyncedFromPeerDefersToReader(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
--- a/internal/simulation/idle_flows_test.go
+++ b/internal/simulation/idle_flows_test.go
@@ -99,7 +99,7 @@
 	})
 }
 
-// TestCheckDetectsResetOfIdleFlow has daemons take live targets for dead.
+// TestCheckDetectsResetOfIdleFlow makes daemons treat live targets as dead.
 func TestCheckDetectsResetOfIdleFlow(t *testing.T) {
 	t.Parallel()
 	run := startPooledRun(1, ToldAtVerdict)
--- a/internal/simulation/store_restore_test.go
+++ b/internal/simulation/store_restore_test.go
@@ -192,7 +192,7 @@
 
 // TestLargeFleetDetectsStoreRestore checks that every daemon enters the new epoch within the
 // convergence bound, and that updates spread meanwhile. Each daemon needs a full snapshot, as
-// nothing tells which entries the backup lacks.
+// it cannot know which entries the backup lacks.
 func TestLargeFleetDetectsStoreRestore(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
--- a/internal/simulation/target_restarts_test.go
+++ b/internal/simulation/target_restarts_test.go
@@ -10,7 +10,7 @@
 )
 
 // restartTarget crashes a target, which restarts with the same identifier, at once or after it was
-// found dead or its entry expired, at the same or another address.
+// declared dead or its entry expired, at the same or another address.
 func (r *flowRun) restartTarget() {
 	service := r.service()
 	target := r.takeTarget(service)
--- a/internal/steering/token/binding.go
+++ b/internal/steering/token/binding.go
@@ -10,8 +10,8 @@
 // binding masks tokens per destination address. A token that resolves to a known target under an
 // address's binding shows that some daemon opened a flow to that target at that address, under a
 // configuration that allowed it, so daemons need not remember which services a route once led to.
-// Without it, a restarted daemon couldn't tell tokens of other routes from those of flows opened
-// before a route changed.
+// Without it, a restarted daemon couldn't distinguish tokens of other routes from those of flows
+// opened before a route changed.
 //
 // It is an unkeyed hash that catches mistakes, not a defence against callers that compute tokens.
 // Those cannot open a flow with a token.
--- a/internal/steering/token/openflows.go
+++ b/internal/steering/token/openflows.go
@@ -49,7 +49,7 @@
 
 // since returns the time from earlier to m, negative if m is before earlier. That happens because
 // the control loop uses the time at which its tick began, and packets arrive meanwhile. Unsigned
-// arithmetic would turn 1 ms into 49 days, and the flow would be forgotten.
+// arithmetic would turn 1 ms into 49 days, and the flow would be dropped.
 func (m timestamp) since(earlier timestamp) time.Duration {
 	return time.Duration(int32(m-earlier)) * time.Millisecond
 }
--- a/internal/steering/token/service.go
+++ b/internal/steering/token/service.go
@@ -47,7 +47,7 @@
 	target.entry = nil
 }
 
-// trackUnavailable tells the target's pool that the target was declared dead or ejected.
+// trackUnavailable notifies the target's pool that the target was declared dead or ejected.
 func (s *Service) trackUnavailable(target *Target) {
 	switch {
 	case target.entry == nil:
--- a/internal/storenode/changes.go
+++ b/internal/storenode/changes.go
@@ -10,7 +10,7 @@
 
 const (
 	// minTargetLogInterval is the minimum interval between log lines about changed targets. In a large
-	// fleet hundreds change per second, each in an update of its own.
+	// fleet hundreds change per second, each in a separate update.
 	minTargetLogInterval = 250 * time.Millisecond
 	// maxLoggedTargets bounds the targets listed in one log line.
 	maxLoggedTargets = 20
--- a/internal/storeview/configuration.go
+++ b/internal/storeview/configuration.go
@@ -80,7 +80,7 @@
 }
 
 // Held identifies the configuration that a polling daemon holds; Version is 0 if it has none or
-// does not say.
+// does not report it.
 type Held struct{ Revision, Version uint64 }
 
 // since returns what a peer lacks that knows everything up to a revision and holds the given
