--- a/backend/backend.go
+++ b/backend/backend.go
@@ -178,12 +178,12 @@
 	packets *PacketConn
 }
 
-// GenerateConnectionID fails until a datagram has supplied the identifiers of this target, as every
+// GenerateConnectionID fails until a datagram has supplied the service and target numbers, as every
 // first flight does.
 func (g *connectionIDGenerator) GenerateConnectionID() (quic.ConnectionID, error) {
 	route, known := g.packets.route()
 	if !known {
-		return quic.ConnectionID{}, eris.New("target identifiers not known yet: no forwarded datagram received")
+		return quic.ConnectionID{}, eris.New("service and target numbers not known yet: no datagram received from a daemon")
 	}
 	id, err := g.packets.newConnectionID(route)
 	if err != nil {
--- a/backend/packetconn.go
+++ b/backend/packetconn.go
@@ -28,8 +28,8 @@
 	// drain this target in that revision.
 	revision          uint64
 	drainedByOperator bool
-	// routes are the identifiers of this target, the newest last. There are several only after the
-	// fleet was recreated.
+	// routes are the numbers of the service and this target, the newest last. There are several
+	// only after the fleet was recreated.
 	routes []connectionid.Route
 
 	busy        atomic.Uint32
--- a/internal/lab/workload/load.go
+++ b/internal/lab/workload/load.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// reportedLoad distorts the load that a target reports: it is always 0 if the target
-// lies, or up to lag old.
+// reportedLoad distorts the load that a target reports: it is always 0 if reportsZero
+// is set, otherwise up to lag old.
 type reportedLoad struct {
-	lies bool
-	lag  time.Duration
+	reportsZero bool
+	lag         time.Duration
 
 	mutex       sync.Mutex
 	updatedAt   time.Time
@@ -18,7 +18,7 @@
 }
 
 func (l *reportedLoad) report(busy uint16, connections uint32) (uint16, uint32) {
-	if l.lies {
+	if l.reportsZero {
 		return 0, 0
 	}
 	l.mutex.Lock()
--- a/internal/lab/workload/target.go
+++ b/internal/lab/workload/target.go
@@ -65,7 +65,7 @@
 func StartTarget(config TargetConfig) (*Target, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	target := &Target{config: config, startedAt: time.Now(), ctx: ctx, cancel: cancel}
-	load := &reportedLoad{lies: config.LoadLies, lag: config.LoadLag}
+	load := &reportedLoad{reportsZero: config.LoadLies, lag: config.LoadLag}
 	var err error
 	target.listener, err = backend.Listen(config.Address, backend.Config{
 		Load:    load.report,
