--- a/internal/lab/labctl/soak.go
+++ b/internal/lab/labctl/soak.go
@@ -62,7 +62,7 @@
 			failed++
 		}
 	})
-	_, _ = fmt.Fprintf(c.program.stdout, "%d schedules passed, %d failed\n", passed, failed)
+	_, _ = fmt.Fprintf(c.program.stdout, "%d schedules held, %d did not\n", passed, failed)
 	if failed > 0 {
 		c.program.exitCode = ExitBroken
 	}
--- a/internal/lab/labctl/soakstore.go
+++ b/internal/lab/labctl/soakstore.go
@@ -41,7 +41,7 @@
 	if runErr != nil {
 		return runErr
 	}
-	_, _ = fmt.Fprintf(c.program.stdout, "%d schedules passed, %d failed\n", passed, failed)
+	_, _ = fmt.Fprintf(c.program.stdout, "%d schedules held, %d did not\n", passed, failed)
 	if failed > 0 {
 		c.program.exitCode = ExitBroken
 	}
