--- a/internal/lab/storelab/events.go
+++ b/internal/lab/storelab/events.go
@@ -49,7 +49,7 @@
 	Target  uint64
 	Service string
 	Request uint64
-	// IsIdempotent says that the request is idempotent and may run more than once.
+	// IsIdempotent means that the request is idempotent and may run more than once.
 	IsIdempotent bool
 	// Duration is the duration of a fault, or the age of the first packet of a flow if known.
 	Duration time.Duration
