--- a/internal/followed/list.go
+++ b/internal/followed/list.go
@@ -44,7 +44,7 @@
 	f.pages = append(f.pages, answer.Entries...)
 	f.pagesBytes += answer.Bytes
 	f.nextCallAt = now
-	if call.MostBytes > 0 && answer.More && f.pagesBytes >= call.MostBytes {
+	if call.MaxBytes > 0 && answer.More && f.pagesBytes >= call.MaxBytes {
 		f.deferToPeers(now, output)
 		return
 	}
@@ -62,7 +62,7 @@
 	if f.isFromLaterEpoch(answer) {
 		f.emitRestored(answer, output)
 	}
-	change := f.view.MergeAll(now, f.pages, f.listRevision)
+	change := f.view.MergeSnapshot(now, f.pages, f.listRevision)
 	f.emitChange(change, output)
 	output.Events = append(output.Events, Event{EventListed, f.listDetail(call, answer)})
 	f.resetPages()
@@ -75,12 +75,12 @@
 	if call.AllowStale {
 		freshness = "may be stale"
 	}
-	return fmt.Sprintf("revision %d, epoch %d, %s; ", storeview.NumberOf(f.listRevision), answer.Epoch, freshness) + listSummary(len(f.pages), answer)
+	return fmt.Sprintf("revision %d, epoch %d, %s; ", storeview.ChangeNumberOf(f.listRevision), answer.Epoch, freshness) + listSummary(len(f.pages), answer)
 }
 
 func listSummary(entries int, answer *Answer) string {
 	return fmt.Sprintf("%d entries; last page began after %s, took %s",
-		entries, answer.BeganAfter.Round(time.Millisecond), answer.TookFor.Round(time.Millisecond))
+		entries, answer.TimeToFirstByte.Round(time.Millisecond), answer.TotalTime.Round(time.Millisecond))
 }
 
 func maxRevision(entries []storeview.Entry) uint64 {
--- a/internal/followed/listparts_test.go
+++ b/internal/followed/listparts_test.go
@@ -34,6 +34,6 @@
 	assert.Assert(t, fleet.lacksSnapshot())
 	receiver := newTestFollower()
 	receiver.Tick(testStart)
-	receiver.Learn(testStart, &Delta{Entries: []storeview.Entry{configurationEntry(30, 1), targetEntry("a", 3)}})
+	receiver.MergeDelta(testStart, &Delta{Entries: []storeview.Entry{configurationEntry(30, 1), targetEntry("a", 3)}})
 	assert.Equal(t, receiver.phase, phaseListing)
 }
--- a/internal/lab/storelab/caller.go
+++ b/internal/lab/storelab/caller.go
@@ -72,7 +72,7 @@
 		name := Flow{Caller: packet.Destination, Route: packet.Source}
 		isFromDaemon := c.isDaemon(from)
 		if packet.IsReset && isFromDaemon {
-			c.recorder.Note(Event{Kind: FlowReset, Flow: name})
+			c.recorder.Record(Event{Kind: FlowReset, Flow: name})
 		}
 		c.mutex.Lock()
 		inbox := c.flows[name]
@@ -127,7 +127,7 @@
 	c.flows[flow.name] = flow.inbox
 	c.mutex.Unlock()
 	opening := token.Packet{IsOpening: true, Sequence: 1}
-	answer, isAnswered := c.exchange(ctx, flow, opening, nil, openRetransmits, openTimeout, func(answer *received) bool { return answer.packet.IsAnswer })
+	answer, isAnswered := c.exchange(ctx, flow, opening, nil, openRetransmits, openTimeout, func(answer *received) bool { return answer.packet.IsOpeningReply })
 	if !isAnswered {
 		c.removeFlow(flow)
 		return nil
@@ -152,7 +152,7 @@
 func (c *caller) request(ctx context.Context, flow *callerFlow, pattern trafficPattern, random *rand.Rand) bool {
 	number := c.lastRequest.Add(1)
 	message := requestMessage{number: number, work: byte(5 + random.IntN(20))}.encode()
-	c.recorder.Note(Event{Kind: RequestSent, Flow: flow.name, Request: number, MayRepeat: pattern.isIdempotent})
+	c.recorder.Record(Event{Kind: RequestSent, Flow: flow.name, Request: number, IsIdempotent: pattern.isIdempotent})
 	packet := token.Packet{Token: flow.token, Sequence: flow.nextSend, Acknowledgement: flow.nextReceive}
 	answer, isAnswered := c.exchange(ctx, flow, packet, message, dataRetransmits, requestTimeout, func(answer *received) bool { return len(answer.payload) > 0 })
 	decoded, isRead := decodeAnswer(answer.payload)
@@ -160,10 +160,10 @@
 	case ctx.Err() != nil:
 		return false
 	case !isAnswered || !isRead:
-		c.recorder.Note(Event{Kind: RequestFailed, Flow: flow.name, Request: number, MayRepeat: pattern.isIdempotent})
+		c.recorder.Record(Event{Kind: RequestFailed, Flow: flow.name, Request: number, IsIdempotent: pattern.isIdempotent})
 		return false
 	}
-	c.recorder.Note(Event{Kind: RequestAnswered, Flow: flow.name, Request: decoded.number, Target: decoded.target})
+	c.recorder.Record(Event{Kind: RequestAnswered, Flow: flow.name, Request: decoded.number, Target: decoded.target})
 	flow.token = answer.packet.Token
 	flow.nextSend += uint32(len(message))
 	flow.nextReceive = answer.packet.Sequence + uint32(len(answer.payload))
@@ -206,5 +206,5 @@
 // send hands a packet to the router.
 func (c *caller) send(flow *callerFlow, packet token.Packet, payload []byte) {
 	packet.Source, packet.Destination = flow.name.Caller, flow.name.Route
-	c.forward(flow.name, platform.PacketCodec{}.Write(&packet, payload))
+	c.forward(flow.name, platform.PacketCodec{}.Encode(&packet, payload))
 }
--- a/internal/simulation/balance.go
+++ b/internal/simulation/balance.go
@@ -14,8 +14,8 @@
 type BalancePolicy string
 
 const (
-	// PolicyWhole is the policy of daemons.
-	PolicyWhole BalancePolicy = "passtray"
+	// PolicyFull is the policy of daemons.
+	PolicyFull BalancePolicy = "passtray"
 	// PolicyNoReports uses only the daemon's own picks, PolicyNoPicks only the targets' reports.
 	PolicyNoReports BalancePolicy = "without reports"
 	PolicyNoPicks   BalancePolicy = "without own picks"
@@ -27,7 +27,7 @@
 
 // BalancePolicies returns all policies in the order of result tables.
 func BalancePolicies() []BalancePolicy {
-	return []BalancePolicy{PolicyWhole, PolicyNoReports, PolicyNoPicks, PolicyRandom, PolicyModulo, PolicyRendezvous}
+	return []BalancePolicy{PolicyFull, PolicyNoReports, PolicyNoPicks, PolicyRandom, PolicyModulo, PolicyRendezvous}
 }
 
 // BalanceConfig describes a load and the reports that daemons get of it.
@@ -150,7 +150,7 @@
 	request := balance.Request{Now: r.clock.Now(), LeaseHeld: true}
 	picked := balance.Pick(&request, candidates, r.random)
 	if r.config.Policy != PolicyNoPicks {
-		candidates[picked].Signal.NotePick(r.clock.Now())
+		candidates[picked].Signal.RecordPick(r.clock.Now())
 	}
 	return picked
 }
@@ -213,9 +213,9 @@
 	}
 	connectionImbalance, _ := statistics.ImbalanceOf(connections)
 	busyImbalance, _ := statistics.ImbalanceOf(busy)
-	r.result.ConnectionsMaxToMean += connectionImbalance.MaximumToMean
+	r.result.ConnectionsMaxToMean += connectionImbalance.MaxToMean
 	r.result.ConnectionsVariation += connectionImbalance.Variation
-	r.result.BusyMaxToMean += busyImbalance.MaximumToMean
+	r.result.BusyMaxToMean += busyImbalance.MaxToMean
 	r.samples++
 	r.clock.After(balanceSampling, r.sample)
 }
--- a/internal/simulation/coldstart_test.go
+++ b/internal/simulation/coldstart_test.go
@@ -84,7 +84,7 @@
 	lists := func(suppress bool) int {
 		config := followed.DefaultFleetConfig()
 		if !suppress {
-			config.Follower.ColdSpread, config.Follower.PagedSpread = followed.NoSuppression, followed.NoSuppression
+			config.Follower.StartupSpread, config.Follower.PagedSpread = followed.NoSuppression, followed.NoSuppression
 		}
 		run := newColdStart(1, largeDaemons, largeTargets, config)
 		run.Clock.Advance(2 * time.Second)
@@ -109,7 +109,7 @@
 // It returns how many of them lacked the targets, and how many were checked.
 func countLateTargets(seed uint64, configurationBytes, earlyBytes int64) (late, checked int) {
 	config := followed.DefaultFleetConfig()
-	config.Follower.EarlyBytes = earlyBytes
+	config.Follower.MaxEarlyTargetsBytes = earlyBytes
 	run := newColdStart(seed, 100, maxEarlyTargets, config)
 	run.Links.ConfigurationBytes = configurationBytes
 	// Seeds are excluded: they read the full list at once, and links transfer in FIFO order.
@@ -119,7 +119,7 @@
 				return
 			}
 			checked++
-			if daemon.Core.View().Present() < maxEarlyTargets {
+			if daemon.Core.View().PresentTargetCount() < maxEarlyTargets {
 				late++
 			}
 		}
@@ -142,7 +142,7 @@
 // need, ahead of a large configuration.
 func TestTargetsArriveBeforeLargeConfiguration(t *testing.T) {
 	t.Parallel()
-	earlyBytes := followed.DefaultFleetConfig().Follower.EarlyBytes
+	earlyBytes := followed.DefaultFleetConfig().Follower.MaxEarlyTargetsBytes
 	for name, bytes := range map[string]int64{"1,400 routes": 300 << 10, "14,000 routes": 3 << 20} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(4) {
@@ -169,7 +169,7 @@
 		t.Skip("1,000 daemons take minutes under the race detector; a seeded model has no races")
 	}
 	run := newColdStart(1, 1000, largeTargets, followed.FleetConfigFor(8*time.Second))
-	run.Store.PageLength = 12
+	run.Store.PageSize = 12
 	run.Links.TargetBytes = 16 * targetBytes // 600 targets are as large as 10,000
 	run.Links.SnapshotBytes = 300 << 10
 	run.Links.ConfigurationBytes = 20 << 10
--- a/internal/simulation/speedload.go
+++ b/internal/simulation/speedload.go
@@ -15,10 +15,10 @@
 // occasional requests, and requests on a flow of their own.
 type SpeedLoadConfig struct {
 	Daemons, Targets int
-	// Speeds are assigned to the targets in turn. Fleet is the number of daemons in all zones,
+	// Speeds are assigned to the targets in turn. FleetDaemons is the number of daemons in all zones,
 	// which share the capacity of the targets.
-	Speeds []float64
-	Fleet  int
+	Speeds       []float64
+	FleetDaemons int
 	// Feeds is the number of long-lived flows, which last FeedLife on average. Their requests
 	// follow FeedPause after the last response and take FeedWork of a slot.
 	Feeds               int
@@ -31,15 +31,15 @@
 	LateShare float64
 	// Queue is the number of requests that a target queues before it rejects others.
 	Queue int
-	// Learns enables the learning and gossip of speeds. Liars is the number of daemons that report
+	// LearnSpeeds enables the learning and gossip of speeds. Liars is the number of daemons that report
 	// the targets to be four times as fast and four times as slow in turn.
-	Learns bool
-	Liars  int
+	LearnSpeeds bool
+	Liars       int
 	// SlowTargets, the first ones, work at a quarter of their speed from SlowFrom until SlowUntil.
-	// With IsCold they have just started then and are known to be in slow start.
+	// With IsSlowStart they have just started then and are known to be in slow start.
 	SlowTargets         int
 	SlowFrom, SlowUntil time.Duration
-	IsCold              bool
+	IsSlowStart         bool
 	// Measurements begin at From.
 	From, Span time.Duration
 	Seed       uint64
@@ -47,7 +47,7 @@
 
 // SpeedLoadResult holds the measurements from SpeedLoadConfig.From on.
 type SpeedLoadResult struct {
-	Arrivals, TurnedAway int
+	Arrivals, Rejected int
 	// BusiestToMean is the ratio of the maximum to the mean work of a target.
 	BusiestToMean float64
 	P50, P99      time.Duration
@@ -152,19 +152,19 @@
 	daemon.loads.Tick(now, func() map[uint32]int { return daemon.open })
 	if daemon.gossipsFalseSpeeds {
 		for index := range s.targets {
-			daemon.speeds.Note(now, loadshare.MarkOf(zoneToken(index)), []float64{0.25, 4}[index%2])
+			daemon.speeds.Record(now, loadshare.MarkOf(zoneToken(index)), []float64{0.25, 4}[index%2])
 		}
 	}
 	daemon.speeds.Tick(now)
 	for range zoneGossipFanout {
 		var speedMessage []byte
-		if s.config.Learns {
+		if s.config.LearnSpeeds {
 			speedMessage = daemon.speeds.Message(now)
 		}
-		message := append(daemon.loads.MessageWithin(now, loadshare.MaximumBytes-len(speedMessage)), speedMessage...)
+		message := append(daemon.loads.MessageWithin(now, loadshare.MaxMessageBytes-len(speedMessage)), speedMessage...)
 		s.bytes += len(message)
 		other := s.daemons[s.random.IntN(len(s.daemons))]
-		other.speeds.Hear(now, message[len(message)-other.loads.Hear(now, message):])
+		other.speeds.HandleMessage(now, message[len(message)-other.loads.HandleMessage(now, message):])
 	}
 	totals, areComplete := daemon.loads.Totals(now)
 	estimates := daemon.speeds.Estimates(now)
@@ -174,20 +174,20 @@
 		if areComplete {
 			open = totals[loadshare.MarkOf(zoneToken(index))]
 		}
-		signal.SetOpen(open)
-		if estimate, isKnown := estimates[loadshare.MarkOf(zoneToken(index))]; isKnown && s.config.Learns {
+		signal.SetOpenFlows(open)
+		if estimate, isKnown := estimates[loadshare.MarkOf(zoneToken(index))]; isKnown && s.config.LearnSpeeds {
 			signal.SetSpeed(now, estimate.Speed)
 		}
 	}
 	s.clock.After(zoneGossipInterval, func() { s.gossip(daemon) })
 }
 
-// scaleSpeeds scales the speed of the first targets. With IsCold, daemons also see them in slow
+// scaleSpeeds scales the speed of the first targets. With IsSlowStart, daemons also see them in slow
 // start.
 func (s *speedLoad) scaleSpeeds(factor float64) {
 	for index := range s.config.SlowTargets {
 		s.targets[index].speed *= factor
-		if !s.config.IsCold || factor > 1 {
+		if !s.config.IsSlowStart || factor > 1 {
 			continue
 		}
 		for _, daemon := range s.daemons {
@@ -200,14 +200,14 @@
 // limit, it retries later.
 func (s *speedLoad) pick(daemon *speedDaemon, then func(index int)) {
 	now := s.clock.Now()
-	request := balance.Request{Now: now, Zone: zoneName, LeaseHeld: true, PrefersZone: true, KnowsOpen: true, Daemons: s.config.Fleet}
+	request := balance.Request{Now: now, Zone: zoneName, LeaseHeld: true, PrefersZone: true, KnowsOpenFlows: true, Daemons: s.config.FleetDaemons}
 	index := balance.Pick(&request, daemon.candidates, s.random)
 	if index < 0 {
 		s.clock.After(10*time.Millisecond, func() { s.pick(daemon, then) })
 		return
 	}
-	daemon.candidates[index].Signal.NotePick(now)
-	s.clock.After(speedRoundTrip, func() { daemon.candidates[index].Signal.NoteOpened(s.clock.Now()) })
+	daemon.candidates[index].Signal.RecordPick(now)
+	s.clock.After(speedRoundTrip, func() { daemon.candidates[index].Signal.RecordOpened(s.clock.Now()) })
 	then(index)
 }
 
@@ -262,15 +262,15 @@
 	}
 	if target.busy >= slotsPerTarget && len(target.queue) >= s.config.Queue {
 		if isMeasured {
-			s.result.TurnedAway++
+			s.result.Rejected++
 		}
 		s.clock.After(speedRoundTrip, func() { done(false) })
 		return
 	}
-	signal.NoteWaiting(1)
+	signal.AddPending(1)
 	s.serve(target, mean, func() {
 		s.clock.After(speedRoundTrip, func() {
-			signal.NoteWaiting(-1)
+			signal.AddPending(-1)
 			s.noteResponse(daemon, index, kind, startedAt)
 			done(true)
 		})
@@ -288,9 +288,9 @@
 		latency += s.exponential(s.config.FeedPause)
 	}
 	if ratio, isKnown := daemon.usual[kind].note(latency - speedRoundTrip); isKnown {
-		daemon.candidates[index].Signal.NoteLatency(now, ratio)
+		daemon.candidates[index].Signal.RecordLatency(now, ratio)
 		if !daemon.gossipsFalseSpeeds && !now.Before(daemon.candidates[index].WarmAt) {
-			daemon.speeds.Note(now, loadshare.MarkOf(zoneToken(index)), ratio)
+			daemon.speeds.Record(now, loadshare.MarkOf(zoneToken(index)), ratio)
 		}
 	}
 }
--- a/internal/steering/token/activity.go
+++ b/internal/steering/token/activity.go
@@ -42,11 +42,11 @@
 	return nil
 }
 
-// LastLife returns the time of the last observed activity of a subject, zero if there was none.
-func (t *Table) LastLife(subject liveness.Subject) time.Time {
+// LastActivity returns the time of the last observed activity of a subject, zero if there was none.
+func (t *Table) LastActivity(subject liveness.Subject) time.Time {
 	var last time.Time
 	for _, target := range t.subjectTargets(subject) {
-		if activity := target.Signal.LastLife(); activity.After(last) {
+		if activity := target.Signal.LastActivity(); activity.After(last) {
 			last = activity
 		}
 	}
@@ -70,7 +70,7 @@
 func (t *Table) TargetsToProbe(subject liveness.Subject, count int) []uint64 {
 	targets := slices.Clone(t.subjectTargets(subject))
 	slices.SortFunc(targets, func(a, b *Target) int {
-		return cmp.Or(b.Signal.LastLife().Compare(a.Signal.LastLife()), cmp.Compare(a.Token, b.Token))
+		return cmp.Or(b.Signal.LastActivity().Compare(a.Signal.LastActivity()), cmp.Compare(a.Token, b.Token))
 	})
 	if len(targets) > count {
 		latest := (count + 1) / 2
@@ -105,14 +105,14 @@
 	return target != nil && target.isDead(now)
 }
 
-// IsDeadToken is IsDead for the target with a token.
-func (t *Table) IsDeadToken(now time.Time, token uint32) bool {
+// IsTokenDead is IsDead for the target with a token.
+func (t *Table) IsTokenDead(now time.Time, token uint32) bool {
 	target := t.index.find(token)
 	return target != nil && target.isDead(now)
 }
 
-// TargetOf returns the target with a token, nil if there is none.
-func (t *Table) TargetOf(token uint32) *Target { return t.index.find(token) }
+// TargetByToken returns the target with a token, nil if there is none.
+func (t *Table) TargetByToken(token uint32) *Target { return t.index.find(token) }
 
 // HasSuperseded reports whether any target was superseded by another one at its address.
 func (t *Table) HasSuperseded() bool { return t.index.superseded > 0 }
--- a/internal/steering/token/reindex.go
+++ b/internal/steering/token/reindex.go
@@ -11,15 +11,15 @@
 	}
 	target.isIndexed = true
 	x.addToZone(target)
-	if target.MayOpen {
+	if target.IsEligible {
 		x.eligibleCount++
 	}
 	service := x.services[target.Service]
-	if service == nil || target.Refused {
+	if service == nil || target.IsInvalid {
 		return
 	}
 	service.add(target)
-	if target.ColdRate > 0 {
+	if target.SlowStartRate > 0 {
 		x.slowStarting[target] = struct{}{}
 	}
 }
@@ -42,10 +42,10 @@
 	}
 	target.isIndexed = false
 	x.removeFromZone(target)
-	if target.MayOpen {
+	if target.IsEligible {
 		x.eligibleCount--
 	}
-	if service := x.services[target.Service]; service != nil && !target.Refused {
+	if service := x.services[target.Service]; service != nil && !target.IsInvalid {
 		service.remove(target)
 	}
 	delete(x.slowStarting, target)
--- a/internal/storenode/liveness.go
+++ b/internal/storenode/liveness.go
@@ -41,8 +41,8 @@
 	return rate
 }
 
-// LastAnswered implements liveness.Directory.
-func (d livenessDirectory) LastAnswered() time.Time {
+// LastResponse implements liveness.Directory.
+func (d livenessDirectory) LastResponse() time.Time {
 	return time.Unix(0, d.plane.lastAnsweredSend.Load())
 }
 
@@ -62,7 +62,7 @@
 // handleLivenessReports handles liveness reports of other daemons.
 func (n *Node) handleLivenessReports(now time.Time, reports []liveness.Received) {
 	if table := n.plane.table.Load(); table != nil && len(reports) > 0 {
-		n.applyVerdicts(now, table, n.failureDetector.Hear(now, n.livenessDirectory(now, table), reports))
+		n.applyVerdicts(now, table, n.failureDetector.HandleReports(now, n.livenessDirectory(now, table), reports))
 	}
 }
 
@@ -78,9 +78,9 @@
 		n.counters().dead.Add(1)
 		n.log.Info(messageDead,
 			telemetry.FieldTarget, strconv.FormatUint(verdict.Subject.Target, 16),
-			telemetry.FieldSpan, verdict.Silence.String(),
+			telemetry.FieldDuration, verdict.Silence.String(),
 			telemetry.FieldReporters, verdict.Reporters,
-			telemetry.FieldEvidence, verdict.Sends,
+			telemetry.FieldEvidence, verdict.Retransmissions,
 			telemetry.FieldCount, reset,
 		)
 	}
@@ -90,13 +90,13 @@
 		n.counters().revived.Add(1)
 		n.log.Info(messageAlive, telemetry.FieldTarget, strconv.FormatUint(target, 16))
 	}
-	for _, verdict := range output.Silent {
-		n.log.Info(messageUnresponsiveZone, telemetry.FieldZone, verdict.Subject.Zone, telemetry.FieldSpan, verdict.Silence.String())
+	for _, verdict := range output.UnresponsiveZones {
+		n.log.Info(messageUnresponsiveZone, telemetry.FieldZone, verdict.Subject.Zone, telemetry.FieldDuration, verdict.Silence.String())
 	}
-	n.link.send(n.fleet.TellLiveness(output.Reports))
+	n.link.send(n.fleet.LivenessDatagrams(output.Reports))
 	for _, probe := range output.Probes {
 		if address, found := table.AddressOf(probe.Target); found {
-			n.Waiting.Add(1)
+			n.Goroutines.Add(1)
 			go n.probe(probe, address)
 		}
 	}
@@ -104,14 +104,14 @@
 
 // probe checks whether a target accepts TCP connections. It sends no data on them.
 func (n *Node) probe(probe liveness.Probe, address netip.AddrPort) {
-	defer n.Waiting.Done()
+	defer n.Goroutines.Done()
 	timeout := probeTimeout
 	if probe.IsEarly {
 		timeout = earlyProbeTimeout
 	}
 	hasAnswered := n.isReachable(address, timeout)
 	n.Enqueue(func(now time.Time) {
-		n.failureDetector.Probed(now, probe, hasAnswered)
+		n.failureDetector.HandleProbeResult(now, probe, hasAnswered)
 		if table := n.plane.table.Load(); table != nil {
 			n.detectFailures(now, table) // act on the result without waiting for the next tick
 		}
--- a/internal/storenode/overload_queue_test.go
+++ b/internal/storenode/overload_queue_test.go
@@ -64,7 +64,7 @@
 	cfg := newTestSettings(0)
 	cfg.Data.Held = maxQueued
 	plane := &overloadedPlane{socket: &recordingSocket{}}
-	plane.tokenPlane = newTokenPlane(cfg, sequenceCodec{}, plane.socket, logr.Discard(), loop.New().StoodStill)
+	plane.tokenPlane = newTokenPlane(cfg, sequenceCodec{}, plane.socket, logr.Discard(), loop.New().PausedFor)
 	view := storeview.New(time.Minute)
 	view.Merge(now, []storeview.Entry{
 		{Key: "config", Revision: 1, Configuration: &storeview.Configuration{
@@ -76,12 +76,12 @@
 	})
 	plane.apply(now, newBuilder(cfg).Build(now, view))
 	plane.tickQueue(now, 88)
-	plane.table.Load().Loads(func(_ string, load *overload.Controller) { plane.load = load })
+	plane.table.Load().EachLoad(func(_ string, load *overload.Controller) { plane.load = load })
 	for range 50 {
-		plane.load.NoteAnswer(now, 1, 1000)
+		plane.load.RecordResponse(now, 1, 1000)
 	}
 	for range 50 { // rejections in the future, so that they cannot expire during the test
-		plane.load.NoteAnswer(now.Add(time.Hour), 1, 100)
+		plane.load.RecordResponse(now.Add(time.Hour), 1, 100)
 	}
 	for plane.load.AdmitFlow(now.Add(time.Hour), overload.Ordinary) {
 		plane.load.Begin(overload.Preferred)
@@ -98,7 +98,7 @@
 }
 
 func newInbound(number int, kind byte, payload string) *forwarding.Inbound {
-	value := token.WordAt(testRoute, 77)
+	value := token.BoundTokenAt(testRoute, 77)
 	if kind == kindFirst {
 		value = 0
 	}
@@ -142,7 +142,7 @@
 		assert.DeepEqual(t, plane.takeSent(), []string{})
 		plane.expireWaits()
 		assert.DeepEqual(t, plane.takeSent(), []string{"11", "12"})
-		assert.Equal(t, plane.counters.dropped[token.ReasonCopy].Load(), uint64(1))
+		assert.Equal(t, plane.counters.dropped[token.ReasonRetransmission].Load(), uint64(1))
 		assert.Equal(t, len(plane.retransmissions()), 0)
 	})
 	t.Run("when there is capacity for a later segment", func(t *testing.T) {
@@ -203,7 +203,7 @@
 func TestRequeuedPacketIsCountedOnce(t *testing.T) {
 	plane := newOverloadedPlane(t, 8)
 	plane.handle(plane.releaseWorker, newInbound(1, kindFirst, ""), arrival{at: time.Now().Add(time.Hour)})
-	taken, found := plane.queued.TakeFlow(overload.Flow{Source: callerOf(1), Destination: testRoute, IsOpening: true})
+	taken, found := plane.queued.PopFlow(overload.Flow{Source: callerOf(1), Destination: testRoute, IsOpening: true})
 	assert.Assert(t, found)
 	plane.decideDequeued(plane.releaseWorker, &taken)
 	assert.Equal(t, plane.queued.Len(), 1)
@@ -215,7 +215,7 @@
 // acknowledges may have arrived long before, and the target may have died since.
 func TestQueuedAcknowledgementCountsAsPastActivity(t *testing.T) {
 	plane := newOverloadedPlane(t, 8)
-	packet := &token.Packet{Source: callerOf(1), Destination: testRoute, Token: token.WordAt(testRoute, 77), PayloadLength: 1}
+	packet := &token.Packet{Source: callerOf(1), Destination: testRoute, Token: token.BoundTokenAt(testRoute, 77), PayloadLength: 1}
 	first := plane.decide(plane.table.Load(), packet, arrival{at: time.Now().Add(-time.Hour)})
 	assert.Equal(t, first.Action, token.Forward)
 	sentBefore := time.Now()
@@ -223,7 +223,7 @@
 	next.Sequence, next.Acknowledgement = 1, 1000
 	held := plane.decide(plane.table.Load(), &next, arrival{at: time.Now()})
 	assert.Equal(t, held.Action, token.Hold)
-	activity := held.Target.Signal.LastLife()
+	activity := held.Target.Signal.LastActivity()
 	assert.Assert(t, !activity.IsZero() && !activity.After(sentBefore), "%v after the request was sent", activity.Sub(sentBefore))
 	assert.Equal(t, next.PayloadLength, 1)
 }
--- a/internal/storenode/overload_test.go
+++ b/internal/storenode/overload_test.go
@@ -17,12 +17,12 @@
 	t.Helper()
 	node.plane.mutex.Lock()
 	defer node.plane.mutex.Unlock()
-	node.plane.table.Load().Loads(func(_ string, controller *overload.Controller) { load = controller })
+	node.plane.table.Load().EachLoad(func(_ string, controller *overload.Controller) { load = controller })
 	for range 50 {
-		load.NoteAnswer(time.Now(), 1, 1000)
+		load.RecordResponse(time.Now(), 1, 1000)
 	}
 	for range 50 {
-		load.NoteAnswer(time.Now().Add(time.Hour), 1, 100)
+		load.RecordResponse(time.Now().Add(time.Hour), 1, 100)
 	}
 	for range inProgress {
 		load.Begin(overload.Preferred)
@@ -36,7 +36,7 @@
 	load := overloadService(t, node, 100)
 	nodetest.WaitFor(t, "the limit, which applies once shares are known", func() bool {
 		status, _ := node.Status()
-		return status.Loads[0].IsBounded
+		return status.Loads[0].IsLimited
 	})
 	site.send(t, 0, 0, kindFirst)
 	reset := receive(t, site.caller)
--- a/internal/storenode/speeds.go
+++ b/internal/storenode/speeds.go
@@ -20,14 +20,14 @@
 // leave, followed by the speeds.
 func (n *Node) zoneMessage(now time.Time) []byte {
 	speeds := n.speeds.Message(now)
-	return append(n.loads.MessageWithin(now, loadshare.MaximumBytes-len(speeds)), speeds...)
+	return append(n.loads.MessageWithin(now, loadshare.MaxMessageBytes-len(speeds)), speeds...)
 }
 
 // exchangeSpeeds reports the response times observed here to the zone, and sets the speeds of targets
 // from the observations of all daemons in it.
 func (n *Node) exchangeSpeeds(now time.Time, table *token.Table) {
 	for _, answered := range n.plane.answered() {
-		n.speeds.Note(now, loadshare.MarkOf(answered.Token), answered.Times)
+		n.speeds.Record(now, loadshare.MarkOf(answered.Token), answered.Ratio)
 		n.counters().speedResponses.Add(1)
 	}
 	n.speeds.Tick(now)
