--- a/internal/coldshare/coldshare.go
+++ b/internal/coldshare/coldshare.go
@@ -18,8 +18,8 @@
 	// allocatedFraction is the fraction of the limit that is allocated. Daemons that disagree on the
 	// membership, as in a partition, may allocate it twice.
 	allocatedFraction = 0.5
-	// minShare is the minimum share of a daemon in flows per second. More of smaller shares would
-	// stay unused, since callers are not spread evenly.
+	// minShare is the minimum share of a daemon in flows per second, if that much is allocated.
+	// Smaller shares would more often stay unused, since callers are not spread evenly.
 	minShare = 2
 )
 
--- a/internal/followed/backoff_test.go
+++ b/internal/followed/backoff_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// The history or epoch reported by the store's lists and watches contradict each other
-// permanently; the follower must back off.
+// If the store's lists and watches permanently contradict each other on its history or epoch, the
+// follower must back off.
 func TestContradictoryStoreIsPolledWithBackoff(t *testing.T) {
 	for name, contradict := range map[string]func(watch *Call) *Answer{
 		"history": func(watch *Call) *Answer { return answerWithOutcome(watch, OutcomeHistoryGone) },
--- a/internal/followed/budget.go
+++ b/internal/followed/budget.go
@@ -15,7 +15,7 @@
 // answer may overdraw it, as its size is known only once it is encoded.
 type snapshotBudget struct {
 	bytesPerSecond float64
-	// burst is the share of link time that may be spent at once; 0 means no limit.
+	// burst is the link time that may be spent at once; 0 means no limit.
 	burst      time.Duration
 	spentBytes float64
 	refilledAt time.Time
--- a/internal/followed/epoch.go
+++ b/internal/followed/epoch.go
@@ -52,8 +52,8 @@
 func (f *Follower) epoch() uint64 { return storeview.EpochOf(f.view.Revision()) }
 
 // handleRestored handles an answer that shows that the store was restored from a backup and
-// assigns the revisions after it again. A list, from the store or through a peer, must replace
-// the view.
+// reuses the revision numbers assigned since that backup. A list, from the store or through a
+// peer, must replace the view.
 func (f *Follower) handleRestored(now time.Time, answer *Answer, output *Output) {
 	f.recordSuccess(CallWatch, output)
 	f.nextCallAt = now
--- a/internal/followed/relays.go
+++ b/internal/followed/relays.go
@@ -122,7 +122,7 @@
 	return true
 }
 
-// sendDirectly sends an update past gossip: the daemon that read it from the store sends to the
+// sendDirectly sends an update, bypassing gossip: the daemon that read it from the store sends to the
 // relays, a relay to its audience.
 func (f *Fleet) sendDirectly(now time.Time, payload []byte, isFromStore bool) {
 	to := f.relays.audience
--- a/internal/followed/targetswatch.go
+++ b/internal/followed/targetswatch.go
@@ -24,8 +24,9 @@
 	consecutiveLongTimeout = 200 * time.Millisecond
 )
 
-// isAnswerLong reports whether the call in flight has passed the time to first byte and is
-// still being transferred, or probably will.
+// isAnswerLong reports whether the call in flight has outlasted its timeout for the first byte, so
+// that its answer is still being transferred. After a long answer, consecutiveLongTimeout applies
+// instead.
 func (f *Follower) isAnswerLong(now time.Time) bool {
 	if f.inFlight == nil {
 		return false
--- a/internal/liveness/detector.go
+++ b/internal/liveness/detector.go
@@ -5,7 +5,7 @@
 // suspicion (as in SWIM); otherwise the judge declares the target dead until activity is seen.
 //
 // Zones are judged in the same way. An unresponsive zone does not make its targets dead, since
-// idle ones may be up, but lets a daemon decide on its own about targets that it has callers at.
+// idle ones may be up, but lets a daemon decide on its own about targets that its callers use.
 //
 // Slow or overloaded targets still acknowledge data and are not suspected. A target that only some
 // daemons cannot reach answers the judge's probe, or daemons that see its activity refute the
--- a/internal/liveness/early.go
+++ b/internal/liveness/early.go
@@ -71,9 +71,9 @@
 	return s.early == probeFailed && flows > 0
 }
 
-// isEarlyConfirmed reports whether, in addition, a probe from a third daemon failed and this
-// daemon's path has worked since its own probe began, so that two lost paths cannot explain
-// all failures.
+// isEarlyConfirmed reports whether, in addition to isEarlySufficient, a third daemon cannot reach
+// the target and this daemon's path has worked since its own probe began, so that two lost paths
+// cannot explain all failures.
 func (s *suspect) isEarlyConfirmed(directory Directory) bool {
 	others, _ := s.otherReporters()
 	return s.isEarlySufficient() && others >= minEarlyReporters && hasWorkingPath(directory, s.earlyAt)
--- a/internal/loadshare/head.go
+++ b/internal/loadshare/head.go
@@ -13,7 +13,7 @@
 	// HeaderBytes is the encoded length of a Header: the daemon's address (4 bytes) and port (2),
 	// the report's number (4) and its age in units of ageUnit (1), big-endian.
 	HeaderBytes = 11
-	// MaxReportsPerMessage bounds the reports in one message: so many heads alone fill it.
+	// MaxReportsPerMessage bounds the reports in one message: that many headers alone fill it.
 	MaxReportsPerMessage = MaxMessageBytes / HeaderBytes
 	ageUnit              = 100 * time.Millisecond
 )
@@ -26,7 +26,7 @@
 	MadeAt time.Time
 }
 
-// Append appends the encoded head to a buffer.
+// Append appends the encoded header to a buffer.
 func (h Header) Append(now time.Time, to []byte) []byte {
 	host := h.From.Addr().As4()
 	to = append(to, host[:]...)
@@ -36,7 +36,7 @@
 	return append(to, byte(min(age, math.MaxUint8)))
 }
 
-// DecodeHeader decodes the head at the start of a report, which must have at least HeaderBytes.
+// DecodeHeader decodes the header at the start of a report, which must have at least HeaderBytes.
 func DecodeHeader(now time.Time, encoded []byte) Header {
 	return Header{
 		From:   netip.AddrPortFrom(netip.AddrFrom4([4]byte(encoded)), binary.BigEndian.Uint16(encoded[4:])),
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -119,7 +119,7 @@
 	return totals, true
 }
 
-// An encoded report consists of its head, the number of targets (1 byte), and for each target
+// An encoded report consists of its header, the number of targets (1 byte), and for each target
 // its mark (2) and count (1), all big-endian.
 const (
 	reportHeaderBytes = HeaderBytes + 1
--- a/internal/statistics/imbalance.go
+++ b/internal/statistics/imbalance.go
@@ -5,7 +5,7 @@
 
 // Imbalance measures how unevenly values are distributed.
 type Imbalance struct {
-	// MaxToMean is the maximum over the mean; 1 means even. It is 0 if the mean is.
+	// MaxToMean is the maximum over the mean; 1 means even. It is 0 if the mean is 0.
 	MaxToMean float64 `json:"max_to_mean"`
 	// Variation is the coefficient of variation, the standard deviation over the mean; 0 means
 	// even.
--- a/internal/steering/token/latencysamples.go
+++ b/internal/steering/token/latencysamples.go
@@ -8,7 +8,7 @@
 	// maxLatencySamples is the maximum number of samples kept between two calls of TakeLatencySamples.
 	maxLatencySamples = 4096
 	// minServiceTimeSamples is the minimum number of samples for a route's usual service time. An
-	// error in it affects all targets alike.
+	// error in that estimate affects all targets alike.
 	minServiceTimeSamples = 8
 	// minServiceTime is the minimum service time at a target, in nanoseconds.
 	minServiceTime = float64(time.Millisecond)
--- a/internal/steering/token/limit_test.go
+++ b/internal/steering/token/limit_test.go
@@ -85,7 +85,7 @@
 }
 
 // TestUntrackedRequestsReleaseTheirSlots guards against leaked slots of requests that were evicted
-// from the full table, or whose acknowledgement went past another daemon.
+// from the full table, or whose acknowledgement went through another daemon.
 func TestUntrackedRequestsReleaseTheirSlots(t *testing.T) {
 	site := newShrunkenSite(t)
 	requests := NewRequests(1)
--- a/internal/steering/token/openflows.go
+++ b/internal/steering/token/openflows.go
@@ -11,7 +11,7 @@
 	// end before their count could be reported.
 	minOpenFlowAge = 500 * time.Millisecond
 	// openFlowDataTimeout is the time without data after which a flow doesn't count as open: its
-	// caller is idle or gone, or its packets take a path past another daemon.
+	// caller is idle or gone, or its packets now pass through another daemon.
 	openFlowDataTimeout = 5 * time.Second
 	// maxOpenFlows is the maximum number of tracked flows: 50 million flows among 1,400 daemons
 	// are 36,000 each. Flows beyond it aren't tracked, and are reset only with their next packet
@@ -163,7 +163,8 @@
 	return counts
 }
 
-// takeDead removes up to limit flows whose targets are dead and returns their last packet heads.
+// takeDead removes up to limit flows whose targets are dead and returns the headers of their
+// last packets.
 func (o *openFlows) takeDead(isDead func(target uint32) bool, limit int) []Packet {
 	var heads []Packet
 	for index := range o.flows {
@@ -210,8 +211,8 @@
 func (r *Requests) TrackedFlows() TrackedFlows { return r.flows.stats() }
 
 // TakeIdle removes up to limit open flows whose targets, given by token, are dead, and returns
-// for each the packet head to answer with a reset. It does not end pending requests:
-// call TakePending before, which takes the flows of waiting callers and ends their requests.
+// for each the packet header to answer with a reset. It does not end pending requests: call
+// TakePending first, which removes the flows of waiting callers and ends their requests.
 func (r *Requests) TakeIdle(isDead func(target uint32) bool, limit int) []Packet {
 	return r.flows.takeDead(isDead, limit)
 }
--- a/internal/steering/token/pick.go
+++ b/internal/steering/token/pick.go
@@ -14,9 +14,9 @@
 	return o.pickForBackend(now, table, route, route.nextBackend(o.random), excluded)
 }
 
-// pickForBackend selects a target of the chosen backend, nil if there is none.
-//
-// Flows of a service whose targets are all at their limit don't spill over to other services.
+// pickForBackend selects a target of the chosen backend or, if that has none, of another backend of
+// the route; nil if there is none. Flows don't spill over from a service that is overloaded or whose
+// targets are all at their limit.
 func (o *Opener) pickForBackend(now time.Time, table *Table, route *Route, chosen *storeview.Backend, excluded *Target) *Target {
 	o.atLimit, o.overloaded = false, nil
 	if chosen == nil {
--- a/internal/steering/token/retransmitted.go
+++ b/internal/steering/token/retransmitted.go
@@ -45,8 +45,8 @@
 	return unacknowledged
 }
 
-// TakePending ends the pending requests of dead targets and returns for each the packet head to
-// answer with a reset.
+// TakePending ends the pending requests of dead targets and returns for each the packet header
+// to answer with a reset.
 func (r *Requests) TakePending(isDead func(target uint64) bool) []Packet {
 	var keys []requestKey
 	for key, req := range r.pending {
--- a/internal/steering/token/seenflows.go
+++ b/internal/steering/token/seenflows.go
@@ -8,7 +8,7 @@
 
 // seenFlows is a lossy set of the flows whose packets arrived here before. A packet of an unknown
 // open flow suggests that the routers redistributed flows (ECMP rehash), so that responses to
-// earlier requests are acknowledged past another daemon.
+// earlier requests are acknowledged through another daemon.
 type seenFlows struct {
 	// fingerprints holds one fingerprint per slot; the flow's hash selects the slot.
 	fingerprints  [seenFlowSlots]uint32
--- a/internal/steering/token/speeds.go
+++ b/internal/steering/token/speeds.go
@@ -6,8 +6,8 @@
 	"github.com/passtray/passtray/internal/loadshare"
 )
 
-// SetSpeeds updates the relative speeds of targets, given by mark; before holds the previous ones.
-// Signals get speeds normalised to the mean of their service.
+// SetSpeeds updates the relative speeds of targets, given by mark; previous holds those of the last
+// call. Signals get speeds normalized to the mean of their service.
 func (t *Table) SetSpeeds(now time.Time, previous, speeds map[loadshare.Mark]float64) {
 	for mark := range previous {
 		if _, isKnown := speeds[mark]; !isKnown {
--- a/internal/steering/token/unrouted.go
+++ b/internal/steering/token/unrouted.go
@@ -53,7 +53,7 @@
 	// openAt is a time at which the flow was open, lastPacketAt when its latest packet
 	// arrived.
 	openAt, lastPacketAt time.Time
-	// head is the latest packet's.
+	// head is the header of the latest packet.
 	head Packet
 }
 
@@ -78,8 +78,8 @@
 }
 
 // TakeDropped handles a confirmation by the store that the table's view was current at
-// confirmedAt. For each flow whose route was removed it returns the packet head to answer with a
-// reset. Such flows are forgotten, as are idle ones and those whose route is known now.
+// confirmedAt. For each flow whose route was removed it returns the packet header to answer with
+// a reset. Such flows are forgotten, as are idle ones and those whose route is known now.
 func (u *Unrouted) TakeDropped(now, confirmedAt time.Time, table *Table) []Packet {
 	var dropped []Packet
 	for pair, flow := range u.flows {
--- a/internal/targetspeed/codec.go
+++ b/internal/targetspeed/codec.go
@@ -9,9 +9,9 @@
 	"github.com/passtray/passtray/internal/loadshare"
 )
 
-// Wire format of a report, all numbers big-endian: the head of a loadshare report, a byte that marks
-// a speed report, the number of targets (1), and for each target its mark (2), the logarithm of the
-// latency ratio as a signed number of logUnit (1), and the number of observations (1).
+// Wire format of a report, all numbers big-endian: the header of a loadshare report, a byte that
+// marks a speed report, the number of targets (1), and for each target its mark (2), the logarithm of
+// the latency ratio as a signed multiple of logUnit (1), and the number of observations (1).
 //
 // Speed reports follow the open-flow reports of loadshare in a message. A daemon that does not know
 // them stops reading there.
@@ -19,10 +19,10 @@
 	headBytes  = loadshare.HeaderBytes + 2
 	entryBytes = 4
 	logUnit    = 1.0 / 64
-	// maxEntries is the maximum number of targets per report, so that it fits into MaxMessageBytes.
+	// maxEntries is the maximum number of targets per report.
 	maxEntries = 20
-	// MaxMessageBytes is the maximum size of the speed reports in a message, a third of the maximum
-	// size of a message within the zone (loadshare.MaxMessageBytes).
+	// MaxMessageBytes is the maximum size of the speed reports in a message, enough for one full
+	// report and about a third of the maximum size of a message within the zone (loadshare.MaxMessageBytes).
 	MaxMessageBytes = headBytes + entryBytes*maxEntries
 )
 
