--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -77,9 +77,9 @@
 	}
 }
 
-// TestInvariants checks after each random change that the revision grows by at most one, target states
-// never decrease and non-retired targets have distinct addresses, and at the end that the state survives
-// an encoding round trip.
+// TestInvariants checks after each random change that the revision grows by at most one, target
+// states never decrease and non-retired targets have distinct addresses, and at the end that the
+// state survives an encoding round trip.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := &State{}
--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -100,8 +100,8 @@
 func (r *Replica) tickLeader(now time.Time) {
 	if !now.Before(r.quorumDeadline) {
 		if !r.isRoundConfirmed(r.quorumRound) {
-			// No quorum within an election timeout: another replica may be the leader by now (section
-			// 6.2).
+			// No quorum within an election timeout: another replica may be the leader by now
+			// (section 6.2).
 			r.becomeFollower(now, r.term, identity.Identity{})
 			return
 		}
--- a/internal/consensus/message.go
+++ b/internal/consensus/message.go
@@ -2,9 +2,9 @@
 // replicas without stable storage. It does no I/O and has no clock, goroutine or global randomness:
 // the caller passes in time and messages, and sends the messages returned.
 //
-// In place of stable storage (section 3.8), a replica gets a new identity at every start: a restarted
-// replica, which has lost its votes and log, is no voter under its new identity. One replica founds a
-// group as its only voter; the group grows by single-server changes (section 4.1).
+// In place of stable storage (section 3.8), a replica gets a new identity at every start: a
+// restarted replica, which has lost its votes and log, is no voter under its new identity. One
+// replica founds a group as its only voter; the group grows by single-server changes (section 4.1).
 // Committed entries are returned at once, as there is nothing to persist first.
 package consensus
 
--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -83,8 +83,8 @@
 	return &Replica{config: config, self: self, random: random}
 }
 
-// Bootstrap makes this replica the only voter of a new group with a snapshot of data at index. The caller
-// must ensure that no other replica founds a group for the same fleet.
+// Bootstrap makes this replica the only voter of a new group with a snapshot of data at index. The
+// caller must ensure that no other replica founds a group for the same fleet.
 func (r *Replica) Bootstrap(now time.Time, epoch Epoch, index uint64, data []byte) Output {
 	r.reset(epoch, Snapshot{Term: 1, Index: index, Voters: []identity.Identity{r.self}, Data: data})
 	r.becomeCandidate(now)
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -30,9 +30,9 @@
 	// long it waits for the answer before it pulls again.
 	PullDelay   time.Duration
 	PullTimeout time.Duration
-	// RenewalInterval is how often the leader issues a lease renewal, LeaseDuration how long a lease
-	// is valid. It must exceed several gossip rounds, or daemons reached late lose their leases
-	// without a failure.
+	// RenewalInterval is how often the leader issues a lease renewal, LeaseDuration how long a
+	// lease is valid. LeaseDuration must exceed several gossip rounds, or daemons reached late lose
+	// their leases without a failure.
 	RenewalInterval time.Duration
 	LeaseDuration   time.Duration
 	// ProposalRetry is the retransmission interval of an unanswered proposal, ProposalTimeout the time
--- a/internal/control/lease.go
+++ b/internal/control/lease.go
@@ -8,10 +8,10 @@
 	"github.com/passtray/passtray/internal/identity"
 )
 
-// lease bounds the staleness of a daemon's configuration (Gray and Cheriton, "Leases", 1989). While it
-// has a quorum, the leader issues a higher renewal number every RenewalInterval, which digests
-// carry to all daemons. A renewal extends a daemon's lease only once the daemon has applied everything
-// that was committed when the renewal was issued.
+// lease bounds the staleness of a daemon's configuration (Gray and Cheriton, "Leases", 1989). While
+// it has a quorum, the leader issues a higher renewal number every RenewalInterval, which digests
+// carry to all daemons. A renewal extends a daemon's lease only once the daemon has applied
+// everything that was committed when the renewal was issued.
 type lease struct {
 	// epoch is the group that issued the renewals; each group has its own numbering.
 	epoch        consensus.Epoch
--- a/internal/control/pull.go
+++ b/internal/control/pull.go
@@ -8,8 +8,8 @@
 	"github.com/passtray/passtray/internal/identity"
 )
 
-// puller repairs gossip losses of committed entries: a daemon that is still behind a peer's digest after
-// PullDelay pulls the missing entries, or a snapshot, from that peer.
+// puller repairs gossip losses of committed entries: a daemon that is still behind a peer's digest
+// after PullDelay pulls the missing entries, or a snapshot, from that peer.
 type puller struct {
 	// aheadPeer sent the latest newer digest, aheadSince is when the first one arrived.
 	aheadPeer  identity.Identity
--- a/internal/encapsulation/header.go
+++ b/internal/encapsulation/header.go
@@ -75,7 +75,8 @@
 	Ingress netip.AddrPort
 	// Report is the target's report (KindFromTarget).
 	Report Report
-	// Names is "service/target", sent with first flights to a target. It aliases the datagram.
+	// Names is "service/target", sent to targets with first flights, plain UDP packets and probes.
+	// It aliases the datagram.
 	Names []byte
 }
 
--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// applyUpdate applies an update of one member, unless the known record overrides it.
+// applyUpdate applies an update of one member if it overrides the known record.
 func (g *Group) applyUpdate(now time.Time, update Member, output *Output) {
 	if update.Identity == g.self.Identity {
 		g.refute(update)
--- a/internal/node/baseline.go
+++ b/internal/node/baseline.go
@@ -40,7 +40,8 @@
 	return steering.Decision{Action: steering.Forward, Service: service, Target: service.Targets[index], IsFirstFlight: true}
 }
 
-// decideAtRandom selects a random target. For one packet in ten it is a target of another service, which violates an invariant that the lab's checkers must detect.
+// decideAtRandom selects a random target. For one packet in ten it is a target of another service, which violates an
+// invariant that the lab's checkers must detect.
 func (d *dataPlane) decideAtRandom(snapshot *steering.Snapshot, service *steering.Service, wctx *workerContext) steering.Decision {
 	if wctx.random.IntN(10) == 0 {
 		for _, other := range snapshot.Services() {
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -49,8 +49,7 @@
 func DefaultConfig() Config { return Config{Enabled: true, PerSlot: 2, Rejected: 0.15} }
 
 const (
-	// limitStep is the relative step of the limit per rejection; eight rejections about
-	// halve it.
+	// limitStep is the relative step of the limit per rejection; eight rejections about halve it.
 	limitStep = 0.1
 	// evidenceDecay is the decay time of the evidence of overload while there is no limit,
 	// minEvidence the evidence that activates the limit, as a few short responses may be regular
@@ -218,8 +217,8 @@
 // gradually.
 const roundingSlack = 0.5
 
-// RecordResponse handles the length, in bytes, of the beginning of a route's response and reports whether
-// the target rejected the request.
+// RecordResponse handles the length, in bytes, of the beginning of a route's response and reports
+// whether the target rejected the request.
 func (c *Controller) RecordResponse(now time.Time, route uint32, length uint32) (isRejection bool) {
 	if c == nil || !c.config.Enabled {
 		return false
--- a/internal/overload/queue.go
+++ b/internal/overload/queue.go
@@ -13,7 +13,7 @@
 	IsOpening           bool
 }
 
-// QueuedPacket is a queued packet.
+// QueuedPacket is a packet in a Queue, with the later packets of its flow.
 type QueuedPacket[T any] struct {
 	Load *Controller
 	Rank Rank
@@ -21,7 +21,7 @@
 	Flow Flow
 	// IsOpening reports whether the packet opens a flow, so that it may be rejected.
 	IsOpening bool
-	// Arrival time and deadline for waiting.
+	// ArrivedAt is when the packet arrived, Deadline until when it may be queued.
 	ArrivedAt, Deadline time.Time
 	Packet              T
 	// Behind holds later packets of the flow, in order. They leave the queue with Packet.
@@ -57,8 +57,8 @@
 // Len returns the number of queued packets.
 func (q *Queue[T]) Len() int { return q.count }
 
-// PeekFlow returns the first queued packet of a flow, nil if there is none. It is valid until the queue
-// changes.
+// PeekFlow returns the first queued packet of a flow, nil if there is none. It is valid until the
+// queue changes.
 func (q *Queue[T]) PeekFlow(flow Flow) *QueuedPacket[T] {
 	if q.count == 0 {
 		return nil
--- a/internal/overload/responselengths.go
+++ b/internal/overload/responselengths.go
@@ -97,7 +97,6 @@
 	l.initial = nil
 }
 
-// updateUsualLength updates the usual length.
 func (l *responseLengths) updateUsualLength(length float64, isShort bool) {
 	switch {
 	case length > l.usualLength:
@@ -109,7 +108,6 @@
 	}
 }
 
-// updateShares updates the shares of short responses.
 func (l *responseLengths) updateShares(isShort bool, window float64) {
 	hit := 0.0
 	if isShort {
--- a/internal/overload/responselengths_test.go
+++ b/internal/overload/responselengths_test.go
@@ -70,7 +70,8 @@
 // maxChanceRejections is how many of the 60,000 requests of a mixedLoad may be rejected by chance.
 const maxChanceRejections = 30
 
-// Many routes have responses of two lengths, which must not activate the limit.
+// Many routes have responses of two lengths. Hardly any request may be rejected because of them,
+// and no limit may be active at the end.
 func TestRegularShortResponsesDoNotActivateLimit(t *testing.T) {
 	for _, oneIn := range []int{3, 4, 5, 6, 8, 20, 50} {
 		t.Run(fmt.Sprint("one in ", oneIn), func(t *testing.T) {
@@ -97,7 +98,8 @@
 	}
 }
 
-// The short error responses of one failing target in a hundred must not activate the limit.
+// The short error responses of one failing target in a hundred must not activate the limit for a
+// twentieth of the responses or more.
 func TestOneFailingTargetDoesNotActivateLimit(t *testing.T) {
 	const responses, pause = 300000, 2 * time.Millisecond
 	for seed := range uint64(5) {
@@ -141,9 +143,9 @@
 	}
 }
 
-// A moderate increase of short responses is no overload and becomes the baseline, without the limit
-// being activated again and again. The rate is that of a daemon in a large fleet: a dozen responses
-// per second, of which a fifth are short.
+// A moderate increase of short responses is no overload and becomes the baseline, with few
+// activations of the limit. The rate is that of a daemon in a large fleet: a dozen responses per
+// second, of which a fifth are short.
 func TestModerateIncreaseOfShortResponsesRarelyActivatesLimit(t *testing.T) {
 	activations := 0
 	for seed := range uint64(20) {
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -6,10 +6,11 @@
 import "time"
 
 const (
-	// Threshold is the maximum time between two steps that does not count as a pause. Daemons tick several
-	// times as often.
+	// Threshold is the maximum time between two steps that does not count as a pause. Daemons tick
+	// several times as often.
 	Threshold = 400 * time.Millisecond
-	// backlogDuration is how long after a pause received messages may be stale, as they waited during it.
+	// backlogDuration is how long after a pause received messages may be stale, as they waited
+	// during it.
 	backlogDuration = 300 * time.Millisecond
 )
 
--- a/internal/peering/transport_test.go
+++ b/internal/peering/transport_test.go
@@ -97,8 +97,8 @@
 	assert.Equal(t, (<-two.recorder.streams).From.Address, one.address)
 }
 
-// TestUnauthorizedPeersAreRefused sends with another fleet's keys, with an operator's certificate, from an
-// address that is not in the certificate, and without a certificate.
+// TestUnauthorizedPeersAreRefused sends with another fleet's keys, with an operator's certificate,
+// from an address that is not in the certificate, and without a certificate.
 func TestUnauthorizedPeersAreRefused(t *testing.T) {
 	keys := makeFleet(t)
 	listener := startMember(t, keys, "daemon")
--- a/internal/storenode/answer.go
+++ b/internal/storenode/answer.go
@@ -8,8 +8,9 @@
 	"github.com/passtray/passtray/internal/followed"
 )
 
-// servePull serves a pull. It redirects the peer to another daemon if there is no configuration yet or
-// all answer slots are in use, and otherwise waits for them within the hold that the peer requested.
+// servePull serves a pull. It redirects the peer to another daemon if there is no configuration yet
+// or all answer slots are in use. If no other daemon can answer or the peer was redirected too
+// often, it waits for a configuration and a slot within the hold that the peer requested.
 func (l *peerLink) servePull(w http.ResponseWriter, r *http.Request, serve func(pull *followed.Pull) (followed.Delta, bool)) {
 	pull, err := readPull(r)
 	if err != nil {
--- a/internal/storenode/counters.go
+++ b/internal/storenode/counters.go
@@ -19,8 +19,8 @@
 	held      atomic.Uint64
 	// queued counts packets queued because their service was overloaded.
 	queued atomic.Uint64
-	// unanswered counts unanswered requests and first packets of flows by strength of
-	// evidence, ejections the targets ejected as outliers.
+	// unanswered counts failure evidence by strength: unanswered requests and first packets of
+	// flows, and short responses. ejections counts the targets ejected as outliers.
 	unanswered [outlier.Strong + 1]atomic.Uint64
 	ejections  atomic.Uint64
 	// dead counts targets declared dead, revived those later found to be alive.
@@ -28,7 +28,8 @@
 	revived atomic.Uint64
 	// idleResets counts idle flows that were reset because their target was dead or superseded.
 	idleResets atomic.Uint64
-	// undecoded counts messages about open flows and speeds that could not be decoded completely.
+	// loadsUndecoded counts messages about open flows and speeds that could not be decoded
+	// completely.
 	loadsUndecoded atomic.Uint64
 	// speedResponses counts responses used to estimate the speed of their target.
 	speedResponses atomic.Uint64
--- a/internal/storenode/liveness_test.go
+++ b/internal/storenode/liveness_test.go
@@ -53,8 +53,8 @@
 	assert.Assert(t, !node.isReachable(nodetest.Address(110, 9), probeTimeout), "a port without a listener must not be reachable")
 }
 
-// An idle caller is reset before it sends again, after a verdict and after another target was seen at
-// the address.
+// An idle caller is reset before it sends again, once its target was declared dead or another
+// target was seen at the target's address.
 func TestIdleCallerIsReset(t *testing.T) {
 	for name, end := range map[string]func(site *testSite, node *Node){
 		"target declared dead": func(_ *testSite, node *Node) {
--- a/internal/storenode/overload.go
+++ b/internal/storenode/overload.go
@@ -211,7 +211,7 @@
 // per service each.
 const overloadLogInterval = time.Second
 
-// logOverload logs when the limit on requests in progress at a service starts and stops to apply.
+// logOverload logs when the limit on requests in progress at a service starts or stops applying.
 func (n *Node) logOverload(now time.Time) {
 	if now.Before(n.nextOverloadLogAt) {
 		return
--- a/internal/storenode/unrouted.go
+++ b/internal/storenode/unrouted.go
@@ -6,8 +6,9 @@
 	"github.com/passtray/passtray/internal/steering/token"
 )
 
-// resetUnrouted resets the flows whose route was removed, given when the store confirmed the table.
-// Only the control loop calls it, with a table of everything confirmed.
+// resetUnrouted resets the flows whose route was removed. confirmedAt is when the store last
+// confirmed the view. Only the control loop calls it, once the table includes everything confirmed
+// by then.
 func (p *tokenPlane) resetUnrouted(now, confirmedAt time.Time) {
 	table := p.table.Load()
 	if table == nil {
--- a/internal/storeview/config.go
+++ b/internal/storeview/config.go
@@ -6,9 +6,9 @@
 type Config struct {
 	// Retention is how long removed targets and tombstones are kept.
 	Retention time.Duration
-	// RestoreGrace is the grace period after the store was restored from a backup, in which earlier
-	// state that is newer than the backup is kept. It must give writers time to rewrite their
-	// entries, and entries of ended targets time to expire.
+	// RestoreGrace is the grace period after the store was restored from a backup, in which state
+	// from before the restore is kept where it is newer than the backup. It must give writers time
+	// to rewrite their entries, and entries of ended targets time to expire.
 	RestoreGrace time.Duration
 	// RewriteGrace is how long after the store's return, from a restore or an outage, an entry
 	// may be missing from it before its target counts as removed. A live writer rewrites its entry
--- a/internal/storeview/invalid.go
+++ b/internal/storeview/invalid.go
@@ -10,7 +10,7 @@
 // ones are rejected as well, but neither listed nor sent to peers as invalid.
 const maxInvalidEntries = 1024
 
-// InvalidEntry is a rejected, invalid entry.
+// InvalidEntry describes an entry of the store that was rejected as invalid.
 type InvalidEntry struct {
 	// Key and Revision are the store's.
 	Key      string
@@ -36,7 +36,7 @@
 	return true
 }
 
-// dropOlder forgets an invalid entry once its key has a later one or a removal.
+// dropOlder forgets an invalid entry once its key has a later entry or removal.
 func (r invalidEntries) dropOlder(key string, revision uint64) {
 	if existing, found := r[key]; found && revision > existing.Revision {
 		delete(r, key)
--- a/internal/storeview/lwwmap.go
+++ b/internal/storeview/lwwmap.go
@@ -14,8 +14,8 @@
 	Revision uint64
 	// Written is the revision of the latest write; once the entry is removed, Revision is later.
 	Written uint64
-	// IsRemoved reports that the store no longer holds the entry, IsInvalid that it holds an invalid one
-	// under the key.
+	// IsRemoved reports that the store no longer holds the entry, IsInvalid that it holds an
+	// invalid one under the key.
 	IsRemoved bool
 	IsInvalid bool
 	// LearnedAt is when the daemon that first read this state from the store did so.
@@ -54,7 +54,8 @@
 type lwwMap[K mergeable[K]] struct {
 	removed *tombstones
 	grace   *restoreGrace
-	// deferred holds entries of a restored store that conflict with newer earlier state.
+	// deferred holds entries of a restored store that are older than the state kept from an earlier
+	// epoch.
 	deferred map[string]K
 	byKey    map[string]K
 	// gone holds the keys of removed entries, so that expiry needs no full scan.
--- a/internal/storeview/orders.go
+++ b/internal/storeview/orders.go
@@ -19,7 +19,7 @@
 	return "unknown"
 }
 
-// Order is an operators' instruction besides the configuration. It applies from when it is written
+// Order is an operator's instruction besides the configuration. It applies from when it is written
 // until it is withdrawn.
 type Order struct {
 	Kind OrderKind `cbor:"1,keyasint"`
--- a/internal/storeview/restoregrace.go
+++ b/internal/storeview/restoregrace.go
@@ -51,7 +51,8 @@
 	return r.isEarlierEpoch(earlier) && isInBackup && ChangeNumberOf(earlier) > ChangeNumberOf(restored)
 }
 
-// deferEntry defers an entry of the restored store that conflicts with newer earlier state.
+// deferEntry defers an entry of the restored store that is older than the state kept from an
+// earlier epoch.
 func (r *lwwMap[K]) deferEntry(restored K) {
 	key := restored.record().Key
 	if existing, found := r.deferred[key]; !found || existing.record().Revision < restored.record().Revision {
@@ -129,8 +130,8 @@
 		existing := r.byKey[key]
 		_, isDeferred := r.deferred[key]
 		if !isDeferred && EpochOf(existing.record().Revision) < r.grace.epoch && !existing.record().IsRemoved {
-			// The removal gets the epoch's first revision, so that a later backup with the entry is
-			// older.
+			// The removal gets the revision of the epoch's first full list, so that it stays newer
+			// than the entry if the store is restored again from an older backup.
 			r.markGone(existing, r.grace.startRevision, now, change)
 		}
 	}
@@ -145,8 +146,9 @@
 	r.dropMissing(now, change)
 }
 
-// EndGracePeriods ends the grace periods that are over. Everything that the store held at confirmedAt must
-// be known: a daemon that was paused or partitioned may otherwise have missed rewritten entries.
+// EndGracePeriods ends the grace periods that are over. Everything that the store held at
+// confirmedAt must be known: a daemon that was paused or partitioned may otherwise have missed
+// rewritten entries.
 func (v *View) EndGracePeriods(now, confirmedAt time.Time) Change {
 	var change Change
 	r := v.grace
--- a/internal/storeview/restoregrace_test.go
+++ b/internal/storeview/restoregrace_test.go
@@ -15,8 +15,8 @@
 }
 
 // newRestoredView returns a view that knew five targets up to revision 20 and then listed a backup
-// of revision 10 in the next epoch. The backup lacks that a is draining, b was removed, c restarted
-// and d started.
+// of revision 10 in the next epoch. The backup was made before a was drained, b was removed, c was
+// restarted and d was started.
 func newRestoredView() *View {
 	view := New(time.Minute)
 	view.MergeSnapshot(testStart, []Entry{
--- a/internal/storeview/revision.go
+++ b/internal/storeview/revision.go
@@ -1,7 +1,7 @@
 package storeview
 
-// A revision totally orders all writes to the store. A store that is restored from a backup loses
-// its last changes and reuses their numbers, so a revision holds the store's epoch, which increases
+// Revisions totally order all writes to the store. A store that is restored from a backup loses its
+// last changes and reuses their numbers, so a revision holds the store's epoch, which increases
 // with each restore, in the bits above the number of the change (as ZooKeeper's zxid does). Any
 // change of a later epoch thus compares as newer.
 
--- a/internal/storeview/tombstones.go
+++ b/internal/storeview/tombstones.go
@@ -6,8 +6,8 @@
 // them and peers that hold them learn of the removal.
 type tombstones struct {
 	byKey map[string]tombstone
-	// maxRevision is the highest revision ever added, as most polling peers know everything up to
-	// it.
+	// maxRevision is the highest revision ever added. Most polling peers know everything up to it;
+	// for them since needs no scan.
 	maxRevision uint64
 }
 
