--- a/backend/backend.go
+++ b/backend/backend.go
@@ -142,7 +142,7 @@
 }
 
 // IsDraining reports whether Drain was called or an operator has drained the target, which daemons
-// signal with every datagram. A server can wait for it, call WaitIdle and exit.
+// signal with every datagram. A server can poll it, then call WaitIdle and exit.
 func (l *Listener) IsDraining() bool { return l.packets.isDraining() }
 
 // WaitIdle waits until all accepted connections are closed.
--- a/internal/lab/environment/history.go
+++ b/internal/lab/environment/history.go
@@ -94,7 +94,7 @@
 	return lostChanges(before, h.Content(h.revision))
 }
 
-// lostChanges returns the changes from a backup's content to a later one, ordered by key.
+// lostChanges returns the changes from a backup's content to the current one, ordered by key.
 func lostChanges(current, backup []storeview.Entry) []storeview.Entry {
 	inBackup := map[string]storeview.Entry{}
 	for _, entry := range backup {
--- a/internal/lab/history/check.go
+++ b/internal/lab/history/check.go
@@ -247,7 +247,8 @@
 }
 
 // lagOf returns the delay until an accepted revision or a later one was active on this daemon, and
-// whether it was too long. It is measured from when the daemon was running and reachable.
+// whether it was too long. It is measured from when the daemon was running and reachable. Daemons that
+// are cut off at the end of the run, or stopped before the deadline, are exempt.
 func (d *daemonHistory) lagOf(accepted Event) (time.Duration, bool) {
 	from := max(accepted.At, d.startedAt, d.reachableSince)
 	deadline := from + int64(maxSettleTime)
--- a/internal/lab/report/collector.go
+++ b/internal/lab/report/collector.go
@@ -1,5 +1,5 @@
-// Package report collects the measurements of a run and writes them as a text table,
-// as JSON or as an HTML page with plots.
+// Package report collects the measurements of a run and writes them as a text table, as JSON or as an
+// HTML page with plots.
 package report
 
 import (
--- a/internal/lab/storelab/check.go
+++ b/internal/lab/storelab/check.go
@@ -9,8 +9,8 @@
 
 // Bounds are the time limits of the invariants.
 type Bounds struct {
-	// The maximum times until a new configuration is active, and for which a draining target
-	// may get new flows.
+	// Converge is the maximum time until a new configuration is active, Drain the maximum time for
+	// which a draining target may get new flows.
 	Converge, Drain time.Duration
 	// Settle is the time after a fault during which the bounds above aren't checked.
 	Settle time.Duration
--- a/internal/lab/workload/protocol.go
+++ b/internal/lab/workload/protocol.go
@@ -1,5 +1,5 @@
-// Package workload simulates the lab's application: callers and targets that
-// exchange requests over QUIC streams and record events in a history.
+// Package workload simulates the lab's application: callers and targets that exchange requests over
+// QUIC streams and record events in a history.
 package workload
 
 import (
--- a/internal/simulation/balance.go
+++ b/internal/simulation/balance.go
@@ -41,11 +41,11 @@
 	FeedLife          time.Duration
 	RequestsPerSecond float64
 	RequestWork       time.Duration
-	// ReportInterval is how often each open feed delivers its target's report to a random daemon,
-	// ReportLag how old the report is on delivery.
+	// ReportInterval is the interval at which each open feed delivers its target's report to a random
+	// daemon, ReportLag the age of the report on delivery.
 	ReportInterval time.Duration
 	ReportLag      time.Duration
-	// Liars is the number of targets that report to be idle.
+	// Liars is the number of targets that always report a load of 0.
 	Liars int
 	Span  time.Duration
 	Seed  uint64
--- a/internal/simulation/broken_rules_test.go
+++ b/internal/simulation/broken_rules_test.go
@@ -53,7 +53,7 @@
 
 func runBroken(seed uint64, breakRule func(*Fleet)) (finding string) {
 	defer func() {
-		// Assertions of the core count as checks.
+		// A failed assertion in the core panics, which counts as a finding.
 		if recovered := recover(); recovered != nil {
 			finding = fmt.Sprint("panic: ", recovered)
 		}
--- a/internal/simulation/coldstart_test.go
+++ b/internal/simulation/coldstart_test.go
@@ -59,8 +59,8 @@
 	return delays[min(len(delays)-1, int(share*float64(len(delays))))]
 }
 
-// TestLargeFleetStartNeedsFewLists shares the store's link; a list takes a tenth of a second on
-// the links of most machines.
+// TestLargeFleetStartNeedsFewLists checks that a large fleet starts quickly although all daemons share
+// the store's link. A list takes a tenth of a second on the links of most machines.
 func TestLargeFleetStartNeedsFewLists(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
--- a/internal/simulation/dead_targets_test.go
+++ b/internal/simulation/dead_targets_test.go
@@ -143,8 +143,8 @@
 	assert.Assert(t, median[NotifyNever] > 2*time.Second)
 }
 
-// TestIdleTargetOfUnresponsiveZoneKeepsItsFlows crashes all other targets of a zone while the
-// callers of one target are idle, so that it shows no activity.
+// TestIdleTargetOfUnresponsiveZoneKeepsItsFlows crashes all other targets of a zone while one target
+// drains and its callers are idle, so that it shows no activity.
 func TestIdleTargetOfUnresponsiveZoneKeepsItsFlows(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, seed uint64) {
--- a/internal/simulation/flows_checks.go
+++ b/internal/simulation/flows_checks.go
@@ -22,7 +22,7 @@
 	flow.Ended = true
 }
 
-// hasKeptRoute reports whether a flow's address has had a route since the flow began.
+// hasKeptRoute reports whether a flow's address has always had a route since the flow began.
 func (m *FlowModel) hasKeptRoute(flow *Flow) bool {
 	since, isListed := m.routedSince[flow.Route]
 	return isListed && !since.After(flow.StartedAt)
--- a/internal/simulation/orders_test.go
+++ b/internal/simulation/orders_test.go
@@ -69,7 +69,8 @@
 	}
 }
 
-// TestRestartDuringStoreOutageSyncsOrdersFromPeers includes withdrawn orders.
+// TestRestartDuringStoreOutageSyncsOrdersFromPeers checks that daemons restarted during a store outage
+// get the active orders, and no withdrawn ones, from peers.
 func TestRestartDuringStoreOutageSyncsOrdersFromPeers(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(20) {
@@ -130,8 +131,8 @@
 	assert.Assert(t, hasViolation(run, "EVAC"), "%v", run.Violations)
 }
 
-// TestOrderPropagationTime measures fleets of two sizes without faults, and with the
-// reader killed or throttled just before the order is written.
+// TestOrderPropagationTime checks the time until an order reaches all daemons, for fleets of two sizes
+// without faults, and with the reader killed or throttled just before the order is written.
 func TestOrderPropagationTime(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
--- a/internal/simulation/overload.go
+++ b/internal/simulation/overload.go
@@ -41,7 +41,7 @@
 	return float64(r.Served[rank]) / float64(max(1, r.Requested[rank]))
 }
 
-// Behaviour of targets and callers.
+// Behavior of targets and callers.
 const (
 	overloadQueueLength    = 8 // queue length of a target
 	overloadQueueTimeout   = 100 * time.Millisecond
--- a/internal/simulation/overload_test.go
+++ b/internal/simulation/overload_test.go
@@ -36,7 +36,7 @@
 }
 
 // TestPreferredRankIsServedPastCapacity offers 1.2 times the nominal capacity. As three in ten
-// targets are slow, that is half as much again as they can serve. Without admission control targets
+// targets are slow, that is some 1.5 times what they can serve. Without admission control targets
 // reject more than they serve.
 func TestPreferredRankIsServedPastCapacity(t *testing.T) {
 	t.Parallel()
--- a/internal/simulation/readers_test.go
+++ b/internal/simulation/readers_test.go
@@ -113,8 +113,7 @@
 	}
 }
 
-// TestUpdatesArriveAfterMassRestarts restarts many or all daemons at once, so that none
-// is trusted more than the others for its age.
+// TestUpdatesArriveAfterMassRestarts restarts some or all daemons at once, which may include the reader.
 func TestUpdatesArriveAfterMassRestarts(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, seed uint64) {
--- a/internal/simulation/recovery_test.go
+++ b/internal/simulation/recovery_test.go
@@ -103,8 +103,8 @@
 	fleet.assertNoViolations(t)
 }
 
-// TestLeaseExpiresDuringPause checks the lease before the daemon has processed
-// any message.
+// TestLeaseExpiresDuringPause checks that a daemon loses its lease during a long pause, even before it
+// has processed any message, and regains it afterwards.
 func TestLeaseExpiresDuringPause(t *testing.T) {
 	t.Parallel()
 	fleet := newTestFleet(2, 5)
--- a/internal/simulation/speedload.go
+++ b/internal/simulation/speedload.go
@@ -35,8 +35,8 @@
 	// the targets to be four times as fast and four times as slow in turn.
 	LearnSpeeds bool
 	Liars       int
-	// SlowTargets, the first ones, work at a quarter of their speed from SlowFrom until SlowUntil.
-	// With IsSlowStart they have just started then and are known to be in slow start.
+	// The first SlowTargets targets work at a quarter of their speed from SlowFrom until SlowUntil.
+	// If IsSlowStart is set, daemons know that they are in slow start during that time.
 	SlowTargets         int
 	SlowFrom, SlowUntil time.Duration
 	IsSlowStart         bool
