--- a/internal/followed/listparts.go
+++ b/internal/followed/listparts.go
@@ -79,9 +79,9 @@
 // isFirstPage reports whether the next page is the first of its part.
 func (f *Follower) isFirstPage() bool { return f.afterKey == "" }
 
-// handleTooLong handles a part that is too large for the daemon's link while peers may supply
+// handleTooLarge handles a part that is too large for the daemon's link while peers may supply
 // it. If it was the full content, the targets are read alone at once.
-func (f *Follower) handleTooLong(now time.Time, answer *Answer, output *Output) {
+func (f *Follower) handleTooLarge(now time.Time, answer *Answer, output *Output) {
 	output.Events = append(output.Events, Event{EventTooLarge, fmt.Sprintf("%d bytes", answer.Bytes)})
 	if f.part == partAll && f.config.MaxEarlyTargetsBytes > 0 && !f.isSplitDisabled {
 		f.part = partTargets
--- a/internal/liveness/early_test.go
+++ b/internal/liveness/early_test.go
@@ -110,13 +110,13 @@
 	now := testStart
 	directory := &fakeDirectory{rate: fastRate, now: &now}
 	d := New(DefaultConfig())
-	silentReport := func(age uint32) []Received {
+	unresponsiveReport := func(age uint32) []Received {
 		report := Report{Subject: Subject{Target: target}, Kind: Unresponsive, Flows: 1, Retransmissions: 1, AgeMilliseconds: age}
 		return []Received{{Report: report, From: addressOf(1)}}
 	}
-	d.HandleProbeResult(now, d.HandleReports(now, directory, silentReport(200)).Probes[0], true) // an earlier probe, answered
+	d.HandleProbeResult(now, d.HandleReports(now, directory, unresponsiveReport(200)).Probes[0], true) // an earlier probe, answered
 	now = now.Add(time.Second)
-	first := d.HandleReports(now, directory, silentReport(200))
+	first := d.HandleReports(now, directory, unresponsiveReport(200))
 	assert.Equal(t, len(first.Probes), 1)
 	now = now.Add(20 * time.Millisecond)
 	directory.lastActivity = now
@@ -124,7 +124,7 @@
 	now = now.Add(30 * time.Millisecond)
 	d.HandleProbeResult(now, first.Probes[0], false)
 	now = now.Add(200 * time.Millisecond)
-	for _, report := range d.HandleReports(now, directory, silentReport(180)).Reports {
+	for _, report := range d.HandleReports(now, directory, unresponsiveReport(180)).Reports {
 		assert.Assert(t, report.Kind != Suspected)
 	}
 }
--- a/internal/loadshare/head.go
+++ b/internal/loadshare/header.go
@@ -54,20 +54,20 @@
 
 // queuedReport is a daemon whose report may be sent, with that report's priority.
 type queuedReport struct {
-	from netip.AddrPort
-	turn Priority
+	from     netip.AddrPort
+	priority Priority
 }
 
 func (q *queuedReport) compare(other *queuedReport) int {
-	return cmp.Or(cmp.Compare(q.turn.TimesSent, other.turn.TimesSent), other.turn.MadeAt.Compare(q.turn.MadeAt), q.from.Compare(other.from))
+	return cmp.Or(cmp.Compare(q.priority.TimesSent, other.priority.TimesSent), other.priority.MadeAt.Compare(q.priority.MadeAt), q.from.Compare(other.from))
 }
 
 // ByPriority returns the daemons whose reports are sent next, in order of priority and at most as
 // many as given. It does not sort all reports, as a message holds only a few of them.
-func ByPriority[R any](reports map[netip.AddrPort]R, limit int, turnOf func(R) Priority) []netip.AddrPort {
+func ByPriority[R any](reports map[netip.AddrPort]R, limit int, priorityOf func(R) Priority) []netip.AddrPort {
 	queue := make([]queuedReport, 0, limit+1)
 	for from, report := range reports {
-		next := queuedReport{from, turnOf(report)}
+		next := queuedReport{from, priorityOf(report)}
 		if len(queue) == limit && next.compare(&queue[limit-1]) >= 0 {
 			continue
 		}
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -179,15 +179,15 @@
 
 // add stores a report that is newer than the known one of the same daemon.
 func (e *Exchange) add(now time.Time, encoded []byte) {
-	head := DecodeHeader(now, encoded)
-	received := &report{number: head.Number, madeAt: head.MadeAt, isPartial: encoded[reportHeaderBytes-1] == tooManyTargets}
-	known := e.reports[head.From]
+	header := DecodeHeader(now, encoded)
+	received := &report{number: header.Number, madeAt: header.MadeAt, isPartial: encoded[reportHeaderBytes-1] == tooManyTargets}
+	known := e.reports[header.From]
 	isNewer := known == nil && len(e.reports) < maxReports || known != nil && received.number > known.number
-	if head.From == e.self || !isNewer || now.Sub(received.madeAt) >= lifetime {
+	if header.From == e.self || !isNewer || now.Sub(received.madeAt) >= lifetime {
 		return
 	}
 	for rest := encoded[reportHeaderBytes:]; len(rest) > 0; rest = rest[targetBytes:] {
 		received.flows = append(received.flows, Flows{Mark: Mark(binary.BigEndian.Uint16(rest)), Count: rest[2]})
 	}
-	e.reports[head.From] = received
+	e.reports[header.From] = received
 }
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -106,7 +106,7 @@
 	}
 }
 
-func FuzzHear(f *testing.F) {
+func FuzzHandleMessage(f *testing.F) {
 	f.Add(newReportingExchange(1, map[uint32]int{tokenOf(7): 2}).Message(testStart))
 	f.Fuzz(func(t *testing.T, message []byte) {
 		exchange := New(address(9), 0)
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -31,8 +31,9 @@
 	Digest []byte `cbor:"6,keyasint,omitempty"`
 	// Broadcasts are application payloads, opaque to this package.
 	Broadcasts [][]byte `cbor:"7,keyasint,omitempty"`
-	// Near is the application's payload for members of the sender's zone, opaque to this package.
-	Near []byte `cbor:"8,keyasint,omitempty"`
+	// SameZonePayload is the application's payload for members of the sender's zone, opaque to this
+	// package.
+	SameZonePayload []byte `cbor:"8,keyasint,omitempty"`
 	// Direct is an application payload that is not gossiped on, opaque to this package.
 	Direct []byte `cbor:"9,keyasint,omitempty"`
 }
@@ -71,8 +72,8 @@
 	// Digests and Broadcasts are the application data received.
 	Digests    []RemoteDigest
 	Broadcasts [][]byte
-	// Near are the payloads received for members of the sender's zone.
-	Near [][]byte
+	// SameZonePayload holds the payloads received for members of the sender's zone.
+	SameZonePayload [][]byte
 	// Direct are the payloads received that were sent directly, without gossip.
 	Direct []DirectMessage
 	// Joined are senders that were unknown before; the full member list can be requested from them.
--- a/internal/overload/queue_test.go
+++ b/internal/overload/queue_test.go
@@ -11,8 +11,8 @@
 
 var caller = netip.MustParseAddrPort("192.0.2.1:1000")
 
-// BenchmarkTakeFromFullQueue measures the queue's work per arriving packet by queue length.
-func BenchmarkTakeFromFullQueue(b *testing.B) {
+// BenchmarkPopFromFullQueue measures the queue's work per arriving packet by queue length.
+func BenchmarkPopFromFullQueue(b *testing.B) {
 	for _, count := range []int{0, 8, 128, 512} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			controller := New(DefaultConfig())
@@ -64,7 +64,7 @@
 	assert.Assert(t, queue.PeekFlow(Flow{Source: caller}) == nil)
 }
 
-func TestTakeFlow(t *testing.T) {
+func TestPopFlow(t *testing.T) {
 	controller := newOverloadedController(t, 100)
 	queue := NewQueue[string](8)
 	assert.Assert(t, queue.Push(start, waitingPacket(controller, Ordinary, false, "other")))
--- a/internal/peering/transport.go
+++ b/internal/peering/transport.go
@@ -29,9 +29,9 @@
 	writeTimeout = 5 * time.Second
 	// idleTimeout closes unused connections.
 	idleTimeout = time.Minute
-	// maximumDatagram is the receive buffer of datagrams in bytes.
-	maximumDatagram = 2048
-	protocolName    = "passtray-peer/1"
+	// maxDatagramBytes is the receive buffer of datagrams in bytes.
+	maxDatagramBytes = 2048
+	protocolName     = "passtray-peer/1"
 )
 
 // Handler handles received messages. It is called concurrently.
@@ -135,7 +135,7 @@
 
 func (t *Transport) readDatagrams() {
 	defer t.goroutines.Done()
-	buffer := make([]byte, maximumDatagram)
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		length, from, err := t.socket.ReadFromUDPAddrPort(buffer)
 		if err != nil {
--- a/internal/peering/transport_test.go
+++ b/internal/peering/transport_test.go
@@ -37,7 +37,7 @@
 	t.Helper()
 	directory := filepath.Join(t.TempDir(), "keys")
 	var addresses []netip.Addr
-	for number := range uint32(maximumHosts) {
+	for number := range uint32(maxHosts) {
 		addresses = append(addresses, hostAddress(number))
 	}
 	assert.NilError(t, pki.Initialize(directory, addresses, time.Now()))
@@ -75,10 +75,10 @@
 // nextHost numbers the members of this test process; each has its own loopback address.
 var nextHost atomic.Uint32
 
-const maximumHosts = 250
+const maxHosts = 250
 
 func hostAddress(number uint32) netip.Addr {
-	return netip.AddrFrom4([4]byte{127, 61, byte(os.Getpid()), byte(1 + number%maximumHosts)})
+	return netip.AddrFrom4([4]byte{127, 61, byte(os.Getpid()), byte(1 + number%maxHosts)})
 }
 
 func freeAddress() netip.AddrPort { return netip.AddrPortFrom(hostAddress(nextHost.Add(1)), 7000) }
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -15,7 +15,7 @@
 	return list
 }
 
-func TestFirstAgreesWithIsAmongFirst(t *testing.T) {
+func TestTopAgreesWithIsInTop(t *testing.T) {
 	for key := range uint64(50) {
 		chosen := map[netip.AddrPort]bool{}
 		for _, daemon := range Top(key, daemons(30), 4) {
--- a/internal/simulation/flows_unrouted.go
+++ b/internal/simulation/flows_unrouted.go
@@ -10,10 +10,10 @@
 // store.
 func (m *FlowModel) resetDropped(index int, path *dataPath) {
 	confirmedAt := m.Daemons[index].Core.ConfirmedAt()
-	for _, head := range path.unrouted.TakeDropped(m.Clock.Now(), confirmedAt, path.table) {
-		path.requests.RecordDropped(path.table, &head)
+	for _, header := range path.unrouted.TakeDropped(m.Clock.Now(), confirmedAt, path.table) {
+		path.requests.RecordDropped(path.table, &header)
 		m.Clock.After(m.delay(), func() {
-			if flow := m.flows[head.Source]; flow != nil && flow.Route == head.Destination && flow.Token == head.Token {
+			if flow := m.flows[header.Source]; flow != nil && flow.Route == header.Destination && flow.Token == header.Token {
 				m.handleReset(flow, token.ReasonDroppedRoute)
 			}
 		})
--- a/internal/steering/token/binding_test.go
+++ b/internal/steering/token/binding_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// BenchmarkFollow steers a packet of an established flow.
-func BenchmarkFollow(b *testing.B) {
+// BenchmarkSteerEstablished steers a packet of an established flow.
+func BenchmarkSteerEstablished(b *testing.B) {
 	site := newLargeSite(1000, 1000)
 	packet := &Packet{Source: caller(1), Destination: rosterAddress, Token: BoundTokenAt(rosterAddress, 1000)}
 	b.ReportAllocs()
--- a/internal/steering/token/builder.go
+++ b/internal/steering/token/builder.go
@@ -114,7 +114,7 @@
 		isUndeclared: b.configuration != nil && service == nil,
 	}
 	if service != nil {
-		target.Load, target.SlowStartRate = service.Load, service.coldRate
+		target.Load, target.SlowStartRate = service.Load, service.slowStartRate
 	} else if load := b.loads[entry.Service]; load != nil {
 		target.Load = load
 	}
@@ -160,7 +160,7 @@
 	for _, declared := range b.configuration.Services {
 		services[declared.Name] = &Service{
 			Name: declared.Name, Load: b.loadOf(declared.Name),
-			maximumFlows: declared.MaxFlows, coldRate: declared.SlowStartRate,
+			maxFlows: declared.MaxFlows, slowStartRate: declared.SlowStartRate,
 		}
 	}
 	return services
--- a/internal/steering/token/openflows.go
+++ b/internal/steering/token/openflows.go
@@ -166,20 +166,20 @@
 // takeDead removes up to limit flows whose targets are dead and returns the headers of their
 // last packets.
 func (o *openFlows) takeDead(isDead func(target uint32) bool, limit int) []Packet {
-	var heads []Packet
+	var headers []Packet
 	for index := range o.flows {
-		if len(heads) >= limit {
+		if len(headers) >= limit {
 			break
 		}
 		if flow := &o.flows[index]; flow.target != 0 && isDead(flow.target) {
-			heads = append(heads, flow.head())
+			headers = append(headers, flow.header())
 			o.remove(flow.hash)
 		}
 	}
-	return heads
+	return headers
 }
 
-func (f *openFlow) head() Packet {
+func (f *openFlow) header() Packet {
 	return Packet{
 		Source:      netip.AddrPortFrom(netip.AddrFrom16(f.caller).Unmap(), f.callerPort),
 		Destination: netip.AddrPortFrom(netip.AddrFrom16(f.destination).Unmap(), f.port),
--- a/internal/steering/token/retransmitted.go
+++ b/internal/steering/token/retransmitted.go
@@ -61,9 +61,9 @@
 	for _, key := range keys {
 		req := r.pending[key]
 		r.end(key)
-		head := Packet{Source: key.caller, Destination: req.destination, Token: req.token, Acknowledgement: req.acknowledgement}
-		r.flows.remove(flowHash(&head))
-		packets = append(packets, head)
+		header := Packet{Source: key.caller, Destination: req.destination, Token: req.token, Acknowledgement: req.acknowledgement}
+		r.flows.remove(flowHash(&header))
+		packets = append(packets, header)
 	}
 	return packets
 }
--- a/internal/steering/token/service.go
+++ b/internal/steering/token/service.go
@@ -10,9 +10,9 @@
 	Name string
 	// Load tracks and limits the service's work through this daemon.
 	Load *overload.Controller
-	// maximumFlows and coldRate are the declared limits.
-	maximumFlows uint32
-	coldRate     float64
+	// maxFlows and slowStartRate are the declared limits.
+	maxFlows      uint32
+	slowStartRate float64
 	// eligible holds the targets that accept new flows. leaving holds targets that are draining or
 	// gone: they still serve for a grace period and are used when no other target is left.
 	eligible, leaving balance.Pool[*Target]
@@ -22,7 +22,7 @@
 
 func (s *Service) add(target *Target) {
 	candidate := balance.Candidate{
-		Signal: target.Signal, Weight: max(1, target.Slots), Cap: s.maximumFlows, Zone: target.Zone,
+		Signal: target.Signal, Weight: max(1, target.Slots), Cap: s.maxFlows, Zone: target.Zone,
 		Slots: target.Slots, WarmAt: target.WarmAt, IsSlowStartLimited: target.SlowStartRate > 0,
 	}
 	switch {
--- a/internal/steering/token/unrouted.go
+++ b/internal/steering/token/unrouted.go
@@ -53,8 +53,8 @@
 	// openAt is a time at which the flow was open, lastPacketAt when its latest packet
 	// arrived.
 	openAt, lastPacketAt time.Time
-	// head is the header of the latest packet.
-	head Packet
+	// header is the header of the latest packet.
+	header Packet
 }
 
 func NewUnrouted() *Unrouted { return &Unrouted{flows: map[addressPair]unroutedFlow{}} }
@@ -73,7 +73,7 @@
 	if !isKnown || now.Sub(flow.lastPacketAt) >= unroutedIdleTimeout {
 		flow.openAt = openAt
 	}
-	flow.lastPacketAt, flow.head = now, *packet
+	flow.lastPacketAt, flow.header = now, *packet
 	u.flows[pair] = flow
 }
 
@@ -88,7 +88,7 @@
 		case confirmedAt.Before(flow.openAt.Add(confirmationMargin)):
 			continue
 		default:
-			dropped = append(dropped, flow.head)
+			dropped = append(dropped, flow.header)
 		}
 		delete(u.flows, pair)
 	}
--- a/internal/storenode/orders.go
+++ b/internal/storenode/orders.go
@@ -13,8 +13,8 @@
 // updateOrders logs changed orders and updates the active ones. The logged age counts from when the
 // daemon that read the store learned of the order.
 func (n *Node) updateOrders(now time.Time, changed []storeview.KnownOrder) {
-	inForce := n.fleet.View().Orders()
-	n.orders.Store(&inForce)
+	active := n.fleet.View().Orders()
+	n.orders.Store(&active)
 	for index := range changed {
 		order := &changed[index]
 		n.log.Info(messageOrder,
--- a/internal/storenode/resets.go
+++ b/internal/storenode/resets.go
@@ -59,8 +59,8 @@
 	p.requests.SetIdle(timeout)
 }
 
-// heldFlows returns the number and size of the open flows tracked.
-func (p *tokenPlane) heldFlows() token.TrackedFlows {
+// trackedFlows returns the number and size of the open flows tracked.
+func (p *tokenPlane) trackedFlows() token.TrackedFlows {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.requests.TrackedFlows()
--- a/internal/storeview/invalid.go
+++ b/internal/storeview/invalid.go
@@ -45,8 +45,8 @@
 
 // dropUnlisted forgets invalid entries that a full list as of a revision lacks.
 func (r invalidEntries) dropUnlisted(listed listedKeys, revision uint64) {
-	for key, refusal := range r {
-		if !listed.isListedIn(EpochOf(revision), key) && refusal.Revision <= revision {
+	for key, entry := range r {
+		if !listed.isListedIn(EpochOf(revision), key) && entry.Revision <= revision {
 			delete(r, key)
 		}
 	}
@@ -54,8 +54,8 @@
 
 func (r invalidEntries) sorted() []InvalidEntry {
 	all := make([]InvalidEntry, 0, len(r))
-	for _, refusal := range r {
-		all = append(all, refusal)
+	for _, entry := range r {
+		all = append(all, entry)
 	}
 	slices.SortFunc(all, func(a, b InvalidEntry) int { return cmp.Compare(a.Key, b.Key) })
 	return all
@@ -64,10 +64,10 @@
 // since returns the invalid entries with a higher revision, unordered.
 func (r invalidEntries) since(now time.Time, revision uint64) []Entry {
 	var entries []Entry
-	for _, refusal := range r {
-		if refusal.Revision > revision {
+	for _, entry := range r {
+		if entry.Revision > revision {
 			entries = append(entries, Entry{
-				Key: refusal.Key, Revision: refusal.Revision, Fault: refusal.Reason, Age: max(0, now.Sub(refusal.LearnedAt)),
+				Key: entry.Key, Revision: entry.Revision, Fault: entry.Reason, Age: max(0, now.Sub(entry.LearnedAt)),
 			})
 		}
 	}
--- a/internal/storeview/lwwmap.go
+++ b/internal/storeview/lwwmap.go
@@ -165,9 +165,9 @@
 	}
 	r.dropDeferred(key, revision)
 	isNewlyInvalid := existing.record().IsRemoved && !existing.record().IsInvalid
-	refused := existing.clone()
-	refused.record().IsInvalid = true
-	ended := r.markGone(refused, revision, at, change)
+	invalid := existing.clone()
+	invalid.record().IsInvalid = true
+	ended := r.markGone(invalid, revision, at, change)
 	if isNewlyInvalid {
 		ended.addTo(change, false)
 	}
--- a/internal/targetspeed/codec.go
+++ b/internal/targetspeed/codec.go
@@ -71,8 +71,8 @@
 }
 
 func decode(now time.Time, encoded []byte) (netip.AddrPort, *report) {
-	head := loadshare.DecodeHeader(now, encoded)
-	received := &report{number: head.Number, at: head.MadeAt}
+	header := loadshare.DecodeHeader(now, encoded)
+	received := &report{number: header.Number, at: header.MadeAt}
 	for rest := encoded[headBytes:]; len(rest) > 0; rest = rest[entryBytes:] {
 		received.entries = append(received.entries, entry{
 			target:   loadshare.Mark(binary.BigEndian.Uint16(rest)),
@@ -80,5 +80,5 @@
 			weight:   float64(rest[3]),
 		})
 	}
-	return head.From, received
+	return header.From, received
 }
--- a/internal/targetspeed/targetspeed_test.go
+++ b/internal/targetspeed/targetspeed_test.go
@@ -162,7 +162,7 @@
 	assert.Equal(t, len(exchange.received[slowTarget]), maxReporters)
 }
 
-func FuzzHear(f *testing.F) {
+func FuzzHandleMessage(f *testing.F) {
 	exchange := NewExchange(daemonAt(1), 0)
 	note(exchange, testNow, slowTarget, 3, 2)
 	exchange.Tick(testNow)
