--- a/internal/loadshare/head.go
+++ b/internal/loadshare/header.go
@@ -13,7 +13,7 @@
 	// HeaderBytes is the encoded length of a Header: the daemon's address (4 bytes) and port (2),
 	// the report's number (4) and its age in units of ageUnit (1), big-endian.
 	HeaderBytes = 11
-	// MaxReportsPerMessage bounds the reports in one message: so many heads alone fill it.
+	// MaxReportsPerMessage bounds the reports in one message: that many headers alone fill it.
 	MaxReportsPerMessage = MaxMessageBytes / HeaderBytes
 	ageUnit              = 100 * time.Millisecond
 )
@@ -26,7 +26,7 @@
 	MadeAt time.Time
 }
 
-// Append appends the encoded head to a buffer.
+// Append appends the encoded header to a buffer.
 func (h Header) Append(now time.Time, to []byte) []byte {
 	host := h.From.Addr().As4()
 	to = append(to, host[:]...)
@@ -36,7 +36,7 @@
 	return append(to, byte(min(age, math.MaxUint8)))
 }
 
-// DecodeHeader decodes the head at the start of a report, which must have at least HeaderBytes.
+// DecodeHeader decodes the header at the start of a report, which must have at least HeaderBytes.
 func DecodeHeader(now time.Time, encoded []byte) Header {
 	return Header{
 		From:   netip.AddrPortFrom(netip.AddrFrom4([4]byte(encoded)), binary.BigEndian.Uint16(encoded[4:])),
@@ -54,20 +54,20 @@
 
 // queuedReport is a daemon whose report may be sent, with that report's priority.
 type queuedReport struct {
-	from netip.AddrPort
-	turn Priority
+	from     netip.AddrPort
+	priority Priority
 }
 
 func (q *queuedReport) compare(other *queuedReport) int {
-	return cmp.Or(cmp.Compare(q.turn.TimesSent, other.turn.TimesSent), other.turn.MadeAt.Compare(q.turn.MadeAt), q.from.Compare(other.from))
+	return cmp.Or(cmp.Compare(q.priority.TimesSent, other.priority.TimesSent), other.priority.MadeAt.Compare(q.priority.MadeAt), q.from.Compare(other.from))
 }
 
 // ByPriority returns the daemons whose reports are sent next, in order of priority and at most as
 // many as given. It does not sort all reports, as a message holds only a few of them.
-func ByPriority[R any](reports map[netip.AddrPort]R, limit int, turnOf func(R) Priority) []netip.AddrPort {
+func ByPriority[R any](reports map[netip.AddrPort]R, limit int, priorityOf func(R) Priority) []netip.AddrPort {
 	queue := make([]queuedReport, 0, limit+1)
 	for from, report := range reports {
-		next := queuedReport{from, turnOf(report)}
+		next := queuedReport{from, priorityOf(report)}
 		if len(queue) == limit && next.compare(&queue[limit-1]) >= 0 {
 			continue
 		}
