--- a/backend/backend.go
+++ b/backend/backend.go
@@ -142,7 +142,7 @@
 }
 
 // IsDraining reports whether Drain was called or an operator has drained the target, which daemons
-// signal with every datagram. A server can wait for it, call WaitIdle and exit.
+// signal with every datagram. A server can poll it, then call WaitIdle and exit.
 func (l *Listener) IsDraining() bool { return l.packets.isDraining() }
 
 // WaitIdle waits until all accepted connections are closed.
@@ -178,12 +178,12 @@
 	packets *PacketConn
 }
 
-// GenerateConnectionID fails until a datagram has supplied the numbers of this target, as every first
-// flight does.
+// GenerateConnectionID fails until a datagram has supplied the service and target numbers, as every
+// first flight does.
 func (g *connectionIDGenerator) GenerateConnectionID() (quic.ConnectionID, error) {
 	route, known := g.packets.route()
 	if !known {
-		return quic.ConnectionID{}, eris.New("the numbers of this target are not known yet")
+		return quic.ConnectionID{}, eris.New("service and target numbers not known yet: no datagram received from a daemon")
 	}
 	id, err := g.packets.newConnectionID(route)
 	if err != nil {
--- a/internal/balance/slowstart_test.go
+++ b/internal/balance/slowstart_test.go
@@ -8,7 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// pickFor picks every 10 ms for the given time and returns when the first candidate was picked.
+// pickFor picks every 10 ms for the given time and returns the times at which the first candidate was
+// picked.
 func pickFor(duration time.Duration, targets []Candidate) []time.Duration {
 	random := rand.New(rand.NewPCG(1, 2))
 	var times []time.Duration
@@ -18,7 +19,7 @@
 		if index < 0 {
 			continue
 		}
-		targets[index].Signal.NotePick(request.Now)
+		targets[index].Signal.RecordPick(request.Now)
 		if index == 0 {
 			times = append(times, after)
 		}
@@ -28,14 +29,14 @@
 
 func slowStartCandidates(warmAfter time.Duration) []Candidate {
 	targets := candidates(2)
-	targets[0].IsColdBounded, targets[0].WarmAt = true, testNow.Add(warmAfter)
+	targets[0].IsSlowStartLimited, targets[0].WarmAt = true, testNow.Add(warmAfter)
 	return targets
 }
 
 func TestSlowStartShareIsNotExceeded(t *testing.T) {
 	const share = 3
 	targets := slowStartCandidates(time.Minute)
-	targets[0].Signal.SetColdShare(share)
+	targets[0].Signal.SetSlowStartShare(share)
 	times := pickFor(20*time.Second, targets)
 	assert.Assert(t, len(times) > 20, "only %d flows", len(times))
 	for index := share; index < len(times); index++ {
@@ -46,7 +47,7 @@
 func TestNoFlowsBeforeSlowStartShareIsSet(t *testing.T) {
 	assert.Equal(t, len(pickFor(5*time.Second, slowStartCandidates(time.Minute))), 0)
 	zero := slowStartCandidates(time.Minute)
-	zero[0].Signal.SetColdShare(0)
+	zero[0].Signal.SetSlowStartShare(0)
 	assert.Equal(t, len(pickFor(5*time.Second, zero)), 0)
 }
 
@@ -54,7 +55,7 @@
 	assert.Assert(t, len(pickFor(5*time.Second, slowStartCandidates(time.Second))) > 100)
 }
 
-// If all targets are at their limit, the caller must be queued, not rejected.
+// If all targets are at their limit, the flow must wait, not be refused.
 func TestAtLimitIfAllSlowStartSharesAreUsed(t *testing.T) {
 	targets := slowStartCandidates(time.Minute)[:1]
 	request := requestAt(testNow)
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -30,9 +30,9 @@
 	// long it waits for the answer before it pulls again.
 	PullDelay   time.Duration
 	PullTimeout time.Duration
-	// RenewalInterval is how often the leader issues a lease renewal, LeaseDuration how long a lease
-	// is valid. It must exceed several gossip rounds, or daemons reached late lose their leases
-	// without a failure.
+	// RenewalInterval is how often the leader issues a lease renewal, LeaseDuration how long a
+	// lease is valid. LeaseDuration must exceed several gossip rounds, or daemons reached late lose
+	// their leases without a failure.
 	RenewalInterval time.Duration
 	LeaseDuration   time.Duration
 	// ProposalRetry is the retransmission interval of an unanswered proposal, ProposalTimeout the time
@@ -221,14 +221,14 @@
 	case message.Consensus != nil:
 		c.handleConsensusOutput(now, c.replica.Step(now, message.Consensus))
 	case message.Pull != nil:
-		if update, newer := c.store.Since(message.Pull.Have); newer {
+		if update, newer := c.store.UpdateSince(message.Pull.Have); newer {
 			c.send(from, PeerMessage{Update: &update})
 		}
 	case message.Update != nil:
 		c.handleUpdate(now, message.Update)
 	case message.MembersRequest != nil:
 		c.handleMembershipOutput(now, c.group.Merge(now, []membership.Member{message.MembersRequest.Self}))
-		if lacking := c.group.Lacking(message.MembersRequest.Fingerprints); len(lacking) > 0 {
+		if lacking := c.group.MissingFrom(message.MembersRequest.Fingerprints); len(lacking) > 0 {
 			c.send(from, PeerMessage{Members: &Members{Known: lacking}})
 		}
 	case message.Members != nil:
@@ -334,7 +334,7 @@
 
 func (c *Core) reportInvalid(err error) {
 	if err != nil {
-		c.addEvent(EventUnreadable, err.Error())
+		c.addEvent(EventInvalidUpdate, err.Error())
 	}
 }
 
--- a/internal/followed/epoch.go
+++ b/internal/followed/epoch.go
@@ -13,11 +13,11 @@
 		return a
 	}
 	stamped := *a
-	stamped.Revision = storeview.RevisionIn(a.Epoch, a.Revision)
+	stamped.Revision = storeview.NewRevision(a.Epoch, a.Revision)
 	stamped.Entries = make([]storeview.Entry, len(a.Entries))
 	for index := range a.Entries {
 		stamped.Entries[index] = a.Entries[index]
-		stamped.Entries[index].Revision = storeview.RevisionIn(a.Epoch, a.Entries[index].Revision)
+		stamped.Entries[index].Revision = storeview.NewRevision(a.Epoch, a.Entries[index].Revision)
 	}
 	return &stamped
 }
@@ -52,8 +52,8 @@
 func (f *Follower) epoch() uint64 { return storeview.EpochOf(f.view.Revision()) }
 
 // handleRestored handles an answer that shows that the store was restored from a backup and
-// assigns the revisions after it again. A list, from the store or through a peer, must replace
-// the view.
+// reuses the revision numbers assigned since that backup. A list, from the store or through a
+// peer, must replace the view.
 func (f *Follower) handleRestored(now time.Time, answer *Answer, output *Output) {
 	f.recordSuccess(CallWatch, output)
 	f.nextCallAt = now
@@ -69,6 +69,6 @@
 
 func (f *Follower) emitRestored(answer *Answer, output *Output) {
 	detail := fmt.Sprintf("epoch %d after %d, revision %d after %d", answer.Epoch, f.epoch(),
-		storeview.NumberOf(f.listRevision), storeview.NumberOf(f.view.Revision()))
+		storeview.ChangeNumberOf(f.listRevision), storeview.ChangeNumberOf(f.view.Revision()))
 	output.Events = append(output.Events, Event{EventRestored, detail})
 }
--- a/internal/followed/gossip.go
+++ b/internal/followed/gossip.go
@@ -40,7 +40,7 @@
 // applyDelta merges a delta and gossips it on if it contained changes.
 func (f *Fleet) applyDelta(now time.Time, delta *Delta, into *FleetOutput) {
 	before := f.View().Revision()
-	change, _ := f.follower.Learn(now, delta)
+	change, _ := f.follower.MergeDelta(now, delta)
 	into.Change.Add(change)
 	if !change.IsEmpty() && before > 0 && delta.Since > 0 {
 		f.broadcast(now, delta, false)
@@ -81,7 +81,7 @@
 func (f *Fleet) broadcast(now time.Time, delta *Delta, isFromStore bool) {
 	full := Delta{Since: delta.Since, Until: delta.Until, Entries: delta.Entries, Digest: f.Digest(now)}
 	payload := encode(gossipMessage{Delta: &full})
-	if len(payload) > f.config.BroadcastBytes {
+	if len(payload) > f.config.MaxGossipBytes {
 		payload = encode(gossipMessage{Delta: &Delta{Since: delta.Until, Until: delta.Until, Digest: full.Digest}})
 	}
 	f.group.Broadcast(payload)
@@ -103,8 +103,8 @@
 // sent. After a pause of the process, when messages may have waited in the socket, the ages in
 // a digest are ignored.
 func (f *Fleet) handleDigest(now, sentAt time.Time, from netip.AddrPort, digest Digest) {
-	if !f.pause.MayBeOld(now) {
-		f.readerLease.merge(now, lease{rank: digest.Reader, renewedAt: sentAt.Add(-digest.ReaderAge)}, f.config.ClaimFor)
+	if !f.pause.MayBeStale(now) {
+		f.readerLease.merge(now, lease{rank: digest.Reader, renewedAt: sentAt.Add(-digest.ReaderAge)}, f.config.ReaderLeaseDuration)
 	}
 	if digest.Revision > 0 {
 		f.informedPeers.add(from)
@@ -112,7 +112,7 @@
 	switch {
 	case digest.Revision > f.View().Revision() || digest.Version > f.View().Held().Version:
 		f.recordAhead(now, from, digest)
-	case digest.IsConfirmed && !f.pause.MayBeOld(now):
+	case digest.IsConfirmed && !f.pause.MayBeStale(now):
 		f.peerConfirmedAt = maxTime(f.peerConfirmedAt, sentAt.Add(-digest.Age))
 	}
 }
--- a/internal/followed/lease_test.go
+++ b/internal/followed/lease_test.go
@@ -66,7 +66,7 @@
 	fleet.isSeed = true
 	listing := fleet.Tick(testStart).Call
 	confirming := fleet.StepAnswer(testStart, answered(listing, 1, configurationEntry(1, 1))).Call
-	resumedAt := testStart.Add(2 * pause.After)
+	resumedAt := testStart.Add(2 * pause.Threshold)
 	fleet.StepAnswer(resumedAt, answered(confirming, 1))
 	assert.Equal(t, fleet.ConfirmedAt(), testStart)
 }
@@ -122,7 +122,7 @@
 	assert.Assert(t, again != nil && again.Kind == CallWatch && again.Wait == 0, "missed changes are requested without waiting")
 	fail(again, now.Add(200*time.Millisecond))
 	assert.Assert(t, fleet.IsReading())
-	expiredAt := testStart.Add(fleet.config.ClaimFor)
+	expiredAt := testStart.Add(fleet.config.ReaderLeaseDuration)
 	fleet.peerConfirmedAt = expiredAt
 	fleet.Tick(expiredAt)
 	assert.Assert(t, !fleet.IsReading())
--- a/internal/followed/listparts_test.go
+++ b/internal/followed/listparts_test.go
@@ -9,7 +9,7 @@
 )
 
 // Of two stale answers the second may be the older one, and changes between them would be lost.
-func TestOnlyTheFirstPageOfAListMayBeStale(t *testing.T) {
+func TestOnlyFirstListPageMayBeStale(t *testing.T) {
 	t.Run("in two parts", func(t *testing.T) {
 		follower := newSlowFollower(DefaultConfig())
 		first := follower.Tick(testStart).Call
@@ -32,8 +32,8 @@
 	fleet := newTestFleet(DefaultFleetConfig())
 	fleet.follower.view.Merge(testStart, []storeview.Entry{configurationEntry(30, 1), targetEntry("a", 3)})
 	assert.Assert(t, fleet.lacksSnapshot())
-	asker := newTestFollower()
-	asker.Tick(testStart)
-	asker.Learn(testStart, &Delta{Entries: []storeview.Entry{configurationEntry(30, 1), targetEntry("a", 3)}})
-	assert.Equal(t, asker.phase, phaseListing)
+	receiver := newTestFollower()
+	receiver.Tick(testStart)
+	receiver.MergeDelta(testStart, &Delta{Entries: []storeview.Entry{configurationEntry(30, 1), targetEntry("a", 3)}})
+	assert.Equal(t, receiver.phase, phaseListing)
 }
--- a/internal/followed/liveness.go
+++ b/internal/followed/liveness.go
@@ -16,10 +16,10 @@
 // maxReportsPerDatagram bounds the reports in one datagram, at some 20 bytes each.
 const maxReportsPerDatagram = 40
 
-// TellLiveness returns the datagrams that carry reports on the liveness of targets. They are
+// LivenessDatagrams returns the datagrams that carry reports on the liveness of targets. They are
 // sent directly: gossip repeats each message many times at every daemon, and after the loss of
 // a zone the reports on hundreds of targets would delay other updates for seconds.
-func (f *Fleet) TellLiveness(reports []liveness.Outgoing) []membership.Datagram {
+func (f *Fleet) LivenessDatagrams(reports []liveness.Outgoing) []membership.Datagram {
 	if len(reports) == 0 {
 		return nil
 	}
@@ -45,7 +45,7 @@
 	var datagrams []membership.Datagram
 	send := func(to []netip.AddrPort, reports []liveness.Report) {
 		for batch := range slices.Chunk(reports, maxReportsPerDatagram) {
-			datagrams = append(datagrams, f.group.Tell(to, encode(batch))...)
+			datagrams = append(datagrams, f.group.DirectDatagrams(to, encode(batch))...)
 		}
 	}
 	for _, address := range order {
@@ -88,7 +88,7 @@
 	if report.To.IsValid() {
 		return []netip.AddrPort{report.To}
 	}
-	return rendezvous.First(subjectKey(report.Subject), f.liveAddresses(), report.Judges)
+	return rendezvous.Top(subjectKey(report.Subject), f.liveAddresses(), report.Judges)
 }
 
 // subjectKey returns the key of a subject for rendezvous hashing.
@@ -102,7 +102,7 @@
 // handleLiveness handles reports on the liveness of targets. After a pause of the process they
 // are dropped: their ages count from when they were sent.
 func (f *Fleet) handleLiveness(now time.Time, messages []membership.DirectMessage, into *FleetOutput) {
-	if f.pause.MayBeOld(now) {
+	if f.pause.MayBeStale(now) {
 		return
 	}
 	for _, message := range messages {
--- a/internal/followed/relays.go
+++ b/internal/followed/relays.go
@@ -122,7 +122,7 @@
 	return true
 }
 
-// sendDirectly sends an update past gossip: the daemon that read it from the store sends to the
+// sendDirectly sends an update, bypassing gossip: the daemon that read it from the store sends to the
 // relays, a relay to its audience.
 func (f *Fleet) sendDirectly(now time.Time, payload []byte, isFromStore bool) {
 	to := f.relays.audience
@@ -132,5 +132,5 @@
 	if len(to) == 0 || !f.directLimiter.allow(now) {
 		return
 	}
-	f.directDatagrams = append(f.directDatagrams, f.group.TellNews(to, payload)...)
+	f.directDatagrams = append(f.directDatagrams, f.group.BroadcastDatagrams(to, payload)...)
 }
--- a/internal/followed/targetswatch.go
+++ b/internal/followed/targetswatch.go
@@ -24,8 +24,9 @@
 	consecutiveLongTimeout = 200 * time.Millisecond
 )
 
-// isAnswerLong reports whether the call in flight has passed the time to first byte and is
-// still being transferred, or probably will.
+// isAnswerLong reports whether the call in flight has outlasted its timeout for the first byte, so
+// that its answer is still being transferred. After a long answer, consecutiveLongTimeout applies
+// instead.
 func (f *Follower) isAnswerLong(now time.Time) bool {
 	if f.inFlight == nil {
 		return false
@@ -44,7 +45,7 @@
 
 // startTargetsWatch starts a watch for targets only while a long answer is being transferred.
 func (f *Follower) startTargetsWatch(now time.Time, output *Output) {
-	if f.targetsWatch.call != nil && now.Sub(f.targetsWatch.sentAt) > f.targetsWatch.call.Bound()+f.config.Slack {
+	if f.targetsWatch.call != nil && now.Sub(f.targetsWatch.sentAt) > f.targetsWatch.call.MaxDuration()+f.config.Slack {
 		f.targetsWatch.call = nil
 	}
 	isDue := f.targetsWatch.call == nil && !now.Before(f.targetsWatch.nextCallAt)
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -109,7 +109,7 @@
 			r.FeedsOpened++
 		case history.FeedBroken:
 			r.FeedsBroken++
-		case history.PacketForeign:
+		case history.ForeignPacketReceived:
 			r.ForeignPackets++
 		case history.ConnectionOpened:
 			r.AcceptedByTargets++
@@ -176,17 +176,17 @@
 
 // accumulate adds a sample to a sum and returns 1, or returns 0 if the sample is empty.
 func accumulate(sum *statistics.Imbalance, sample statistics.Imbalance) int {
-	if sample.MaximumToMean == 0 {
+	if sample.MaxToMean == 0 {
 		return 0
 	}
-	sum.MaximumToMean += sample.MaximumToMean
+	sum.MaxToMean += sample.MaxToMean
 	sum.Variation += sample.Variation
 	return 1
 }
 
 func divide(sum *statistics.Imbalance, count int) {
 	if count > 0 {
-		sum.MaximumToMean /= float64(count)
+		sum.MaxToMean /= float64(count)
 		sum.Variation /= float64(count)
 	}
 }
@@ -217,7 +217,7 @@
 		r.Runs.Answered, r.Runs.NotRun, r.Runs.Unknown, r.Runs.UnknownRan, r.Runs.Wrong, r.Runs.RanOnce, r.Runs.RanMore)
 	line("control traffic per daemon in bytes/s: mean %.0f, max %.0f; processor time of the lab %.1f s",
 		r.ControlBytesPerSecond, r.ControlBytesPerSecondMax, r.ProcessCPUSeconds)
-	line("lab timers were late by %.2f s in total, by %.2f s at most", r.StalledSeconds, r.LongestStall)
+	line("timer delay of the lab: total %.2f s, max %.2f s", r.StalledSeconds, r.LongestStall)
 	if r.CoreShareMax > 0 {
 		line("max per daemon process: %.1f %% of a core, %.0f MiB resident", 100*r.CoreShareMax, r.ResidentBytesMax/(1<<20))
 	}
@@ -231,8 +231,8 @@
 	line("")
 	line("SERVICE\tCONNECTIONS max/mean\tCV\tBUSY SLOTS max/mean\tCV")
 	for _, imbalance := range r.Imbalance {
-		line("%s\t%.2f\t%.2f\t%.2f\t%.2f", imbalance.Service, imbalance.Connections.MaximumToMean, imbalance.Connections.Variation,
-			imbalance.BusySlots.MaximumToMean, imbalance.BusySlots.Variation)
+		line("%s\t%.2f\t%.2f\t%.2f\t%.2f", imbalance.Service, imbalance.Connections.MaxToMean, imbalance.Connections.Variation,
+			imbalance.BusySlots.MaxToMean, imbalance.BusySlots.Variation)
 	}
 	line("")
 	line("INVARIANT\tCHECKED\tVERDICT")
--- a/internal/lab/storelab/daemon.go
+++ b/internal/lab/storelab/daemon.go
@@ -53,7 +53,7 @@
 		"telemetry": p.telemetry.String(), "ready_path": readyPath,
 		"data":   map[string]any{"listen": p.data.String()},
 		"store":  map[string]any{"address": p.store.String()},
-		"bounds": map[string]any{"converge": p.bounds.Converge.String(), "leave": p.bounds.Leave.String()},
+		"bounds": map[string]any{"converge": p.bounds.Converge.String(), "leave": p.bounds.Drain.String()},
 	})
 }
 
@@ -88,7 +88,7 @@
 	d.command, d.exited, d.isStopping = command, exited, false
 	d.processNumber++
 	go func() {
-		_ = command.Wait() // ProcessState tells how it exited
+		_ = command.Wait() // ProcessState holds the exit status
 		close(exited)
 		if d.onUnexpectedExit != nil && !d.wasStopped(command) {
 			d.onUnexpectedExit(d, command.ProcessState.String())
--- a/internal/liveness/early.go
+++ b/internal/liveness/early.go
@@ -48,8 +48,8 @@
 	}
 	suspected.earlyReported = true
 	if _, _, since := suspected.sumEvidence(); !since.IsZero() {
-		report := Report{Subject: subject, Kind: Silent}
-		output.addReport(Outgoing{Judges: d.config.FirstJudges, Report: report}, now.Sub(since))
+		report := Report{Subject: subject, Kind: Unresponsive}
+		output.addReport(Outgoing{Judges: d.config.InitialJudges, Report: report}, now.Sub(since))
 	}
 }
 
@@ -71,9 +71,9 @@
 	return s.early == probeFailed && flows > 0
 }
 
-// isEarlyConfirmed reports whether, in addition, a probe from a third daemon failed and this
-// daemon's path has worked since its own probe began, so that two lost paths cannot explain
-// all failures.
+// isEarlyConfirmed reports whether, in addition to isEarlySufficient, a third daemon cannot reach
+// the target and this daemon's path has worked since its own probe began, so that two lost paths
+// cannot explain all failures.
 func (s *suspect) isEarlyConfirmed(directory Directory) bool {
 	others, _ := s.otherReporters()
 	return s.isEarlySufficient() && others >= minEarlyReporters && hasWorkingPath(directory, s.earlyAt)
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -20,9 +20,9 @@
 	// lifetime is how long a report is valid; it covers a few intervals, as gossip loses and
 	// delays some reports.
 	lifetime = 5 * time.Second
-	// MaximumBytes bounds the reports in one message. Two messages per gossip round of 300 ms
+	// MaxMessageBytes bounds the reports in one message. Two messages per gossip round of 300 ms
 	// make at most 2 KB/s.
-	MaximumBytes = 300
+	MaxMessageBytes = 300
 	// maxTargets bounds the targets in one report. A daemon with flows open at more targets
 	// reports none: with longer reports fewer fit into a message, and the known counts become
 	// so old that they mislead.
@@ -80,7 +80,7 @@
 		return
 	}
 	e.nextReportAt = now.Add(ReportInterval)
-	maps.DeleteFunc(e.reports, func(_ netip.AddrPort, held *report) bool { return now.Sub(held.madeAt) >= lifetime })
+	maps.DeleteFunc(e.reports, func(_ netip.AddrPort, known *report) bool { return now.Sub(known.madeAt) >= lifetime })
 	e.number++
 	own := &report{number: e.number, madeAt: now}
 	if counts := count(); len(counts) > maxTargets {
@@ -105,48 +105,48 @@
 // daemon's flows, and a daemon's own counts, which are high in this case, are the better measure.
 func (e *Exchange) Totals(now time.Time) (totals map[Mark]int, areComplete bool) {
 	totals = map[Mark]int{}
-	for _, held := range e.reports {
-		if now.Sub(held.madeAt) >= lifetime {
+	for _, known := range e.reports {
+		if now.Sub(known.madeAt) >= lifetime {
 			continue
 		}
-		if held.isPartial {
+		if known.isPartial {
 			return nil, false
 		}
-		for _, flows := range held.flows {
+		for _, flows := range known.flows {
 			totals[flows.Mark] += int(flows.Count)
 		}
 	}
 	return totals, true
 }
 
-// An encoded report consists of its head, the number of targets (1 byte), and for each target
+// An encoded report consists of its header, the number of targets (1 byte), and for each target
 // its mark (2) and count (1), all big-endian.
 const (
-	reportHeaderBytes = HeadBytes + 1
+	reportHeaderBytes = HeaderBytes + 1
 	targetBytes       = 3
 )
 
 // Message returns encoded reports to send: those sent the fewest times first, then the latest.
-func (e *Exchange) Message(now time.Time) []byte { return e.MessageWithin(now, MaximumBytes) }
+func (e *Exchange) Message(now time.Time) []byte { return e.MessageWithin(now, MaxMessageBytes) }
 
 // MessageWithin is like Message with a smaller limit in bytes, which leaves room for other
 // data.
 func (e *Exchange) MessageWithin(now time.Time, limit int) []byte {
-	addresses := InTurn(e.reports, MostHeads, func(r *report) Turn { return Turn{Sent: r.timesSent, At: r.madeAt} })
+	addresses := ByPriority(e.reports, MaxReportsPerMessage, func(r *report) Priority { return Priority{TimesSent: r.timesSent, MadeAt: r.madeAt} })
 	var message []byte
 	for _, address := range addresses {
-		held := e.reports[address]
-		if len(message)+reportHeaderBytes+targetBytes*len(held.flows) > limit {
+		known := e.reports[address]
+		if len(message)+reportHeaderBytes+targetBytes*len(known.flows) > limit {
 			break
 		}
-		held.timesSent++
-		message = held.append(now, message, address)
+		known.timesSent++
+		message = known.append(now, message, address)
 	}
 	return message
 }
 
 func (r *report) append(now time.Time, to []byte, address netip.AddrPort) []byte {
-	to = Head{From: address, Number: r.number, At: r.madeAt}.Append(now, to)
+	to = Header{From: address, Number: r.number, MadeAt: r.madeAt}.Append(now, to)
 	count := byte(len(r.flows))
 	if r.isPartial {
 		count = tooManyTargets
@@ -159,9 +159,9 @@
 	return to
 }
 
-// Hear merges the reports in a message and returns the number of bytes at its end that could
+// HandleMessage merges the reports in a message and returns the number of bytes at its end that could
 // not be decoded.
-func (e *Exchange) Hear(now time.Time, message []byte) (unread int) {
+func (e *Exchange) HandleMessage(now time.Time, message []byte) (unread int) {
 	for len(message) >= reportHeaderBytes {
 		count := int(message[reportHeaderBytes-1])
 		if count == tooManyTargets {
@@ -179,15 +179,15 @@
 
 // add stores a report that is newer than the known one of the same daemon.
 func (e *Exchange) add(now time.Time, encoded []byte) {
-	head := DecodeHead(now, encoded)
-	received := &report{number: head.Number, madeAt: head.At, isPartial: encoded[reportHeaderBytes-1] == tooManyTargets}
-	known := e.reports[head.From]
+	header := DecodeHeader(now, encoded)
+	received := &report{number: header.Number, madeAt: header.MadeAt, isPartial: encoded[reportHeaderBytes-1] == tooManyTargets}
+	known := e.reports[header.From]
 	isNewer := known == nil && len(e.reports) < maxReports || known != nil && received.number > known.number
-	if head.From == e.self || !isNewer || now.Sub(received.madeAt) >= lifetime {
+	if header.From == e.self || !isNewer || now.Sub(received.madeAt) >= lifetime {
 		return
 	}
 	for rest := encoded[reportHeaderBytes:]; len(rest) > 0; rest = rest[targetBytes:] {
 		received.flows = append(received.flows, Flows{Mark: Mark(binary.BigEndian.Uint16(rest)), Count: rest[2]})
 	}
-	e.reports[head.From] = received
+	e.reports[header.From] = received
 }
--- a/internal/node/data.go
+++ b/internal/node/data.go
@@ -59,7 +59,7 @@
 		}
 		n.plane.direct[entry.Service] = direct[index][0]
 	}
-	n.Waiting.Add(1)
+	n.Goroutines.Add(1)
 	go n.resendHandovers(backend[0])
 	n.startWorkers(backend, backendHandler{n.plane})
 	n.startWorkers(fabric, fabricHandler{n.plane})
@@ -129,7 +129,7 @@
 	n.nextProbe = now.Add(probeInterval)
 	snapshot := n.plane.snapshot.Load()
 	for _, target := range snapshot.Targets() {
-		if snapshot.Watches(target, watchersPerTarget) {
+		if snapshot.PollsTarget(target, watchersPerTarget) {
 			n.plane.probe(snapshot, target)
 		}
 	}
@@ -138,7 +138,7 @@
 // resendHandovers steers again the handovers that were not acknowledged in time: to the next owner, or to the same one
 // if that has missed only a single acknowledgement.
 func (n *Node) resendHandovers(backend forwarding.Socket) {
-	defer n.Waiting.Done()
+	defer n.Goroutines.Done()
 	worker := forwarding.NewWorker(backend, backendHandler{n.plane}, &n.plane.counters.Counters)
 	wctx := newWorkerContext()
 	worker.Context = wctx
@@ -149,7 +149,7 @@
 		case <-n.Context().Done():
 			return
 		case now := <-ticker.C:
-			for _, handover := range n.peers.TakeSilent(now) {
+			for _, handover := range n.peers.TakeUnacknowledged(now) {
 				n.plane.counters.resent.Add(1)
 				inbound := &forwarding.Inbound{Buffer: append(make([]byte, forwarding.Headroom), handover.Payload...)}
 				wctx.header = encapsulation.Header{Caller: handover.Caller, Service: handover.Service, Ingress: handover.Ingress}
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -49,8 +49,7 @@
 func DefaultConfig() Config { return Config{Enabled: true, PerSlot: 2, Rejected: 0.15} }
 
 const (
-	// limitStep is the relative step of the limit per rejection; eight rejections about
-	// halve it.
+	// limitStep is the relative step of the limit per rejection; eight rejections about halve it.
 	limitStep = 0.1
 	// evidenceDecay is the decay time of the evidence of overload while there is no limit,
 	// minEvidence the evidence that activates the limit, as a few short responses may be regular
@@ -83,7 +82,7 @@
 	config Config
 	// fairShare is this daemon's fair share of the targets' capacity, 0 if unknown.
 	fairShare float64
-	// limit is valid while isLimited. Bound returns at least fairShare; the clamping is not stored,
+	// limit is valid while isLimited. Limit returns at least fairShare; the clamping is not stored,
 	// so that a momentarily wrong share has no lasting effect.
 	limit     float64
 	isLimited bool
@@ -161,8 +160,8 @@
 	return float64(c.waiting[rank]) + c.openings(now, rank)
 }
 
-// Bound returns the concurrency limit, or false if there is none.
-func (c *Controller) Bound(now time.Time) (float64, bool) {
+// Limit returns the concurrency limit, or false if there is none.
+func (c *Controller) Limit(now time.Time) (float64, bool) {
 	if c == nil || !c.isLimited || c.fairShare == 0 || !c.config.Enabled {
 		return 0, false
 	}
@@ -184,7 +183,7 @@
 // Admit reports whether a request of a rank may proceed now. Preferred requests compete only with
 // each other; ordinary ones use what they leave.
 func (c *Controller) Admit(now time.Time, rank Rank) bool {
-	limit, isLimited := c.Bound(now)
+	limit, isLimited := c.Limit(now)
 	if !isLimited {
 		return true
 	}
@@ -218,9 +217,9 @@
 // gradually.
 const roundingSlack = 0.5
 
-// NoteAnswer handles the length, in bytes, of the beginning of a route's response and reports whether
-// the target rejected the request.
-func (c *Controller) NoteAnswer(now time.Time, route uint32, length uint32) (isRejection bool) {
+// RecordResponse handles the length, in bytes, of the beginning of a route's response and reports
+// whether the target rejected the request.
+func (c *Controller) RecordResponse(now time.Time, route uint32, length uint32) (isRejection bool) {
 	if c == nil || !c.config.Enabled {
 		return false
 	}
--- a/internal/overload/responselengths.go
+++ b/internal/overload/responselengths.go
@@ -38,8 +38,8 @@
 	baselineMargin = 0.05
 )
 
-// responseLengths tells a route's rejections from its other responses: rejections are short, and there
-// are more short responses than in the baseline.
+// responseLengths detects a route's rejections among its responses: rejections are short, and there are
+// more short responses than in the baseline.
 type responseLengths struct {
 	// initial holds the response lengths from which the usual length is initialized.
 	initial []uint32
@@ -97,7 +97,6 @@
 	l.initial = nil
 }
 
-// updateUsualLength updates the usual length.
 func (l *responseLengths) updateUsualLength(length float64, isShort bool) {
 	switch {
 	case length > l.usualLength:
@@ -109,7 +108,6 @@
 	}
 }
 
-// updateShares updates the shares of short responses.
 func (l *responseLengths) updateShares(isShort bool, window float64) {
 	hit := 0.0
 	if isShort {
--- a/internal/simulation/balance.go
+++ b/internal/simulation/balance.go
@@ -10,12 +10,12 @@
 	"github.com/passtray/passtray/internal/statistics"
 )
 
-// BalancePolicy is a way to choose a target.
+// BalancePolicy is a way to choose a target: that of daemons, a part of it, or a baseline.
 type BalancePolicy string
 
 const (
-	// PolicyWhole is the policy of daemons.
-	PolicyWhole BalancePolicy = "passtray"
+	// PolicyFull is the policy of daemons.
+	PolicyFull BalancePolicy = "passtray"
 	// PolicyNoReports uses only the daemon's own picks, PolicyNoPicks only the targets' reports.
 	PolicyNoReports BalancePolicy = "without reports"
 	PolicyNoPicks   BalancePolicy = "without own picks"
@@ -27,7 +27,7 @@
 
 // BalancePolicies returns all policies in the order of result tables.
 func BalancePolicies() []BalancePolicy {
-	return []BalancePolicy{PolicyWhole, PolicyNoReports, PolicyNoPicks, PolicyRandom, PolicyModulo, PolicyRendezvous}
+	return []BalancePolicy{PolicyFull, PolicyNoReports, PolicyNoPicks, PolicyRandom, PolicyModulo, PolicyRendezvous}
 }
 
 // BalanceConfig describes a load and the reports that daemons get of it.
@@ -41,11 +41,11 @@
 	FeedLife          time.Duration
 	RequestsPerSecond float64
 	RequestWork       time.Duration
-	// ReportInterval is how often each open feed delivers its target's report to a random daemon,
-	// ReportLag how old the report is on delivery.
+	// ReportInterval is the interval at which each open feed delivers its target's report to a random
+	// daemon, ReportLag the age of the report on delivery.
 	ReportInterval time.Duration
 	ReportLag      time.Duration
-	// Liars is the number of targets that report to be idle.
+	// Liars is the number of targets that always report a load of 0.
 	Liars int
 	Span  time.Duration
 	Seed  uint64
@@ -150,7 +150,7 @@
 	request := balance.Request{Now: r.clock.Now(), LeaseHeld: true}
 	picked := balance.Pick(&request, candidates, r.random)
 	if r.config.Policy != PolicyNoPicks {
-		candidates[picked].Signal.NotePick(r.clock.Now())
+		candidates[picked].Signal.RecordPick(r.clock.Now())
 	}
 	return picked
 }
@@ -213,9 +213,9 @@
 	}
 	connectionImbalance, _ := statistics.ImbalanceOf(connections)
 	busyImbalance, _ := statistics.ImbalanceOf(busy)
-	r.result.ConnectionsMaxToMean += connectionImbalance.MaximumToMean
+	r.result.ConnectionsMaxToMean += connectionImbalance.MaxToMean
 	r.result.ConnectionsVariation += connectionImbalance.Variation
-	r.result.BusyMaxToMean += busyImbalance.MaximumToMean
+	r.result.BusyMaxToMean += busyImbalance.MaxToMean
 	r.samples++
 	r.clock.After(balanceSampling, r.sample)
 }
--- a/internal/simulation/broken_rules_test.go
+++ b/internal/simulation/broken_rules_test.go
@@ -53,7 +53,7 @@
 
 func runBroken(seed uint64, breakRule func(*Fleet)) (finding string) {
 	defer func() {
-		// Assertions of the core count as checks.
+		// A failed assertion in the core panics, which counts as a finding.
 		if recovered := recover(); recovered != nil {
 			finding = fmt.Sprint("panic: ", recovered)
 		}
@@ -73,8 +73,8 @@
 	return ""
 }
 
-// crashOften restarts random daemons, including the leader, at short intervals, alternating at
-// random with partitions.
+// crashOften partitions the fleet or kills up to two random daemons, which may include the leader, at
+// short intervals. Killed daemons start again at the next interval.
 func crashOften(fleet *Fleet, duration time.Duration) {
 	end := fleet.Clock.Now().Add(duration)
 	var next func()
--- a/internal/simulation/coldstart_test.go
+++ b/internal/simulation/coldstart_test.go
@@ -59,8 +59,8 @@
 	return delays[min(len(delays)-1, int(share*float64(len(delays))))]
 }
 
-// TestLargeFleetStartNeedsFewLists shares the store's link; a list takes a tenth of a second on
-// the links of most machines.
+// TestLargeFleetStartNeedsFewLists checks that a large fleet starts quickly although all daemons share
+// the store's link. A list takes a tenth of a second on the links of most machines.
 func TestLargeFleetStartNeedsFewLists(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
@@ -84,7 +84,7 @@
 	lists := func(suppress bool) int {
 		config := followed.DefaultFleetConfig()
 		if !suppress {
-			config.Follower.ColdSpread, config.Follower.PagedSpread = followed.NoSuppression, followed.NoSuppression
+			config.Follower.StartupSpread, config.Follower.PagedSpread = followed.NoSuppression, followed.NoSuppression
 		}
 		run := newColdStart(1, largeDaemons, largeTargets, config)
 		run.Clock.Advance(2 * time.Second)
@@ -105,11 +105,11 @@
 	targetsBound = 200 * time.Millisecond
 )
 
-// countLateTargets counts the daemons that ran for targetsBound without a configuration, and those
-// of them that lacked the targets.
+// countLateTargets checks the daemons that have run for targetsBound and have no configuration yet.
+// It returns how many of them lacked the targets, and how many were checked.
 func countLateTargets(seed uint64, configurationBytes, earlyBytes int64) (late, checked int) {
 	config := followed.DefaultFleetConfig()
-	config.Follower.EarlyBytes = earlyBytes
+	config.Follower.MaxEarlyTargetsBytes = earlyBytes
 	run := newColdStart(seed, 100, maxEarlyTargets, config)
 	run.Links.ConfigurationBytes = configurationBytes
 	// Seeds are excluded: they read the full list at once, and links transfer in FIFO order.
@@ -119,7 +119,7 @@
 				return
 			}
 			checked++
-			if daemon.Core.View().Present() < maxEarlyTargets {
+			if daemon.Core.View().PresentTargetCount() < maxEarlyTargets {
 				late++
 			}
 		}
@@ -129,7 +129,7 @@
 	return late, checked
 }
 
-// callAfterStart calls look some time after a daemon starts.
+// callAfterStart calls check some time after a daemon starts.
 func callAfterStart(run *coldStart, daemon *FollowedDaemon, after time.Duration, check func()) {
 	if daemon.Core == nil {
 		run.Clock.After(time.Millisecond, func() { callAfterStart(run, daemon, after, check) })
@@ -142,7 +142,7 @@
 // need, ahead of a large configuration.
 func TestTargetsArriveBeforeLargeConfiguration(t *testing.T) {
 	t.Parallel()
-	earlyBytes := followed.DefaultFleetConfig().Follower.EarlyBytes
+	earlyBytes := followed.DefaultFleetConfig().Follower.MaxEarlyTargetsBytes
 	for name, bytes := range map[string]int64{"1,400 routes": 300 << 10, "14,000 routes": 3 << 20} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(4) {
@@ -169,7 +169,7 @@
 		t.Skip("1,000 daemons take minutes under the race detector; a seeded model has no races")
 	}
 	run := newColdStart(1, 1000, largeTargets, followed.FleetConfigFor(8*time.Second))
-	run.Store.PageLength = 12
+	run.Store.PageSize = 12
 	run.Links.TargetBytes = 16 * targetBytes // 600 targets are as large as 10,000
 	run.Links.SnapshotBytes = 300 << 10
 	run.Links.ConfigurationBytes = 20 << 10
@@ -187,8 +187,9 @@
 // have timed out.
 func TestLargeFleetStartWithLargePages(t *testing.T) { testPagedStart(t, 542) }
 
-// TestDaemonSyncedFromPeerDefersToReader checks that daemons that got a snapshot from a peer don't
-// ask the store whether it is the latest.
+// TestDaemonSyncedFromPeerDefersToReader checks that daemons that got a snapshot from a peer wait
+// for a reader instead of calling the store to check whether it is the latest. In a large fleet most
+// get one before any daemon has called the store.
 func TestDaemonSyncedFromPeerDefersToReader(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
--- a/internal/simulation/flows_liveness.go
+++ b/internal/simulation/flows_liveness.go
@@ -9,20 +9,20 @@
 	"github.com/passtray/passtray/internal/steering/token"
 )
 
-// ToldWhen selects when callers of a dead target are notified.
-type ToldWhen uint8
+// NotificationMode selects when callers of a dead target are notified.
+type NotificationMode uint8
 
-// Times of notification. Daemons use ToldAtVerdict.
+// Times of notification. Daemons use NotifyAtVerdict.
 const (
-	// ToldAtVerdict resets all flows that a daemon knows when it finds their target dead, and other
+	// NotifyAtVerdict resets all flows that a daemon knows when it finds their target dead, and other
 	// flows on their next packet.
-	ToldAtVerdict ToldWhen = iota
-	// ToldIfWaiting resets flows with a pending request, and other flows on their next packet.
-	ToldIfWaiting
-	// ToldAtPacket resets flows on their next packet.
-	ToldAtPacket
-	// ToldNever resets nothing; callers run into their timeouts.
-	ToldNever
+	NotifyAtVerdict NotificationMode = iota
+	// NotifyIfPending resets flows with a pending request, and other flows on their next packet.
+	NotifyIfPending
+	// NotifyAtNextPacket resets flows on their next packet.
+	NotifyAtNextPacket
+	// NotifyNever resets nothing; callers run into their timeouts.
+	NotifyNever
 )
 
 // livenessDirectory implements liveness.Directory for a daemon.
@@ -40,8 +40,8 @@
 	return rate
 }
 
-// LastAnswered implements liveness.Directory.
-func (d livenessDirectory) LastAnswered() time.Time { return d.path.lastAnswered }
+// LastResponse implements liveness.Directory.
+func (d livenessDirectory) LastResponse() time.Time { return d.path.lastAnswered }
 
 func (m *FlowModel) livenessDirectory(path *dataPath) livenessDirectory {
 	return livenessDirectory{m.directory(path), path}
@@ -57,7 +57,7 @@
 
 func (m *FlowModel) receiveLivenessReports(index int, reports []liveness.Received) {
 	if path := m.path(index); path != nil {
-		m.applyLivenessOutput(index, path, path.livenessDetector.Hear(m.Clock.Now(), m.livenessDirectory(path), reports))
+		m.applyLivenessOutput(index, path, path.livenessDetector.HandleReports(m.Clock.Now(), m.livenessDirectory(path), reports))
 	}
 }
 
@@ -65,11 +65,11 @@
 	for _, verdict := range output.Dead {
 		m.noteVerdict(verdict.Subject.Target)
 		path.table.SetDead(verdict.Subject.Target, verdict.Until, verdict.Until)
-		if m.Told > ToldIfWaiting {
+		if m.Notification > NotifyIfPending {
 			continue
 		}
 		isDead := func(target uint64) bool { return path.table.IsDead(m.Clock.Now(), target) }
-		for _, waiting := range path.requests.TakeWaiting(isDead) {
+		for _, waiting := range path.requests.TakePending(isDead) {
 			m.reset(waiting.Source, waiting.Token)
 		}
 	}
@@ -80,29 +80,29 @@
 	for _, probe := range output.Probes {
 		m.probe(index, probe)
 	}
-	if m.NobodyObjects {
+	if m.SuppressRefutations {
 		output.Reports = slices.DeleteFunc(output.Reports, func(report liveness.Outgoing) bool { return report.Kind == liveness.Alive })
 	}
-	for _, datagram := range m.Daemons[index].Core.TellLiveness(output.Reports) {
+	for _, datagram := range m.Daemons[index].Core.LivenessDatagrams(output.Reports) {
 		m.FollowedFleet.send(index, datagram)
 	}
 }
 
 // resetIdle resets the idle flows to dead targets that a daemon knows.
 func (m *FlowModel) resetIdle(path *dataPath) {
-	if m.Told != ToldAtVerdict {
+	if m.Notification != NotifyAtVerdict {
 		return
 	}
 	isDead := func(target uint32) bool { return m.shouldResetIdle(path, target) }
-	for _, idle := range path.requests.TakeResting(isDead, flowTableSize) {
-		m.Resting++
+	for _, idle := range path.requests.TakeIdle(isDead, flowTableSize) {
+		m.IdleResets++
 		m.reset(idle.Source, idle.Token)
 	}
 }
 
 // shouldResetIdle reports whether idle flows to a target are to be reset.
 func (m *FlowModel) shouldResetIdle(path *dataPath, target uint32) bool {
-	return m.AllRestAtDead || path.table.IsDeadToken(m.Clock.Now(), target)
+	return m.ResetAllIdle || path.table.IsTokenDead(m.Clock.Now(), target)
 }
 
 // notificationBound is the time from the first detection of a dead target until all its idle flows
@@ -118,15 +118,15 @@
 }
 
 // noteRequest counts a request sent to a dead target on an open flow, which is lost if it can't be
-// retried. LostAfter counts those sent later than notificationBound after the detection.
+// retried. LostAfterVerdict counts those sent later than notificationBound after the detection.
 func (m *FlowModel) noteRequest(flow *Flow) {
 	if !flow.Opened || flow.Target.Alive {
 		return
 	}
-	m.Lost++
+	m.LostRequests++
 	declaredDeadAt, isKnown := m.declaredDeadAt[flow.Target.Identifier]
 	if isKnown && m.Clock.Now().Sub(declaredDeadAt) > notificationBound {
-		m.LostAfter++
+		m.LostAfterVerdict++
 	}
 }
 
@@ -142,8 +142,8 @@
 	generation := m.Daemons[index].generation
 	hasAnswered := false
 	for _, target := range m.targets {
-		isCut := m.CutFrom != nil && m.CutFrom(index, target)
-		if target.Identifier == probe.Target && target.Alive && !m.Frozen[target] && !isCut && !m.isLost(index) && !m.isLost(index) && !m.NobodyObjects {
+		isCut := m.IsCutOff != nil && m.IsCutOff(index, target)
+		if target.Identifier == probe.Target && target.Alive && !m.PausedTargets[target] && !isCut && !m.isLost(index) && !m.isLost(index) && !m.SuppressRefutations {
 			hasAnswered = true
 		}
 	}
@@ -157,7 +157,7 @@
 	}
 	m.Clock.After(after, func() {
 		if path := m.path(index); path != nil && path.generation == generation {
-			path.livenessDetector.Probed(m.Clock.Now(), probe, hasAnswered)
+			path.livenessDetector.HandleProbeResult(m.Clock.Now(), probe, hasAnswered)
 			m.tickLiveness(index, path)
 		}
 	})
--- a/internal/simulation/flows_unrouted.go
+++ b/internal/simulation/flows_unrouted.go
@@ -10,19 +10,19 @@
 // store.
 func (m *FlowModel) resetDropped(index int, path *dataPath) {
 	confirmedAt := m.Daemons[index].Core.ConfirmedAt()
-	for _, head := range path.unrouted.TakeDropped(m.Clock.Now(), confirmedAt, path.table) {
-		path.requests.NoteDropped(path.table, &head)
+	for _, header := range path.unrouted.TakeDropped(m.Clock.Now(), confirmedAt, path.table) {
+		path.requests.RecordDropped(path.table, &header)
 		m.Clock.After(m.delay(), func() {
-			if flow := m.flows[head.Source]; flow != nil && flow.Route == head.Destination && flow.Token == head.Token {
+			if flow := m.flows[header.Source]; flow != nil && flow.Route == header.Destination && flow.Token == header.Token {
 				m.handleReset(flow, token.ReasonDroppedRoute)
 			}
 		})
 	}
 }
 
-// Stray sends each daemon a packet of an unknown flow with a bound token that is not valid at the
+// SendStray sends each daemon a packet of an unknown flow with a bound token that is not valid at the
 // address. No daemon may forward it.
-func (m *FlowModel) Stray(caller, route netip.AddrPort, boundToken uint32) {
+func (m *FlowModel) SendStray(caller, route netip.AddrPort, boundToken uint32) {
 	for index := range m.paths {
 		path := m.path(index)
 		if path == nil {
--- a/internal/simulation/orders_test.go
+++ b/internal/simulation/orders_test.go
@@ -27,7 +27,7 @@
 	case !slices.Contains(r.Store.Evacuated(), zone):
 		r.Store.Evacuate(zone)
 	case r.random.IntN(3) > 0:
-		r.Store.Withdraw(zone)
+		r.Store.WithdrawEvacuation(zone)
 	default:
 		r.Store.Evacuate(zone) // rewrites the order
 	}
@@ -58,18 +58,19 @@
 		run.Store.Evacuate(testZones[0])
 		run.Store.Evacuate(testZones[1])
 		run.Clock.Advance(convergenceBound)
-		run.Store.State = StoreSilent
-		run.Store.Withdraw(testZones[0])
-		run.Store.Forget()
+		run.Store.State = StoreUnresponsive
+		run.Store.WithdrawEvacuation(testZones[0])
+		run.Store.Compact()
 		run.Clock.Advance(2 * time.Second)
-		run.Store.State = StoreWell
+		run.Store.State = StoreHealthy
 		run.Clock.Advance(2 * convergenceBound)
 		run.verifyConverged()
 		assert.Equal(t, len(run.Violations), 0, "seed %d: %v", seed, run.Violations)
 	}
 }
 
-// TestRestartDuringStoreOutageSyncsOrdersFromPeers includes withdrawn orders.
+// TestRestartDuringStoreOutageSyncsOrdersFromPeers checks that daemons restarted during a store outage
+// get the active orders, and no withdrawn ones, from peers.
 func TestRestartDuringStoreOutageSyncsOrdersFromPeers(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(20) {
@@ -78,9 +79,9 @@
 		run.Store.Evacuate(testZones[0])
 		run.Store.Evacuate(testZones[1])
 		run.Clock.Advance(convergenceBound)
-		run.Store.Withdraw(testZones[1])
+		run.Store.WithdrawEvacuation(testZones[1])
 		run.Clock.Advance(convergenceBound)
-		run.Store.State = StoreSilent
+		run.Store.State = StoreUnresponsive
 		killed := run.random.Perm(testDaemons)[:testDaemons/2]
 		for _, daemon := range killed {
 			run.restart(daemon, 500*time.Millisecond)
@@ -130,8 +131,8 @@
 	assert.Assert(t, hasViolation(run, "EVAC"), "%v", run.Violations)
 }
 
-// TestOrderPropagationTime measures fleets of two sizes without faults, and with the
-// reader killed or throttled just before the order is written.
+// TestOrderPropagationTime checks the time until an order reaches all daemons, for fleets of two sizes
+// without faults, and with the reader killed or throttled just before the order is written.
 func TestOrderPropagationTime(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
@@ -147,7 +148,7 @@
 		{"105 daemons", 105, 5, failNone, time.Second},
 		{"350 daemons", 350, 1, failNone, time.Second},
 		{"105 daemons, reader killed", 105, 5, (*followedRun).killReaders, convergenceBound},
-		{"105 daemons, reader refused", 105, 5, (*followedRun).throttleReaders, convergenceBound},
+		{"105 daemons, reader throttled", 105, 5, (*followedRun).throttleReaders, convergenceBound},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var longest time.Duration
--- a/internal/simulation/overload.go
+++ b/internal/simulation/overload.go
@@ -12,10 +12,10 @@
 type OverloadConfig struct {
 	Daemons int
 	Targets int
-	// Bounds enables admission control in the daemons.
-	Bounds bool
-	// BelievedDaemons, if not 0, is the fleet size that each daemon assumes.
-	BelievedDaemons int
+	// AdmissionControl enables admission control in the daemons.
+	AdmissionControl bool
+	// AssumedDaemons, if not 0, is the fleet size that each daemon assumes.
+	AssumedDaemons int
 	// SlowShare of the targets take four times as long; DeadShare of them are known to be dead.
 	SlowShare, DeadShare float64
 	// Load is the offered load relative to the capacity of all targets at their usual speed during
@@ -27,21 +27,21 @@
 
 // OverloadResult holds the counts of a run.
 type OverloadResult struct {
-	// Asked and Served count requests by rank.
-	Asked, Served [2]int
-	// Arrivals counts requests that reached targets, TurnedAway those of them that the target
+	// Requested and Served count requests by rank.
+	Requested, Served [2]int
+	// Arrivals counts requests that reached targets, Rejected those of them that the target
 	// rejected, and Refused those that daemons refused.
-	Arrivals, TurnedAway, Refused int
-	// RefusedAfter counts those refused more than a second after the burst.
-	RefusedAfter int
+	Arrivals, Rejected, Refused int
+	// RefusedAfterBurst counts those refused more than a second after the burst.
+	RefusedAfterBurst int
 }
 
 // Share returns the share of a rank's requests that were served.
 func (r *OverloadResult) Share(rank overload.Rank) float64 {
-	return float64(r.Served[rank]) / float64(max(1, r.Asked[rank]))
+	return float64(r.Served[rank]) / float64(max(1, r.Requested[rank]))
 }
 
-// Behaviour of targets and callers.
+// Behavior of targets and callers.
 const (
 	overloadQueueLength    = 8 // queue length of a target
 	overloadQueueTimeout   = 100 * time.Millisecond
@@ -50,11 +50,11 @@
 	overloadPreferredShare = 0.22 // share of all requests
 	overloadMaxAttempts    = 3
 	overloadRetryDelay     = 150 * time.Millisecond // mean delay before a retry
-	overloadRoundTrip      = 6 * time.Millisecond   // round-trip time
-	overloadIdleFlows      = 8                      // idle flows kept per daemon in a fleet of 88
+	overloadRoundTrip      = 6 * time.Millisecond
+	overloadIdleFlows      = 8 // idle flows kept per daemon in a fleet of 88
 	overloadObjective      = 600 * time.Millisecond
 	overloadLeadTime       = 2 * time.Second
-	overloadResponseBytes  = 1000 // bytes
+	overloadResponseBytes  = 1000
 	overloadRejectionBytes = 100
 	overloadRoute          = 1
 )
@@ -113,7 +113,7 @@
 
 func (o *overloadRun) newDaemon() *overloadDaemon {
 	bounds := overload.DefaultConfig()
-	bounds.Enabled = o.config.Bounds
+	bounds.Enabled = o.config.AdmissionControl
 	daemon := &overloadDaemon{controller: overload.New(bounds), queue: overload.NewQueue[*overloadCall](512)}
 	now, slots := o.clock.Now(), 0
 	for index := range o.targets {
@@ -127,14 +127,14 @@
 	}
 	daemon.controller.SetShare(slots, o.assumedDaemons())
 	for range 100 { // warm up the response statistics
-		daemon.controller.NoteAnswer(now, overloadRoute, overloadResponseBytes)
+		daemon.controller.RecordResponse(now, overloadRoute, overloadResponseBytes)
 	}
 	return daemon
 }
 
 func (o *overloadRun) assumedDaemons() int {
-	if o.config.BelievedDaemons > 0 {
-		return o.config.BelievedDaemons
+	if o.config.AssumedDaemons > 0 {
+		return o.config.AssumedDaemons
 	}
 	return o.config.Daemons
 }
@@ -160,7 +160,7 @@
 		if o.random.Float64() < overloadPreferredShare {
 			call.rank = overload.Preferred
 		}
-		o.result.Asked[call.rank]++
+		o.result.Requested[call.rank]++
 		o.attempt(call, true)
 		o.scheduleArrivals()
 	})
@@ -180,22 +180,22 @@
 // decide applies the data path's admission decision to a packet that arrived at arrivedAt.
 func (o *overloadRun) decide(call *overloadCall, arrivedAt time.Time) {
 	now, daemon, isOpening := o.clock.Now(), call.daemon, call.target < 0
-	hold := overload.HoldFor(overloadObjective)
+	hold := overload.MaxFlowWait(overloadObjective)
 	if !isOpening {
-		hold = overload.DataHoldFor(overloadObjective)
+		hold = overload.MaxDataWait(overloadObjective)
 	}
 	hasWaited := now.Sub(arrivedAt) >= hold
 	switch {
 	case isOpening && daemon.controller.AdmitFlow(now, call.rank), !isOpening && (hasWaited || daemon.controller.Admit(now, call.rank)):
 		o.send(call)
-	case !hasWaited && daemon.queue.Put(now, overload.Waiting[*overloadCall]{
-		Load: daemon.controller, Rank: call.rank, IsOpening: isOpening, At: arrivedAt, Until: arrivedAt.Add(hold), Packet: call,
+	case !hasWaited && daemon.queue.Push(now, overload.QueuedPacket[*overloadCall]{
+		Load: daemon.controller, Rank: call.rank, IsOpening: isOpening, ArrivedAt: arrivedAt, Deadline: arrivedAt.Add(hold), Packet: call,
 	}):
 		o.clock.After(hold, func() { o.release(daemon) })
 	default:
 		o.result.Refused++
 		if now.After(o.burstEnds().Add(time.Second)) {
-			o.result.RefusedAfter++
+			o.result.RefusedAfterBurst++
 		}
 		o.retry(call)
 	}
@@ -203,11 +203,11 @@
 
 func (o *overloadRun) release(daemon *overloadDaemon) {
 	for {
-		waiting, found := daemon.queue.Take(o.clock.Now())
+		waiting, found := daemon.queue.Pop(o.clock.Now())
 		if !found {
 			return
 		}
-		o.decide(waiting.Packet, waiting.At)
+		o.decide(waiting.Packet, waiting.ArrivedAt)
 	}
 }
 
@@ -225,7 +225,7 @@
 		call.target = balance.Pick(&request, daemon.candidates, o.random)
 	}
 	daemon.controller.Begin(call.rank)
-	daemon.candidates[call.target].Signal.NoteWaiting(1)
+	daemon.candidates[call.target].Signal.AddPending(1)
 	o.result.Arrivals++
 	target := o.targets[call.target]
 	switch {
@@ -268,14 +268,14 @@
 func (o *overloadRun) respond(call *overloadCall, isServed bool) {
 	now, daemon, signal := o.clock.Now(), call.daemon, call.daemon.candidates[call.target].Signal
 	daemon.controller.End(call.rank)
-	signal.NoteWaiting(-1)
+	signal.AddPending(-1)
 	if isServed {
 		o.result.Served[call.rank]++
-		daemon.controller.NoteAnswer(now, overloadRoute, overloadResponseBytes)
+		daemon.controller.RecordResponse(now, overloadRoute, overloadResponseBytes)
 	} else {
-		o.result.TurnedAway++
-		daemon.controller.NoteAnswer(now, overloadRoute, overloadRejectionBytes)
-		signal.NoteAwaited(now, 8)
+		o.result.Rejected++
+		daemon.controller.RecordResponse(now, overloadRoute, overloadRejectionBytes)
+		signal.RecordOverdue(now, 8)
 	}
 	if call.rank == overload.Ordinary && len(daemon.idle) < overloadIdleFlows*88/len(o.daemons) {
 		daemon.idle = append(daemon.idle, call.target)
--- a/internal/simulation/readers_test.go
+++ b/internal/simulation/readers_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// disturbDaemon pauses one daemon, often the reader, or takes the store away from it.
+// disturbDaemon pauses one daemon, often the reader, or has the store throttle it or cut it off.
 func (r *readersRun) disturbDaemon() {
 	daemon := r.random.IntN(len(r.Daemons))
 	for index, other := range r.Daemons {
@@ -82,7 +82,7 @@
 	}
 	required := r.Store.RevisionAt(now.Add(-updateBound))
 	for index, daemon := range r.Daemons {
-		isUp := daemon.Core != nil && now.Sub(daemon.TroubledAt) >= updateBound && !daemon.PausedUntil.After(now)
+		isUp := daemon.Core != nil && now.Sub(daemon.DisturbedAt) >= updateBound && !daemon.PausedUntil.After(now)
 		if isUp && daemon.Core.View().Revision() < required {
 			r.recordViolation("daemon %d is at revision %d, but revision %d was acknowledged %s ago", index, daemon.Core.View().Revision(), required, updateBound)
 		}
@@ -113,8 +113,7 @@
 	}
 }
 
-// TestUpdatesArriveAfterMassRestarts restarts many or all daemons at once, so that daemon age
-// doesn't distinguish a reader.
+// TestUpdatesArriveAfterMassRestarts restarts some or all daemons at once, which may include the reader.
 func TestUpdatesArriveAfterMassRestarts(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, func(t *testing.T, seed uint64) {
--- a/internal/simulation/recovery_test.go
+++ b/internal/simulation/recovery_test.go
@@ -48,7 +48,7 @@
 		fleet.Start(voters[0])
 		fleet.Start(voters[1])
 		fleet.Clock.Advance(15 * time.Second)
-		lowest, highest := fleet.RevisionsInForce()
+		lowest, highest := fleet.RevisionRange()
 		assert.Equal(t, lowest, highest, "seed %d: every daemon must follow the recovered group", seed)
 		assert.Assert(t, highest >= 2)
 		assert.Equal(t, len(fleet.voters()), 3, "seed %d", seed)
@@ -75,7 +75,7 @@
 			assert.Equal(t, result.Status, control.ProposalDecided, "seed %d, daemon %d", seed, index)
 		}
 		fleet.Clock.Advance(10 * time.Second)
-		lowest, highest := fleet.RevisionsInForce()
+		lowest, highest := fleet.RevisionRange()
 		assert.Equal(t, lowest, uint64(7), "seed %d", seed)
 		assert.Equal(t, highest, uint64(7), "seed %d", seed)
 		fleet.assertNoViolations(t)
@@ -93,7 +93,7 @@
 	fleet.Clock.Advance(10 * time.Second)
 	assert.Assert(t, fleet.Daemons[isolated].Core.HoldsLease(fleet.Clock.Now()))
 	fleet.Clock.Advance(10 * time.Second)
-	assert.Assert(t, !fleet.Daemons[isolated].Core.HoldsLease(fleet.Clock.Now()), "the lease expires without a renewal for 15 s")
+	assert.Assert(t, !fleet.Daemons[isolated].Core.HoldsLease(fleet.Clock.Now()), "the lease did not expire after 15 s without a renewal")
 	assert.Equal(t, fleet.submitAndWait(1, "while away", 1).Status, control.ProposalDecided)
 	assert.Equal(t, fleet.Daemons[isolated].Core.State().Revision, uint64(0))
 	fleet.Cut = nil
@@ -103,8 +103,8 @@
 	fleet.assertNoViolations(t)
 }
 
-// TestLeaseExpiresDuringPause checks the lease before the daemon has processed
-// any message.
+// TestLeaseExpiresDuringPause checks that a daemon loses its lease during a long pause, even before it
+// has processed any message, and regains it afterwards.
 func TestLeaseExpiresDuringPause(t *testing.T) {
 	t.Parallel()
 	fleet := newTestFleet(2, 5)
@@ -135,7 +135,7 @@
 	assert.Assert(t, decided == 3 || decided == 4, "%d daemons had a change accepted, want those of exactly one side", decided)
 	fleet.Cut = nil
 	fleet.Clock.Advance(40 * time.Second)
-	lowest, highest := fleet.RevisionsInForce()
+	lowest, highest := fleet.RevisionRange()
 	assert.Equal(t, lowest, highest)
 	assert.Equal(t, int(highest), decided)
 	assert.Equal(t, fleet.countLeaders(), 1)
--- a/internal/simulation/store_outage_test.go
+++ b/internal/simulation/store_outage_test.go
@@ -21,9 +21,9 @@
 	}
 	run.Clock.Advance(8 * time.Second)
 	before := run.Store.Calls
-	run.Store.State = StoreRefusing
+	run.Store.State = StoreUnavailable
 	run.Clock.Advance(outageDuration)
-	run.Store.State = StoreWell
+	run.Store.State = StoreHealthy
 	run.configure()
 	acknowledged := run.Store.Revision()
 	run.Clock.Advance(convergenceBound)
@@ -62,7 +62,7 @@
 		t.Skip("240 daemons take long under the race detector; a seeded model has no races")
 	}
 	config := followed.DefaultFleetConfig()
-	config.TurnPerMember = 0
+	config.ReadDelayPerMember = 0
 	config.Follower.BackoffPerMember = 0
 	assert.Assert(t, callsDuringOutage(t, 240, config) > maxOutageCallsPerSecond*int(outageDuration.Seconds()))
 }
--- a/internal/simulation/store_restore_test.go
+++ b/internal/simulation/store_restore_test.go
@@ -22,7 +22,7 @@
 func (r *followedRun) restoreStore(outage, backupAge time.Duration) {
 	backupAt := r.Clock.Now().Add(-backupAge)
 	r.restoredUntil = r.Clock.Now().Add(outage + r.rewriteAfter + expiryTime)
-	r.setStoreState(StoreBroken, outage)
+	r.setStoreState(StoreResetting, outage)
 	r.Clock.After(outage, func() {
 		r.disturbStoreUntil(r.Clock.Now().Add(expiryTime))
 		for _, lost := range r.Store.Restore(backupAt) {
@@ -30,7 +30,7 @@
 			if lost.IsRemoval() && !isNotTarget(lost) {
 				delay = expiryTime // a stopped target writes nothing; its entry expires
 			}
-			r.Clock.After(delay, func() { r.Store.WriteAgain(lost) })
+			r.Clock.After(delay, func() { r.Store.Rewrite(lost) })
 		}
 	})
 }
@@ -55,7 +55,7 @@
 	return keys
 }
 
-// outdated returns the daemons that don't have the latest version, or take a draining target for
+// outdated returns the daemons that don't have the latest version, or still have a leaving target as
 // open.
 func (r *followedRun) outdated(leaving []string) []int {
 	var outdated []int
@@ -89,7 +89,7 @@
 			run.Clock.Advance(9 * time.Second)
 			leaving := run.configureAndDrain(2)
 			run.Clock.Advance(convergenceBound)
-			assert.Equal(t, len(run.outdated(leaving)), 0, "seed %d: daemons %v do not have version %d, or take draining targets for open",
+			assert.Equal(t, len(run.outdated(leaving)), 0, "seed %d: daemons %v do not have version %d, or still have leaving targets as open",
 				seed, run.outdated(leaving), run.version)
 		}
 		run.verifyConverged()
@@ -192,7 +192,7 @@
 
 // TestLargeFleetDetectsStoreRestore checks that every daemon enters the new epoch within the
 // convergence bound, and that updates spread meanwhile. Each daemon needs a full snapshot, as
-// nothing tells which entries the backup lacks.
+// it cannot know which entries the backup lacks.
 func TestLargeFleetDetectsStoreRestore(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
@@ -238,7 +238,7 @@
 // targets write lost entries again; entries of other targets expire.
 func (r *flowRun) restoreStoreDuringFlows(outage, backupAge time.Duration) {
 	backupAt := r.Clock.Now().Add(-backupAge)
-	r.setStoreState(StoreBroken, outage)
+	r.setStoreState(StoreResetting, outage)
 	r.Clock.After(outage, func() {
 		for _, lost := range r.Store.Restore(backupAt) {
 			isExpiring := lost.IsRemoval() || lost.Target != nil && !r.isAlive(lost.Key)
@@ -247,7 +247,7 @@
 				delay = expiryTime
 				lost = storeview.Entry{Key: lost.Key}
 			}
-			r.Clock.After(delay, func() { r.Store.WriteAgain(lost) })
+			r.Clock.After(delay, func() { r.Store.Rewrite(lost) })
 		}
 	})
 }
--- a/internal/simulation/strong_daemons_test.go
+++ b/internal/simulation/strong_daemons_test.go
@@ -12,7 +12,7 @@
 
 const (
 	mixedDaemons = 60
-	// strongInterval is the interval of machines that have the capacity for roles.
+	// One in strongInterval machines has the capacity for roles.
 	strongInterval = 10
 	// maxCallsPerSecond limits the calls of all daemons to a healthy store while strong daemons
 	// fail.
@@ -40,8 +40,8 @@
 	return run
 }
 
-// maxUpdateLatency returns the longest time in which one of several separate updates reached every
-// daemon.
+// maxUpdateLatency writes several updates, one after another, and returns the longest time that one
+// took to reach all daemons.
 func (r *readersRun) maxUpdateLatency() time.Duration {
 	longest := time.Duration(0)
 	for range 10 {
@@ -73,15 +73,15 @@
 	config := followed.DefaultFleetConfig()
 	config.Follower.Gather = 0
 	with := startMixedRun(1, config).maxUpdateLatency()
-	config.RelaysFrom = 0
+	config.MinMembersForRelays = 0
 	without := startMixedRun(1, config).maxUpdateLatency()
 	t.Logf("update latency %s with relays, %s without", with, without)
 	assert.Assert(t, with <= within, "%s", with)
 	assert.Assert(t, without > within, "%s", without)
 }
 
-// disturbStrongDaemon kills or pauses a strong daemon, or takes the store and its peers away from
-// it.
+// disturbStrongDaemon restarts or pauses a strong daemon, or cuts it off from the store, or from the
+// store and its peers.
 func (r *readersRun) disturbStrongDaemon() {
 	daemon := r.random.IntN(mixedDaemons/strongInterval) * strongInterval
 	duration := 500*time.Millisecond + time.Duration(r.random.Int64N(int64(6*time.Second)))
@@ -97,7 +97,7 @@
 	case 3:
 		r.markFor(r.unreachable, daemon, duration, false)
 		r.markFor(r.partitioned, daemon, duration, true)
-		r.Daemons[daemon].TroubledAt = r.Clock.Now().Add(duration)
+		r.Daemons[daemon].DisturbedAt = r.Clock.Now().Add(duration)
 	}
 }
 
@@ -139,7 +139,7 @@
 	for name, isWaiting := range map[string]bool{"default": false, "weak daemons wait": true} {
 		config := followed.DefaultFleetConfig()
 		if isWaiting {
-			config.FreshFor = time.Hour
+			config.MaxConfirmationAge = time.Hour
 		}
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(4) {
@@ -173,7 +173,7 @@
 func maxSentBytes(seed uint64, daemons int, config followed.FleetConfig) (bytes int64, ready time.Duration) {
 	run := newColdStart(seed, daemons, maxEarlyTargets, config)
 	run.Clock.Advance(3 * time.Second)
-	for _, sent := range run.Links.Given {
+	for _, sent := range run.Links.SentBytes {
 		bytes = max(bytes, sent)
 	}
 	return bytes, run.readyAfter(0.9)
@@ -190,7 +190,7 @@
 		config := followed.DefaultFleetConfig()
 		few, _ := maxSentBytes(seed, 30, config)
 		many, ready := maxSentBytes(seed, 300, config)
-		config.AnswersBurst = 0
+		config.SnapshotBurst = 0
 		without, readyWithout := maxSentBytes(seed, 300, config)
 		t.Logf("seed %d: busiest sends %d KB of 30 daemons, %d KB of 300 (nine tenths ready after %s); %d KB without a budget (%s)",
 			seed, few>>10, many>>10, ready, without>>10, readyWithout)
--- a/internal/steering/token/builder_test.go
+++ b/internal/steering/token/builder_test.go
@@ -42,9 +42,9 @@
 		return keys
 	}
 	table.index.each(func(target *Target) {
-		lines = append(lines, fmt.Sprint(target.Key, target.Identifier, target.Service, target.Zone, target.Address, target.MayOpen,
-			target.IsEvacuated, target.IsSuperseded, target.IsLapsed(), target.ColdRate, target.WarmAt.UnixNano(), target.isIndexed,
-			target.Run, target.isUndeclared))
+		lines = append(lines, fmt.Sprint(target.Key, target.Identifier, target.Service, target.Zone, target.Address, target.IsEligible,
+			target.IsEvacuated, target.IsSuperseded, target.IsExpired(), target.SlowStartRate, target.WarmAt.UnixNano(), target.isIndexed,
+			target.LatestIncarnation, target.isUndeclared))
 	})
 	for name, zone := range table.index.zones {
 		lines = append(lines, fmt.Sprint("zone ", name, names(zone.targets), zone.services))
@@ -57,12 +57,12 @@
 	return lines
 }
 
-// TestAnUpdatedTableIsThatOfAFullBuild checks that incremental updates give the same table as a
+// TestIncrementalUpdateMatchesFullBuild checks that incremental updates give the same table as a
 // full build, for any sequence of changes.
-func TestAnUpdatedTableIsThatOfAFullBuild(t *testing.T) {
+func TestIncrementalUpdateMatchesFullBuild(t *testing.T) {
 	configurations := []*storeview.Configuration{
-		{Services: []storeview.Service{{Name: "roster"}, {Name: "ledger", ColdRate: 5}}},
-		{Services: []storeview.Service{{Name: "roster", MaximumFlows: 9}}},
+		{Services: []storeview.Service{{Name: "roster"}, {Name: "ledger", SlowStartRate: 5}}},
+		{Services: []storeview.Service{{Name: "roster", MaxFlows: 9}}},
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		view, builder, now := storeview.New(10*time.Second), NewBuilder(time.Minute), testStart
@@ -89,29 +89,29 @@
 					Identifier: collidingIdentifiers[pick("identifier", len(collidingIdentifiers))],
 					Service:    []string{"roster", "ledger", "unknown"}[pick("service", 3)], Zone: fmt.Sprint("zone", pick("zone", 2)),
 					Address: netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), uint16(1+pick("address", 4))),
-					Slots:   2, Draining: pick("drains", 4) == 0, ColdFor: time.Duration(pick("cold", 2)) * time.Second,
+					Slots:   2, Draining: pick("drains", 4) == 0, SlowStartRemaining: time.Duration(pick("cold", 2)) * time.Second,
 					Incarnation: uint64(pick("incarnation", 3)),
 				}
 			}
 			change := view.Merge(now, []storeview.Entry{entry})
 			if pick("expires", 3) == 0 {
 				expired := view.Expire(now)
-				change.Altered = append(change.Altered, expired.Altered...)
+				change.ChangedTargets = append(change.ChangedTargets, expired.ChangedTargets...)
 			}
 			table := builder.Update(now, view, &change)
 			if table == nil {
-				assert.Equal(t, view.Present(), 0)
+				assert.Equal(t, view.PresentTargetCount(), 0)
 				continue
 			}
 			full := NewBuilder(time.Minute).Build(now, view)
 			if full == nil {
-				assert.Equal(t, table.OpenTargets(), 0)
+				assert.Equal(t, table.EligibleTargets(), 0)
 				continue
 			}
 			full.index.each(func(target *Target) { // only the updated table knows earlier incarnations
 				if known := table.index.known(target.Identifier, target.Key); known != nil {
-					assert.Assert(t, known.Run >= target.Run)
-					target.Run = known.Run
+					assert.Assert(t, known.LatestIncarnation >= target.LatestIncarnation)
+					target.LatestIncarnation = known.LatestIncarnation
 				}
 			})
 			assert.DeepEqual(t, describe(table), describe(full))
@@ -150,8 +150,8 @@
 		site.table.Eject(100, site.now.Add(time.Minute), site.now.Add(2*time.Minute))
 		site.table.SetDead(100, site.now.Add(time.Minute), site.now.Add(2*time.Minute))
 		previous := site.table.targetByIdentifier(100)
-		previous.Signal.NoteWaiting(2)
-		previous.Signal.SetOpen(5)
+		previous.Signal.AddPending(2)
+		previous.Signal.SetOpenFlows(5)
 		site.now = site.now.Add(time.Second)
 		return site, previous
 	}
@@ -161,7 +161,7 @@
 		started := site.table.targetByIdentifier(100)
 		assert.Assert(t, !started.Signal.IsEjected(site.now) && !site.table.IsDead(site.now, 100))
 		assert.Equal(t, started.Signal.InProgress(site.now), 0.0)
-		assert.Assert(t, started.Signal.LastLife().Equal(site.now))
+		assert.Assert(t, started.Signal.LastActivity().Equal(site.now))
 		assert.Equal(t, site.table.Incarnation(100), uint64(2000))
 	})
 	t.Run("same or earlier incarnation changes nothing", func(t *testing.T) {
@@ -182,9 +182,9 @@
 	t.Run("target that had left is eligible again", func(t *testing.T) {
 		site, _ := newEjected(t)
 		site.remove("roster-0")
-		assert.Assert(t, !site.table.targetByIdentifier(100).MayOpen)
+		assert.Assert(t, !site.table.targetByIdentifier(100).IsEligible)
 		site.target("roster-0", 100, "roster", run(2000))
-		assert.Assert(t, site.table.targetByIdentifier(100).MayOpen)
+		assert.Assert(t, site.table.targetByIdentifier(100).IsEligible)
 		assert.Equal(t, len(site.openTargets("roster")), 6)
 	})
 	t.Run("full build keeps the state", func(t *testing.T) {
--- a/internal/steering/token/dead_test.go
+++ b/internal/steering/token/dead_test.go
@@ -27,7 +27,7 @@
 	assert.Assert(t, site.open(rosterAddress, 1).Target != target, "retransmitted first packet sent to a dead target")
 
 	site.now = site.now.Add(time.Second)
-	assert.Equal(t, site.follow(rosterAddress, 1, target.Token).Action, Forward, "after the dead state has expired")
+	assert.Equal(t, site.follow(rosterAddress, 1, target.Token).Action, Forward, "flow not forwarded after the dead state expired")
 }
 
 func TestSetAliveRevertsSetDead(t *testing.T) {
@@ -38,12 +38,13 @@
 	assert.Equal(t, site.follow(rosterAddress, 1, opened.Target.Token).Action, Forward)
 }
 
+// A caller that sends a reset has ended its flow.
 func TestCallersResetIsNotAnswered(t *testing.T) {
 	site := newSite(t)
 	opened := site.open(rosterAddress, 1)
 	site.table.SetDead(opened.Target.Identifier, site.now.Add(time.Hour), site.now.Add(time.Hour))
-	packet := &Packet{Source: caller(1), Destination: rosterAddress, Token: opened.Word(), IsReset: true}
-	assert.Equal(t, site.table.Follow(site.now, packet).Action, Drop)
+	packet := &Packet{Source: caller(1), Destination: rosterAddress, Token: opened.BoundToken(), IsReset: true}
+	assert.Equal(t, site.table.SteerEstablished(site.now, packet).Action, Drop)
 }
 
 // TestLaterTargetAtSameAddressSupersedes checks that a target is superseded by a later one at its
@@ -92,7 +93,7 @@
 				target.Incarnation = 9
 			})
 			leave(site)
-			site.revision = storeview.RevisionIn(1, 1)
+			site.revision = storeview.NewRevision(1, 1)
 			site.target("roster-0", 100, "roster", func(target *storeview.Target) { target.Incarnation = 4 })
 			assert.Equal(t, site.follow(ledgerAddress, 1, Of(300)).Action, Forward)
 		})
@@ -121,7 +122,7 @@
 	sentAt := flow.now
 	flow.now = flow.now.Add(minRetransmitDelay - time.Millisecond)
 	flow.send(1, 500, 100)
-	assert.Equal(t, len(flow.requests.TakeUnacknowledged()), 0, "duplicate made by the network")
+	assert.Equal(t, len(flow.requests.TakeUnacknowledged()), 0, "duplicate made by the network taken for a retransmission")
 	first := flow.now
 	flow.now = flow.now.Add(200 * time.Millisecond)
 	flow.send(1, 500, 100)
@@ -133,7 +134,7 @@
 }
 
 func TestTargetActivity(t *testing.T) {
-	lastActivity := func(flow *exchange) time.Time { return flow.site.table.LastLife(liveness.Subject{Target: 100}) }
+	lastActivity := func(flow *exchange) time.Time { return flow.site.table.LastActivity(liveness.Subject{Target: 100}) }
 	t.Run("response", func(t *testing.T) {
 		flow := newExchange(t)
 		flow.send(1, 500, 100)
@@ -155,13 +156,13 @@
 		opened := site.open(rosterAddress, 1)
 		site.now = site.now.Add(5 * time.Millisecond)
 		site.follow(rosterAddress, 1, opened.Target.Token)
-		assert.Assert(t, site.table.LastLife(liveness.Subject{Target: opened.Target.Identifier}).Equal(site.now))
+		assert.Assert(t, site.table.LastActivity(liveness.Subject{Target: opened.Target.Identifier}).Equal(site.now))
 	})
 	t.Run("new data some time after the first", func(t *testing.T) {
 		flow := newExchange(t)
 		flow.send(1, 500, 1200)
 		flow.send(1201, 500, 1200)
-		assert.Assert(t, lastActivity(flow).IsZero(), "initial window needs no acknowledgement")
+		assert.Assert(t, lastActivity(flow).IsZero(), "data of the initial window, which needs no acknowledgement, counted as activity")
 		flow.now = flow.now.Add(minRetransmitDelay)
 		flow.send(2401, 500, 1200)
 		assert.Assert(t, lastActivity(flow).Equal(flow.now))
@@ -178,13 +179,13 @@
 func TestPendingRequestsOfDeadTargetAreTakenOnce(t *testing.T) {
 	flow := newExchange(t)
 	flow.send(1, 500, 100)
-	assert.Equal(t, len(flow.requests.TakeWaiting(func(target uint64) bool { return target == 999 })), 0)
-	waiting := flow.requests.TakeWaiting(func(target uint64) bool { return target == 100 })
+	assert.Equal(t, len(flow.requests.TakePending(func(target uint64) bool { return target == 999 })), 0)
+	waiting := flow.requests.TakePending(func(target uint64) bool { return target == 100 })
 	assert.Equal(t, len(waiting), 1)
 	assert.Equal(t, waiting[0].Source, caller(0))
 	assert.Equal(t, waiting[0].Destination, rosterAddress)
 	assert.Equal(t, waiting[0].Acknowledgement, uint32(500))
-	assert.Equal(t, len(flow.requests.TakeWaiting(func(target uint64) bool { return target == 100 })), 0)
+	assert.Equal(t, len(flow.requests.TakePending(func(target uint64) bool { return target == 100 })), 0)
 	assert.Equal(t, flow.requests.Len(), 0)
 }
 
@@ -194,12 +195,12 @@
 	assert.Assert(t, site.table.IsKnown(zone) && !site.table.IsKnown(liveness.Subject{Zone: "nowhere"}))
 	assert.DeepEqual(t, site.table.ServicesOf(zone), map[string]int{"roster": 2})
 	assert.Equal(t, len(site.table.TargetsToProbe(zone, 1)), 1)
-	site.table.targetByIdentifier(104).Signal.NoteLife(site.now)
-	assert.Assert(t, site.table.LastLife(zone).Equal(site.now))
+	site.table.targetByIdentifier(104).Signal.RecordActivity(site.now)
+	assert.Assert(t, site.table.LastActivity(zone).Equal(site.now))
 	assert.DeepEqual(t, site.table.TargetsToProbe(zone, 2), []uint64{104, 101})
 }
 
-// BenchmarkZoneLastActivity reports on one zone among 15,000 targets in 23 zones.
+// BenchmarkZoneLastActivity looks up the last activity of one of 23 zones with 15,000 targets in all.
 func BenchmarkZoneLastActivity(b *testing.B) {
 	table := &Table{index: newIndex(0)}
 	for number := range 15_000 {
@@ -208,6 +209,6 @@
 		table.index.add(target)
 	}
 	for b.Loop() {
-		table.LastLife(liveness.Subject{Zone: "7"})
+		table.LastActivity(liveness.Subject{Zone: "7"})
 	}
 }
--- a/internal/steering/token/expired.go
+++ b/internal/steering/token/expired.go
@@ -5,7 +5,7 @@
 // mayHaveExpired reports whether a leaving target may still be running because its entry may have
 // expired while the store was unavailable. After an outage that can apply to all targets.
 func (o *Opener) mayHaveExpired(target *Target) bool {
-	return target.IsLapsed() && o.expiryWindow.Covers(o.now, target.LearnedAt) && o.isWithinGrace(target)
+	return target.IsExpired() && o.expiryWindow.Covers(o.now, target.LearnedAt) && o.isWithinGrace(target)
 }
 
 // isWithinGrace reports whether a leaving target may still serve flows.
@@ -18,7 +18,7 @@
 // leaving.
 func (o *Opener) eligible(service *Service) []balance.Source[*Target] {
 	o.sources[0] = balance.Source[*Target]{Pool: &service.eligible}
-	if !o.expiryWindow.Holds(o.now) {
+	if !o.expiryWindow.IsOpen(o.now) {
 		return o.sources[:1]
 	}
 	o.sources[1] = balance.Source[*Target]{Pool: &service.leaving, Allows: o.allowsExpired}
--- a/internal/steering/token/limit_test.go
+++ b/internal/steering/token/limit_test.go
@@ -31,7 +31,7 @@
 	return 100
 }
 
-func TestATargetGetsNoMoreThanItCanTake(t *testing.T) {
+func TestFlowsPerTargetAreLimitedBySlots(t *testing.T) {
 	t.Run("one daemon sends one flow per slot", func(t *testing.T) {
 		site := newShrunkenSite(t)
 		site.opener.SetDaemons(1)
@@ -55,19 +55,19 @@
 	requests := NewRequests(16)
 	opened := site.open(rosterAddress, 1)
 	assert.Equal(t, opened.Action, Forward)
-	data := &Packet{Source: caller(1), Destination: rosterAddress, Token: opened.Word(), PayloadLength: 100, Acknowledgement: 1}
-	followed := site.table.Follow(site.now, data)
-	site.opener.NoteAnswered(site.now, &followed, data)
-	requests.Note(site.now, &followed, data)
+	data := &Packet{Source: caller(1), Destination: rosterAddress, Token: opened.BoundToken(), PayloadLength: 100, Acknowledgement: 1}
+	followed := site.table.SteerEstablished(site.now, data)
+	site.opener.RecordResponse(site.now, &followed, data)
+	requests.Record(site.now, &followed, data)
 	site.now = site.now.Add(time.Second)
 	assert.Equal(t, site.open(rosterAddress, 2).Action, Hold, "request pending for longer than the lifetime of a pick")
-	answered := &Packet{Source: caller(1), Destination: rosterAddress, Token: opened.Word(), Acknowledgement: 4001}
-	requests.Note(site.now, &followed, answered)
+	answered := &Packet{Source: caller(1), Destination: rosterAddress, Token: opened.BoundToken(), Acknowledgement: 4001}
+	requests.Record(site.now, &followed, answered)
 	assert.Equal(t, site.open(rosterAddress, 3).Action, Forward)
 }
 
-// TestALimitMovesNoShares checks that flows of a backend at its limit don't spill over to others.
-func TestALimitMovesNoShares(t *testing.T) {
+// TestBackendAtLimitDoesNotSpillOver checks that flows of a backend at its limit don't spill over to others.
+func TestBackendAtLimitDoesNotSpillOver(t *testing.T) {
 	site := newSite(t)
 	site.opener.SetDaemons(50)
 	counts := map[string]int{}
@@ -85,19 +85,19 @@
 }
 
 // TestUntrackedRequestsReleaseTheirSlots guards against leaked slots of requests that were evicted
-// from the full table, or whose acknowledgement went past another daemon.
+// from the full table, or whose acknowledgement went through another daemon.
 func TestUntrackedRequestsReleaseTheirSlots(t *testing.T) {
 	site := newShrunkenSite(t)
 	requests := NewRequests(1)
 	var decision Decision
 	for number := range 3 {
 		decision = site.open(rosterAddress, number)
-		data := &Packet{Source: caller(number), Destination: rosterAddress, Token: decision.Word(), PayloadLength: 100}
-		requests.Note(site.now, &decision, data)
+		data := &Packet{Source: caller(number), Destination: rosterAddress, Token: decision.BoundToken(), PayloadLength: 100}
+		requests.Record(site.now, &decision, data)
 	}
 	later := site.now.Add(time.Minute)
-	assert.Equal(t, decision.Target.Signal.InProgress(later) > 0.5, true, "only one request is tracked")
-	requests.Overdue(later)
+	assert.Equal(t, decision.Target.Signal.InProgress(later) > 0.5, true, "tracked request not counted")
+	requests.TakeTimedOut(later)
 	assert.Assert(t, decision.Target.Signal.InProgress(later) < 0.5, "%v", decision.Target.Signal.InProgress(later))
 	assert.Equal(t, decision.Action, Forward)
 }
--- a/internal/steering/token/retransmitted.go
+++ b/internal/steering/token/retransmitted.go
@@ -28,7 +28,7 @@
 		req.sequence = packet.Sequence
 		req.lastData = now
 		if now.Sub(req.startedAt) >= minRetransmitDelay {
-			req.signal.NoteLife(now)
+			req.signal.RecordActivity(now)
 		}
 		return
 	}
@@ -45,9 +45,9 @@
 	return unacknowledged
 }
 
-// TakeWaiting ends the pending requests of dead targets and returns for each the packet head to
-// answer with a reset.
-func (r *Requests) TakeWaiting(isDead func(target uint64) bool) []Packet {
+// TakePending ends the pending requests of dead targets and returns for each the packet header
+// to answer with a reset.
+func (r *Requests) TakePending(isDead func(target uint64) bool) []Packet {
 	var keys []requestKey
 	for key, req := range r.pending {
 		if isDead(req.target) {
@@ -61,9 +61,9 @@
 	for _, key := range keys {
 		req := r.pending[key]
 		r.end(key)
-		head := Packet{Source: key.caller, Destination: req.destination, Token: req.token, Acknowledgement: req.acknowledgement}
-		r.flows.remove(flowHash(&head))
-		packets = append(packets, head)
+		header := Packet{Source: key.caller, Destination: req.destination, Token: req.token, Acknowledgement: req.acknowledgement}
+		r.flows.remove(flowHash(&header))
+		packets = append(packets, header)
 	}
 	return packets
 }
--- a/internal/steering/token/service.go
+++ b/internal/steering/token/service.go
@@ -10,9 +10,9 @@
 	Name string
 	// Load tracks and limits the service's work through this daemon.
 	Load *overload.Controller
-	// maximumFlows and coldRate are the declared limits.
-	maximumFlows uint32
-	coldRate     float64
+	// maxFlows and slowStartRate are the declared limits.
+	maxFlows      uint32
+	slowStartRate float64
 	// eligible holds the targets that accept new flows. leaving holds targets that are draining or
 	// gone: they still serve for a grace period and are used when no other target is left.
 	eligible, leaving balance.Pool[*Target]
@@ -22,11 +22,11 @@
 
 func (s *Service) add(target *Target) {
 	candidate := balance.Candidate{
-		Signal: target.Signal, Weight: max(1, target.Slots), Cap: s.maximumFlows, Zone: target.Zone,
-		Slots: target.Slots, WarmAt: target.WarmAt, IsColdBounded: target.ColdRate > 0,
+		Signal: target.Signal, Weight: max(1, target.Slots), Cap: s.maxFlows, Zone: target.Zone,
+		Slots: target.Slots, WarmAt: target.WarmAt, IsSlowStartLimited: target.SlowStartRate > 0,
 	}
 	switch {
-	case target.MayOpen:
+	case target.IsEligible:
 		target.entry = s.eligible.Add(candidate, target)
 	case target.IsEvacuated:
 		s.evacuated++
@@ -37,7 +37,7 @@
 
 func (s *Service) remove(target *Target) {
 	switch {
-	case target.MayOpen:
+	case target.IsEligible:
 		s.eligible.Remove(target.entry)
 	case target.IsEvacuated:
 		s.evacuated--
@@ -47,11 +47,11 @@
 	target.entry = nil
 }
 
-// trackUnavailable tells the target's pool that the target was declared dead or ejected.
+// trackUnavailable notifies the target's pool that the target was declared dead or ejected.
 func (s *Service) trackUnavailable(target *Target) {
 	switch {
 	case target.entry == nil:
-	case target.MayOpen:
+	case target.IsEligible:
 		s.eligible.Watch(target.entry)
 	default:
 		s.leaving.Watch(target.entry)
--- a/internal/steering/token/unrouted.go
+++ b/internal/steering/token/unrouted.go
@@ -53,8 +53,8 @@
 	// openAt is a time at which the flow was open, lastPacketAt when its latest packet
 	// arrived.
 	openAt, lastPacketAt time.Time
-	// head is the latest packet's.
-	head Packet
+	// header is the header of the latest packet.
+	header Packet
 }
 
 func NewUnrouted() *Unrouted { return &Unrouted{flows: map[addressPair]unroutedFlow{}} }
@@ -62,9 +62,9 @@
 // Len returns the number of tracked flows.
 func (u *Unrouted) Len() int { return len(u.flows) }
 
-// Note records a packet with a decision of ReasonUnconfirmedRoute, of a flow that was open at
+// Record records a packet with a decision of ReasonUnconfirmedRoute, of a flow that was open at
 // openAt.
-func (u *Unrouted) Note(now, openAt time.Time, packet *Packet) {
+func (u *Unrouted) Record(now, openAt time.Time, packet *Packet) {
 	pair := addressPair{packet.Source, packet.Destination}
 	flow, isKnown := u.flows[pair]
 	if !isKnown && len(u.flows) >= maxUnrouted {
@@ -73,13 +73,13 @@
 	if !isKnown || now.Sub(flow.lastPacketAt) >= unroutedIdleTimeout {
 		flow.openAt = openAt
 	}
-	flow.lastPacketAt, flow.head = now, *packet
+	flow.lastPacketAt, flow.header = now, *packet
 	u.flows[pair] = flow
 }
 
 // TakeDropped handles a confirmation by the store that the table's view was current at
-// confirmedAt. For each flow whose route was removed it returns the packet head to answer with a
-// reset. Such flows are forgotten, as are idle ones and those whose route is known now.
+// confirmedAt. For each flow whose route was removed it returns the packet header to answer with
+// a reset. Such flows are forgotten, as are idle ones and those whose route is known now.
 func (u *Unrouted) TakeDropped(now, confirmedAt time.Time, table *Table) []Packet {
 	var dropped []Packet
 	for pair, flow := range u.flows {
@@ -88,7 +88,7 @@
 		case confirmedAt.Before(flow.openAt.Add(confirmationMargin)):
 			continue
 		default:
-			dropped = append(dropped, flow.head)
+			dropped = append(dropped, flow.header)
 		}
 		delete(u.flows, pair)
 	}
--- a/internal/storenode/answer.go
+++ b/internal/storenode/answer.go
@@ -8,8 +8,9 @@
 	"github.com/passtray/passtray/internal/followed"
 )
 
-// servePull serves a pull. It redirects the peer to another daemon if there is no configuration yet or
-// all answer slots are in use, and otherwise waits for them within the hold that the peer requested.
+// servePull serves a pull. It redirects the peer to another daemon if there is no configuration yet
+// or all answer slots are in use. If no other daemon can answer or the peer was redirected too
+// often, it waits for a configuration and a slot within the hold that the peer requested.
 func (l *peerLink) servePull(w http.ResponseWriter, r *http.Request, serve func(pull *followed.Pull) (followed.Delta, bool)) {
 	pull, err := readPull(r)
 	if err != nil {
@@ -27,7 +28,7 @@
 		hasSlot := l.tryAcquireSlot()
 		// A peer that was already redirected several times waits for a slot instead: busy daemons
 		// could otherwise redirect it among themselves without end.
-		mayRedirect := !hasSlot && pull.Redirects < followed.MostRedirects
+		mayRedirect := !hasSlot && pull.Redirects < followed.MaxRedirects
 		if delta, isRedirect = l.redirect(pull, mayRedirect, serve); !isRedirect {
 			hasSlot = hasSlot || l.waitForSlot(r.Context(), holdTimer)
 			if !hasSlot {
--- a/internal/storenode/changes.go
+++ b/internal/storenode/changes.go
@@ -10,7 +10,7 @@
 
 const (
 	// minTargetLogInterval is the minimum interval between log lines about changed targets. In a large
-	// fleet hundreds change per second, each in an update of its own.
+	// fleet hundreds change per second, each in a separate update.
 	minTargetLogInterval = 250 * time.Millisecond
 	// maxLoggedTargets bounds the targets listed in one log line.
 	maxLoggedTargets = 20
@@ -37,6 +37,6 @@
 		return
 	}
 	n.log.Info("targets changed", telemetry.FieldDetail, strings.Join(changed.details, ", "),
-		telemetry.FieldOmitted, changed.omitted, telemetry.FieldRevision, storeview.NumberOf(n.fleet.View().Revision()))
+		telemetry.FieldOmitted, changed.omitted, telemetry.FieldRevision, storeview.ChangeNumberOf(n.fleet.View().Revision()))
 	*changed = changedTargets{nextLogAt: now.Add(minTargetLogInterval)}
 }
--- a/internal/storenode/overload.go
+++ b/internal/storenode/overload.go
@@ -13,7 +13,7 @@
 	"github.com/passtray/passtray/internal/telemetry"
 )
 
-func newBuilder(cfg settings.Followed) *token.Builder {
+func newBuilder(cfg settings.StoreNode) *token.Builder {
 	builder := token.NewBuilder(cfg.Data.Retention)
 	builder.SetOverload(overload.Config(cfg.Overload))
 	return builder
@@ -57,7 +57,7 @@
 
 // isQueued reports whether a copy of the packet is queued. The mutex must be held.
 func (p *tokenPlane) isQueued(packet *token.Packet) bool {
-	first := p.queued.Of(flowOf(packet))
+	first := p.queued.PeekFlow(flowOf(packet))
 	return first != nil && (isRetransmission(&first.Packet.parsed, packet) ||
 		slices.ContainsFunc(first.Behind, func(held queuedPacket) bool { return isRetransmission(&held.parsed, packet) }))
 }
@@ -67,7 +67,7 @@
 // lost. The mutex must be held.
 func (p *tokenPlane) keepFlowOrder(decision token.Decision, packet *token.Packet, arrived arrival) token.Decision {
 	hasContent := packet.PayloadLength > 0 || packet.IsClosing
-	if decision.Action == token.Forward && hasContent && !arrived.isDequeued && p.queued.Of(flowOf(packet)) != nil {
+	if decision.Action == token.Forward && hasContent && !arrived.isDequeued && p.queued.PeekFlow(flowOf(packet)) != nil {
 		decision.Action, decision.Reason = token.Hold, token.ReasonOverload
 	}
 	return decision
@@ -78,7 +78,7 @@
 func (p *tokenPlane) dropQueued(packet *token.Packet) {
 	flow := flowOf(packet)
 	for _, flow.IsOpening = range []bool{false, true} {
-		if taken, found := p.queued.TakeFlow(flow); found {
+		if taken, found := p.queued.PopFlow(flow); found {
 			p.counters.dropped[token.ReasonOverload].Add(uint64(1 + len(taken.Behind)))
 		}
 	}
@@ -91,19 +91,19 @@
 	now, load, rank := time.Now(), decision.Load(), decision.Route.Rank()
 	p.mutex.Lock()
 	isDuplicate := p.isQueued(packet)
-	canQueue := !isDuplicate && p.queued.HasPlace(now, load, rank, packet.IsOpening)
+	canQueue := !isDuplicate && p.queued.HasRoom(now, load, rank, packet.IsOpening)
 	if canQueue {
 		p.mayBeQueued.Store(true)
-		p.queued.Put(now, overload.Waiting[queuedPacket]{
+		p.queued.Push(now, overload.QueuedPacket[queuedPacket]{
 			Load: load, Rank: rank, Flow: flowOf(packet), IsOpening: packet.IsOpening,
-			At: arrived.at, Until: arrived.at.Add(decision.Route.Hold(packet)),
+			ArrivedAt: arrived.at, Deadline: arrived.at.Add(decision.Route.Hold(packet)),
 			Packet: queuedPacket{parsed: *packet, buffer: append([]byte(nil), inbound.Buffer...), service: decision.Service},
 		})
 	}
 	p.mutex.Unlock()
 	switch {
 	case isDuplicate:
-		p.counters.dropped[token.ReasonCopy].Add(1)
+		p.counters.dropped[token.ReasonRetransmission].Add(1)
 	case canQueue:
 		if !arrived.isDequeued {
 			p.counters.queued.Add(1)
@@ -118,7 +118,7 @@
 // bypassQueue forwards a packet of an open flow after the queued packets of that flow.
 func (p *tokenPlane) bypassQueue(worker *forwarding.Worker, inbound *forwarding.Inbound, packet *token.Packet, arrived arrival) {
 	p.mutex.Lock()
-	earlier, found := p.queued.TakeFlow(flowOf(packet))
+	earlier, found := p.queued.PopFlow(flowOf(packet))
 	p.mutex.Unlock()
 	if found {
 		p.decideDequeued(worker, &earlier)
@@ -127,8 +127,8 @@
 }
 
 // decideDequeued decides again on a packet taken from the queue and on those behind it.
-func (p *tokenPlane) decideDequeued(worker *forwarding.Worker, taken *overload.Waiting[queuedPacket]) {
-	arrived := arrival{at: taken.At, isDequeued: true, service: taken.Packet.service}
+func (p *tokenPlane) decideDequeued(worker *forwarding.Worker, taken *overload.QueuedPacket[queuedPacket]) {
+	arrived := arrival{at: taken.ArrivedAt, isDequeued: true, service: taken.Packet.service}
 	p.handle(worker, &forwarding.Inbound{Buffer: taken.Packet.buffer}, arrived)
 	for _, behind := range taken.Behind {
 		p.handle(worker, &forwarding.Inbound{Buffer: behind.buffer}, arrived)
@@ -140,7 +140,7 @@
 func (p *tokenPlane) releaseQueued(worker *forwarding.Worker, now time.Time) {
 	for {
 		p.mutex.Lock()
-		taken, found := p.queued.Take(now)
+		taken, found := p.queued.Pop(now)
 		p.mutex.Unlock()
 		if !found {
 			return
@@ -163,7 +163,7 @@
 func (p *tokenPlane) tickQueue(now time.Time, daemons int) {
 	p.mutex.Lock()
 	if table := p.table.Load(); table != nil {
-		p.opener.SetShares(now, table, daemons)
+		p.opener.SetOverloadShares(now, table, daemons)
 	}
 	p.mutex.Unlock()
 	if !p.mayBeQueued.Load() {
@@ -196,8 +196,8 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	var loads []serviceLoad
-	table.Loads(func(service string, load *overload.Controller) {
-		limit, isLimited := load.Bound(now)
+	table.EachLoad(func(service string, load *overload.Controller) {
+		limit, isLimited := load.Limit(now)
 		loads = append(loads, serviceLoad{
 			service: service, preferred: load.InProgress(now, overload.Preferred), ordinary: load.InProgress(now, overload.Ordinary),
 			limit: limit, isLimited: isLimited,
@@ -211,7 +211,7 @@
 // per service each.
 const overloadLogInterval = time.Second
 
-// logOverload logs when the limit on requests in progress at a service starts and stops to apply.
+// logOverload logs when the limit on requests in progress at a service starts or stops applying.
 func (n *Node) logOverload(now time.Time) {
 	if now.Before(n.nextOverloadLogAt) {
 		return
@@ -223,7 +223,7 @@
 		}
 		if load.isLimited {
 			n.loggedLimited[load.service] = true
-			n.log.Info("targets reject requests, limiting requests in progress", telemetry.FieldService, load.service, telemetry.FieldBound, load.limit)
+			n.log.Info("targets reject requests, limiting requests in progress", telemetry.FieldService, load.service, telemetry.FieldLimit, load.limit)
 			continue
 		}
 		delete(n.loggedLimited, load.service)
@@ -235,7 +235,7 @@
 	status := []telemetry.LoadStatus{}
 	for _, load := range n.plane.serviceLoads(now) {
 		status = append(status, telemetry.LoadStatus{
-			Service: load.service, Preferred: load.preferred, Ordinary: load.ordinary, IsBounded: load.isLimited, Bound: load.limit,
+			Service: load.service, Preferred: load.preferred, Ordinary: load.ordinary, IsLimited: load.isLimited, Limit: load.limit,
 		})
 	}
 	return status
--- a/internal/storenode/targets_only_test.go
+++ b/internal/storenode/targets_only_test.go
@@ -25,8 +25,8 @@
 			{Key: "target-1", Revision: 7, Target: &s.target},
 		}}
 	}
-	if call.MostBytes > 0 {
-		return followed.Answer{Number: call.Number, Outcome: followed.OutcomeTooLong, Bytes: 1 << 20}
+	if call.MaxBytes > 0 {
+		return followed.Answer{Number: call.Number, Outcome: followed.OutcomeTooLarge, Bytes: 1 << 20}
 	}
 	<-ctx.Done()
 	return followed.Answer{Number: call.Number, Outcome: followed.OutcomeFailed}
@@ -39,8 +39,8 @@
 	store := &targetsOnlyStore{target: storeview.Target{Identifier: 77, Service: "s", Address: site.targetAddress(), Zone: "zone", Slots: 2}}
 	cfg := newTestSettings(1)
 	cfg.Limits.Link = 10
-	node, err := Start(cfg, logr.Discard(), Parts{
-		Store: store, Codec: testCodec{}, Reload: func() (settings.Followed, error) { return cfg, nil },
+	node, err := Start(cfg, logr.Discard(), Dependencies{
+		Store: store, Codec: testCodec{}, Reload: func() (settings.StoreNode, error) { return cfg, nil },
 	})
 	assert.NilError(t, err)
 	t.Cleanup(node.Kill)
@@ -49,7 +49,7 @@
 	assert.Assert(t, node.Ready() != "", "not ready for new flows without routes")
 	site.send(t, 1, 0, kindFirst)
 	nodetest.WaitFor(t, "a held packet", func() bool { return node.plane.counters.held.Load() == 1 })
-	site.send(t, 1, token.WordAt(testRoute, 77), kindData)
+	site.send(t, 1, token.BoundTokenAt(testRoute, 77), kindData)
 	assert.Equal(t, binary.BigEndian.Uint64(receive(t, site.target)), uint64(77))
 	for reason := range token.ReasonCount {
 		assert.Equal(t, node.plane.counters.refused[reason].Load(), uint64(0))
--- a/internal/storeview/configuration.go
+++ b/internal/storeview/configuration.go
@@ -58,7 +58,7 @@
 // rejectOlder reports a later write with an earlier version than the active one.
 func (v *configurationState) rejectOlder(entry *Entry, version uint64, change *Change) {
 	if entry.Revision > v.revision {
-		change.Refused = append(change.Refused, fmt.Sprintf("%s: version %d is older than the active version %d",
+		change.InvalidEntries = append(change.InvalidEntries, fmt.Sprintf("%s: version %d is older than the active version %d",
 			entry.Key, version, v.current.Version))
 	}
 }
@@ -80,7 +80,7 @@
 }
 
 // Held identifies the configuration that a polling daemon holds; Version is 0 if it has none or
-// does not say.
+// does not report it.
 type Held struct{ Revision, Version uint64 }
 
 // since returns what a peer lacks that knows everything up to a revision and holds the given
--- a/internal/storeview/invalid.go
+++ b/internal/storeview/invalid.go
@@ -10,8 +10,8 @@
 // ones are rejected as well, but neither listed nor sent to peers as invalid.
 const maxInvalidEntries = 1024
 
-// Refusal is a rejected, invalid entry.
-type Refusal struct {
+// InvalidEntry describes an entry of the store that was rejected as invalid.
+type InvalidEntry struct {
 	// Key and Revision are the store's.
 	Key      string
 	Revision uint64
@@ -22,52 +22,52 @@
 
 // invalidEntries holds the invalid entries by key. An invalid entry may stay in the store
 // indefinitely, so that it must not cause work each time it is listed.
-type invalidEntries map[string]Refusal
+type invalidEntries map[string]InvalidEntry
 
 // add remembers an invalid entry; it reports false if it, or a later one, is already known.
 func (r invalidEntries) add(entry *Entry, at time.Time) bool {
-	held, isHeld := r[entry.Key]
-	if isHeld && entry.Revision <= held.Revision {
+	existing, found := r[entry.Key]
+	if found && entry.Revision <= existing.Revision {
 		return false
 	}
-	if isHeld || len(r) < maxInvalidEntries {
-		r[entry.Key] = Refusal{Key: entry.Key, Revision: entry.Revision, Reason: entry.Fault, LearnedAt: at}
+	if found || len(r) < maxInvalidEntries {
+		r[entry.Key] = InvalidEntry{Key: entry.Key, Revision: entry.Revision, Reason: entry.Fault, LearnedAt: at}
 	}
 	return true
 }
 
-// dropOlder forgets an invalid entry once its key has a later one or a removal.
+// dropOlder forgets an invalid entry once its key has a later entry or removal.
 func (r invalidEntries) dropOlder(key string, revision uint64) {
-	if held, isHeld := r[key]; isHeld && revision > held.Revision {
+	if existing, found := r[key]; found && revision > existing.Revision {
 		delete(r, key)
 	}
 }
 
 // dropUnlisted forgets invalid entries that a full list as of a revision lacks.
 func (r invalidEntries) dropUnlisted(listed listedKeys, revision uint64) {
-	for key, held := range r {
-		if !listed.isListedIn(EpochOf(revision), key) && held.Revision <= revision {
+	for key, entry := range r {
+		if !listed.isListedIn(EpochOf(revision), key) && entry.Revision <= revision {
 			delete(r, key)
 		}
 	}
 }
 
-func (r invalidEntries) sorted() []Refusal {
-	all := make([]Refusal, 0, len(r))
-	for _, held := range r {
-		all = append(all, held)
+func (r invalidEntries) sorted() []InvalidEntry {
+	all := make([]InvalidEntry, 0, len(r))
+	for _, entry := range r {
+		all = append(all, entry)
 	}
-	slices.SortFunc(all, func(a, b Refusal) int { return cmp.Compare(a.Key, b.Key) })
+	slices.SortFunc(all, func(a, b InvalidEntry) int { return cmp.Compare(a.Key, b.Key) })
 	return all
 }
 
 // since returns the invalid entries with a higher revision, unordered.
 func (r invalidEntries) since(now time.Time, revision uint64) []Entry {
 	var entries []Entry
-	for _, held := range r {
-		if held.Revision > revision {
+	for _, entry := range r {
+		if entry.Revision > revision {
 			entries = append(entries, Entry{
-				Key: held.Key, Revision: held.Revision, Fault: held.Reason, Age: max(0, now.Sub(held.LearnedAt)),
+				Key: entry.Key, Revision: entry.Revision, Fault: entry.Reason, Age: max(0, now.Sub(entry.LearnedAt)),
 			})
 		}
 	}
--- a/internal/storeview/restoregrace.go
+++ b/internal/storeview/restoregrace.go
@@ -48,13 +48,14 @@
 // the same numbers.
 func (r *restoreGrace) isNewerThanBackup(earlier, restored uint64) bool {
 	isInBackup := EpochOf(restored) == r.epoch && restored <= r.startRevision
-	return r.isEarlierEpoch(earlier) && isInBackup && NumberOf(earlier) > NumberOf(restored)
+	return r.isEarlierEpoch(earlier) && isInBackup && ChangeNumberOf(earlier) > ChangeNumberOf(restored)
 }
 
-// deferEntry defers an entry of the restored store that conflicts with newer earlier state.
+// deferEntry defers an entry of the restored store that is older than the state kept from an
+// earlier epoch.
 func (r *lwwMap[K]) deferEntry(restored K) {
 	key := restored.record().Key
-	if held, isHeld := r.deferred[key]; !isHeld || held.record().Revision < restored.record().Revision {
+	if existing, found := r.deferred[key]; !found || existing.record().Revision < restored.record().Revision {
 		r.deferred[key] = restored
 	}
 }
@@ -70,7 +71,7 @@
 
 // dropDeferred drops the deferred entry of a key if it is not newer than revision.
 func (r *lwwMap[K]) dropDeferred(key string, revision uint64) {
-	if held, isDeferred := r.deferred[key]; isDeferred && held.record().Revision <= revision {
+	if existing, isDeferred := r.deferred[key]; isDeferred && existing.record().Revision <= revision {
 		delete(r.deferred, key)
 	}
 }
@@ -111,7 +112,7 @@
 func (r *lwwMap[K]) restoreEntries(now time.Time, revision uint64) []Entry {
 	var entries []Entry
 	if !r.grace.isEarlierEpoch(revision) {
-		entries = r.toEntries(now, r.index.upTo(RevisionIn(r.grace.epoch, 0)))
+		entries = r.toEntries(now, r.index.upTo(NewRevision(r.grace.epoch, 0)))
 	}
 	for _, key := range slices.Sorted(maps.Keys(r.deferred)) {
 		entries = append(entries, entryOf(now, r.deferred[key]))
@@ -126,12 +127,12 @@
 // written again.
 func (r *lwwMap[K]) dropMissing(now time.Time, change *Change) {
 	for _, key := range slices.Sorted(maps.Keys(r.byKey)) {
-		held := r.byKey[key]
+		existing := r.byKey[key]
 		_, isDeferred := r.deferred[key]
-		if !isDeferred && EpochOf(held.record().Revision) < r.grace.epoch && !held.record().Gone {
-			// The removal gets the epoch's first revision, so that a later backup with the entry is
-			// older.
-			r.markGone(held, r.grace.startRevision, now, change)
+		if !isDeferred && EpochOf(existing.record().Revision) < r.grace.epoch && !existing.record().IsRemoved {
+			// The removal gets the revision of the epoch's first full list, so that it stays newer
+			// than the entry if the store is restored again from an older backup.
+			r.markGone(existing, r.grace.startRevision, now, change)
 		}
 	}
 }
@@ -145,9 +146,10 @@
 	r.dropMissing(now, change)
 }
 
-// Settle ends the grace periods that are over. Everything that the store held at confirmedAt must
-// be known: a daemon that was paused or partitioned may otherwise have missed rewritten entries.
-func (v *View) Settle(now, confirmedAt time.Time) Change {
+// EndGracePeriods ends the grace periods that are over. Everything that the store held at
+// confirmedAt must be known: a daemon that was paused or partitioned may otherwise have missed
+// rewritten entries.
+func (v *View) EndGracePeriods(now, confirmedAt time.Time) Change {
 	var change Change
 	r := v.grace
 	if !r.missingEndsAt.IsZero() && !confirmedAt.Before(r.missingEndsAt) {
--- a/internal/storeview/revision.go
+++ b/internal/storeview/revision.go
@@ -1,7 +1,7 @@
 package storeview
 
-// A revision totally orders all writes to the store. A store that is restored from a backup loses
-// its last changes and reuses their numbers, so a revision holds the store's epoch, which increases
+// Revisions totally order all writes to the store. A store that is restored from a backup loses its
+// last changes and reuses their numbers, so a revision holds the store's epoch, which increases
 // with each restore, in the bits above the number of the change (as ZooKeeper's zxid does). Any
 // change of a later epoch thus compares as newer.
 
@@ -10,16 +10,16 @@
 const numberBits = 40
 
 const (
-	// MostEpochs and MostChanges are the highest epoch and change number that a revision can hold.
-	MostEpochs  = 1<<(64-numberBits) - 1
-	MostChanges = 1<<numberBits - 1
+	// MaxEpoch and MaxChangeNumber are the highest epoch and change number that a revision can hold.
+	MaxEpoch        = 1<<(64-numberBits) - 1
+	MaxChangeNumber = 1<<numberBits - 1
 )
 
-// RevisionIn returns the revision of the change with a number in an epoch.
-func RevisionIn(epoch, number uint64) uint64 { return epoch<<numberBits | number&MostChanges }
+// NewRevision returns the revision of the change with a number in an epoch.
+func NewRevision(epoch, number uint64) uint64 { return epoch<<numberBits | number&MaxChangeNumber }
 
 // EpochOf returns the epoch of a revision, 0 if the store has no epochs.
 func EpochOf(revision uint64) uint64 { return revision >> numberBits }
 
-// NumberOf returns the change number of a revision within its epoch.
-func NumberOf(revision uint64) uint64 { return revision & MostChanges }
+// ChangeNumberOf returns the change number of a revision within its epoch.
+func ChangeNumberOf(revision uint64) uint64 { return revision & MaxChangeNumber }
