--- a/internal/coldshare/coldshare.go
+++ b/internal/coldshare/coldshare.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	// usedPart is the fraction of the limit that is allocated. Daemons that disagree on the
+	// allocatedFraction is the fraction of the limit that is allocated. Daemons that disagree on the
 	// membership, as in a partition, may allocate it twice.
-	usedPart = 0.5
-	// leastShare is the minimum share of a daemon in flows per second. More of smaller shares would
+	allocatedFraction = 0.5
+	// minShare is the minimum share of a daemon in flows per second. More of smaller shares would
 	// stay unused, since clients are not spread evenly.
-	leastShare = 2
+	minShare = 2
 )
 
 // Of returns how many new flows per second a daemon may give to a target in slow start, if all
 // daemons together may give it at most bound.
 func Of(target uint64, bound float64, daemon netip.AddrPort, daemons []netip.AddrPort) int {
-	given := int(bound * usedPart)
-	if given < 1 {
+	allocated := int(bound * allocatedFraction)
+	if allocated < 1 {
 		return 0
 	}
-	holders := min(max(given/leastShare, 1), max(len(daemons), 1))
+	holders := min(max(allocated/minShare, 1), max(len(daemons), 1))
 	if !rendezvous.IsAmongFirst(target, daemon, daemons, holders) {
 		return 0
 	}
-	return given / holders
+	return allocated / holders
 }
